--- /dev/null
+++ b/scripts/gone-names.sh
@@ -0,0 +1,19 @@
+#!/usr/bin/env bash
+# Lists the code words (in backticks) of README.md and docs/ that are words of the Go sources of an earlier revision and of no source
+# now: gone-names.sh REVISION. The glossary is left out, since it gives old names. Fails if there are any.
+set -euo pipefail
+cd "$(dirname "$0")/.."
+revision=$1
+words() { grep -oE '[A-Za-z_][A-Za-z0-9_]*' | sort -u; }
+sources=('*.go' '*.toml' '*.hcl' '*.proto' '.ci' 'scripts')
+pages=$(git ls-files README.md 'docs/*.md' | grep -v '^docs/glossary.md$')
+gone=$(comm -23 <(git grep -hI -e . "$revision" -- "${sources[@]}" | words) <(git grep -hI -e . -- "${sources[@]}" | words))
+found=0
+for page in $pages; do
+    mentioned=$(comm -12 <(grep -oE '`[^`]+`' "$page" | words) <(echo "$gone") | paste -sd' ')
+    if [ -n "$mentioned" ]; then
+        echo "$page: $mentioned"
+        found=1
+    fi
+done
+exit "$found"
