--- a/internal/controlstate/controlstate.go
+++ b/internal/controlstate/controlstate.go
@@ -1,6 +1,7 @@
-// Package controlstate is the fleet's control state as the register holds it: the operator's configuration, the orders that were
-// taken, the versions of weights, and leases with their fencing tokens. Its changes are pure functions from one state to the next.
-// It is written as a document of sections, so that a change of one costs nothing of the others.
+// Package controlstate provides the fleet's control state, which is the payload of the replicated register: the operator's
+// configuration, the orders that were accepted, the versions of model weights, and leases with their fencing tokens. Each change
+// is a pure function from one state to the next. The encoded form is a document of sections, so that a change of one section does
+// not send the others. The package does no I/O.
 package controlstate
 
 import (
@@ -15,50 +16,50 @@
 )
 
 const (
-	mostTaken  = 1024 // orders that are remembered; of older ones it is not said whether they were taken
-	digestSize = 12
+	maxTakenOrders = 1024 // older orders are forgotten: whether they were accepted is unknown
+	digestSize     = 12   // bytes of SHA-256 that identify an order
 )
 
-// ErrConflict says that a change builds on another version than the one in force.
+// ErrConflict means that an order builds on a version other than the one in force.
 var ErrConflict = errors.New("another version is in force")
 
-// ErrForgotten says that an order builds on a version so old that it is not known any more whether it was taken.
+// ErrForgotten means that an order builds on so old a version that the state no longer records whether it was accepted.
 var ErrForgotten = errors.New("the order is too old to tell whether it was taken")
 
-// ErrOld says that a configuration's version does not rise.
+// ErrOld means that a configuration's version is not above the one in force.
 var ErrOld = errors.New("the version is not above the one in force")
 
-// ErrHeld says that a lease is held by another.
+// ErrHeld means that another holder has the lease.
 var ErrHeld = errors.New("the lease is held by another")
 
-// Digest identifies an order of the operator.
+// Digest identifies an operator's order. It is a truncated SHA-256 hash of the order's content and base version.
 type Digest [digestSize]byte
 
-// Lease is the right to act alone in one role.
+// Lease is the exclusive right to act in one role.
 type Lease struct {
 	Holder  string
-	Token   uint64 // rises with each change of holder
-	Renewal uint64 // rises with each renewal
+	Token   uint64 // fencing token; increases with each change of holder
+	Renewal uint64 // increases with each renewal
 }
 
-// State is the whole control state.
+// State is the complete control state. Its exported methods do not modify it; they return a changed copy.
 type State struct {
-	Version int64    // of the configuration; 0: none yet
-	Config  []byte   // as the operator sent it, or as a change by names made it
-	Taken   []Digest // newest last, at most mostTaken
-	Bases   []int64  // the version that each of them was built on
-	// Forgotten is the highest version that an order was built on whose digest is not kept any more.
+	Version int64    // version of the configuration; 0 if there is none yet
+	Config  []byte   // as the operator sent it, or as a patch produced it
+	Taken   []Digest // accepted orders, newest last, at most maxTakenOrders
+	Bases   []int64  // base version of each order in Taken
+	// Forgotten is the highest base version of the orders that were dropped from Taken.
 	Forgotten int64
-	Weights   map[string]int64 // newest version of each model
-	// Named are the versions of each model's weights whose time is still running, above the newest whose time is over. A state
-	// of an earlier version of the program has none: its versions were named long ago.
+	Weights   map[string]int64 // newest version of each model's weights
+	// Named holds, for each model, the newest version of the weights whose grace period has passed and all versions above it. A
+	// state that an earlier release wrote has none; its versions count as named long ago.
 	Named  map[string][]weights.Naming
-	Leases map[string]Lease
+	Leases map[string]Lease // by role
 
-	changes map[string]uint64 // of each section but the configuration's
+	sectionVersions map[string]uint64 // by section, without the configuration section
 }
 
-// DigestOf identifies a configuration and the version that it builds on.
+// DigestOf returns the digest of a configuration and its base version.
 func DigestOf(base int64, raw []byte) Digest {
 	hash := sha256.New()
 	for shift := 0; shift < 64; shift += 8 {
@@ -68,28 +69,29 @@
 	return Digest(hash.Sum(nil)[:digestSize])
 }
 
-// Replace takes a configuration that builds on version base. taken: it had been taken before, and nothing changes.
-func (s State) Replace(base, version int64, raw []byte) (next State, taken bool, err error) {
-	return s.take(DigestOf(base, raw), base, version, func([]byte) ([]byte, error) { return raw, nil })
+// Replace accepts a complete configuration that builds on version base. duplicate reports that the same order was accepted
+// before; the state is then unchanged.
+func (s State) Replace(base, version int64, raw []byte) (next State, duplicate bool, err error) {
+	return s.acceptOrder(DigestOf(base, raw), base, version, func([]byte) ([]byte, error) { return raw, nil })
 }
 
-// Update takes a change of the configuration with version base; apply makes the whole of what that was. taken: the change
-// had been taken before, and nothing changes.
-func (s State) Update(base, version int64, raw []byte, apply func(whole []byte) ([]byte, error)) (next State, taken bool, err error) {
-	return s.take(DigestOf(base, slices.Concat([]byte(updateMark), raw)), base, version, apply)
+// Update accepts a patch of the configuration with version base. apply returns the complete new configuration for the present one.
+// duplicate reports that the same order was accepted before; the state is then unchanged.
+func (s State) Update(base, version int64, raw []byte, apply func(whole []byte) ([]byte, error)) (next State, duplicate bool, err error) {
+	return s.acceptOrder(DigestOf(base, slices.Concat([]byte(updateDigestPrefix), raw)), base, version, apply)
 }
 
-// updateMark sets the digests of changes apart from those of whole configurations, which are JSON objects.
-const updateMark = "update\x00"
+// updateDigestPrefix separates the digests of patches from those of complete configurations, which are JSON objects.
+const updateDigestPrefix = "update\x00"
 
-// take takes an order that builds on version base and makes the whole of what that was. Whether it was taken before is
-// looked at first: what was acknowledged is never refused, whatever has followed it.
-func (s State) take(digest Digest, base, version int64, apply func(whole []byte) ([]byte, error)) (next State, taken bool, err error) {
+// acceptOrder accepts an order that builds on version base; apply returns the new configuration for the present one. It looks for
+// a duplicate first: an order that was acknowledged is never refused later, whatever orders followed it.
+func (s State) acceptOrder(digest Digest, base, version int64, apply func(whole []byte) ([]byte, error)) (next State, duplicate bool, err error) {
 	if slices.Contains(s.Taken, digest) {
 		return s, true, nil
 	}
 	if base != s.Version {
-		if base <= s.Forgotten && len(s.Taken) == mostTaken {
+		if base <= s.Forgotten && len(s.Taken) == maxTakenOrders {
 			return s, false, ErrForgotten
 		}
 		return s, false, ErrConflict
@@ -104,64 +106,68 @@
 	next = s
 	next.Version = version
 	next.Config = raw
-	next.remember(digest, base)
-	next.changed(ordersSection)
+	next.recordOrder(digest, base)
+	next.bumpVersion(ordersSection)
 	return next, false, nil
 }
 
-// remember adds an order to those that are known, and forgets the oldest where there are too many. A state of an earlier
-// version of the program has no bases: its orders count as built on the version in force then.
-func (s *State) remember(digest Digest, base int64) {
+// recordOrder adds an order to Taken and drops the oldest ones above maxTakenOrders. A state that an earlier release wrote has no
+// base versions; its orders count as built on the version now in force.
+func (s *State) recordOrder(digest Digest, base int64) {
 	bases := slices.Clone(s.Bases)
 	for len(bases) < len(s.Taken) {
 		bases = append(bases, base)
 	}
 	s.Taken = append(slices.Clone(s.Taken), digest)
 	s.Bases = append(bases, base)
-	if over := len(s.Taken) - mostTaken; over > 0 {
+	if over := len(s.Taken) - maxTakenOrders; over > 0 {
 		s.Forgotten = max(s.Forgotten, slices.Max(s.Bases[:over]))
 		s.Taken, s.Bases = s.Taken[over:], s.Bases[over:]
 	}
 }
 
-// changed counts a change of a section.
-func (s *State) changed(section string) { s.changes = with(s.changes, section, s.changes[section]+1) }
+// bumpVersion increments the version of a section that changed.
+func (s *State) bumpVersion(section string) {
+	s.sectionVersions = withEntry(s.sectionVersions, section, s.sectionVersions[section]+1)
+}
 
-// NameWeights takes a version of a model's weights; one that is not above the newest changes nothing.
+// NameWeights records that the operator named a new version of a model's weights. A version that is not above the newest is
+// ignored.
 func (s State) NameWeights(model string, version int64) (next State, changed bool) {
 	if version <= s.Weights[model] {
 		return s, false
 	}
 	next = s
-	next.Weights = with(s.Weights, model, version)
-	next.Named = with(s.Named, model, append(slices.Clone(s.Named[model]), weights.Naming{Version: version}))
-	next.changed(weightsSection)
+	next.Weights = withEntry(s.Weights, model, version)
+	next.Named = withEntry(s.Named, model, append(slices.Clone(s.Named[model]), weights.Naming{Version: version}))
+	next.bumpVersion(weightsSection)
 	return next, true
 }
 
-// AgeWeights notes how long ago versions of a model's weights were named, as a broker knows it. grace is how long a version
-// stands beside older ones.
+// AgeWeights merges the ages of a model's versions that a broker knows into the state. grace is how long after the naming of a
+// version requests may still be sent to older ones.
 func (s State) AgeWeights(model string, known []weights.Naming, grace time.Duration) State {
 	merged := weights.Merge(s.Named[model], known, grace)
 	if slices.Equal(merged, s.Named[model]) {
 		return s
 	}
 	next := s
-	next.Named = with(s.Named, model, merged)
-	next.changed(weightsSection)
+	next.Named = withEntry(s.Named, model, merged)
+	next.bumpVersion(weightsSection)
 	return next
 }
 
-// with is a copy of m that holds value under key.
-func with[V any](m map[string]V, key string, value V) map[string]V {
+// withEntry returns a copy of m with value stored under key.
+func withEntry[V any](m map[string]V, key string, value V) map[string]V {
 	out := make(map[string]V, len(m)+1)
 	maps.Copy(out, m)
 	out[key] = value
 	return out
 }
 
-// Acquire gives a lease to holder, or renews it. seen is the lease as holder last saw it: one that has been renewed
-// or has changed hands since is not taken away. fresh: the holder's process has not held it yet and gets a new token.
+// Acquire gives a lease to holder, or renews it. seen is the lease as holder last observed it; if another holder has renewed or
+// acquired it since, Acquire returns ErrHeld. fresh means that the holder's process has not held the lease yet and needs a new
+// token.
 func (s State) Acquire(role, holder string, seen Lease, fresh bool) (next State, err error) {
 	present := s.Leases[role]
 	if present.Holder != holder && present != seen {
@@ -172,7 +178,7 @@
 		lease.Token++
 	}
 	next = s
-	next.Leases = with(s.Leases, role, lease)
-	next.changed(leasesSection)
+	next.Leases = withEntry(s.Leases, role, lease)
+	next.bumpVersion(leasesSection)
 	return next, nil
 }
--- a/internal/controlstate/encoding.go
+++ b/internal/controlstate/encoding.go
@@ -13,29 +13,30 @@
 	"gullstair/internal/weights"
 )
 
-// The sections of a state.
+// Names of the sections of an encoded state.
 const (
-	configurationSection = "configuration" // as it is, under its own version
+	configurationSection = "configuration" // the operator's text, under the configuration's own version
 	ordersSection        = "orders"
 	weightsSection       = "weights"
 	leasesSection        = "leases"
 )
 
-// ErrMalformed says that a section cannot be read.
+// ErrMalformed means that a section cannot be decoded.
 var ErrMalformed = errors.New("malformed control state")
 
-// Encode writes a state in its one form. An empty state is no bytes.
+// Encode returns the canonical encoding of a state.
 func (s State) Encode() []byte {
 	list := []sections.Section{
 		{Name: configurationSection, Version: uint64(s.Version), Body: s.Config},
-		{Name: ordersSection, Version: s.changes[ordersSection], Body: s.encodeOrders()},
-		{Name: weightsSection, Version: s.changes[weightsSection], Body: s.encodeWeights()},
-		{Name: leasesSection, Version: s.changes[leasesSection], Body: s.encodeLeases()},
+		{Name: ordersSection, Version: s.sectionVersions[ordersSection], Body: s.encodeOrders()},
+		{Name: weightsSection, Version: s.sectionVersions[weightsSection], Body: s.encodeWeights()},
+		{Name: leasesSection, Version: s.sectionVersions[leasesSection], Body: s.encodeLeases()},
 	}
 	return sections.New(list...).Text()
 }
 
-// Decode reads a state; an empty payload is the state before the first change. The payload must not be changed afterwards.
+// Decode decodes a state. An empty payload is the state before the first change. The caller must not modify the payload
+// afterwards, because the state refers to it.
 func Decode(payload []byte) (State, error) {
 	s := State{Weights: map[string]int64{}, Leases: map[string]Lease{}}
 	if len(payload) == 0 {
@@ -45,7 +46,7 @@
 	if err != nil {
 		return State{}, errors.Wrap(err, "decode the control state")
 	}
-	s.changes = map[string]uint64{}
+	s.sectionVersions = map[string]uint64{}
 	for _, section := range document.Sections() {
 		in := &reader{rest: section.Body}
 		switch section.Name {
@@ -61,19 +62,19 @@
 		case leasesSection:
 			s.decodeLeases(in)
 		default:
-			in.rest = nil // of a later release
+			in.rest = nil // a section that a later release added
 		}
 		if in.failed || len(in.rest) > 0 {
 			return State{}, errors.Wrapf(ErrMalformed, "section %s", section.Name)
 		}
 		if section.Name != configurationSection {
-			s.changes[section.Name] = section.Version
+			s.sectionVersions[section.Name] = section.Version
 		}
 	}
 	return s, nil
 }
 
-// encodeOrders writes what is forgotten, then each order with the version that it was built on.
+// encodeOrders writes Forgotten, then each accepted order with its base version.
 func (s State) encodeOrders() []byte {
 	out := binary.AppendVarint(nil, s.Forgotten)
 	for at, digest := range s.Taken {
@@ -95,7 +96,7 @@
 	}
 }
 
-// encodeWeights writes each model's newest version and the versions whose time is running, by name.
+// encodeWeights writes each model's newest version and its named versions with their ages, sorted by model.
 func (s State) encodeWeights() []byte {
 	var out []byte
 	models := slices.Concat(slices.Collect(maps.Keys(s.Weights)), slices.Collect(maps.Keys(s.Named)))
@@ -127,7 +128,7 @@
 	}
 }
 
-// encodeLeases writes the leases by role.
+// encodeLeases writes the leases, sorted by role.
 func (s State) encodeLeases() []byte {
 	var out []byte
 	for _, role := range slices.Sorted(maps.Keys(s.Leases)) {
@@ -151,13 +152,14 @@
 	return append(binary.AppendUvarint(out, uint64(len(text))), text...)
 }
 
-// reader reads a section. Once something cannot be read all that follows is empty.
+// reader decodes the body of a section. After the first failure it sets failed, and the caller discards all values.
 type reader struct {
 	rest   []byte
 	failed bool
 }
 
-func (r *reader) take(size int) []byte {
+// next returns the next size bytes, or nil if there are not so many.
+func (r *reader) next(size int) []byte {
 	if r.failed || size < 0 || size > len(r.rest) {
 		r.failed = true
 		return nil
@@ -167,9 +169,9 @@
 	return out
 }
 
-// bytes reads so many; always as many are returned.
+// bytes returns the next size bytes, or size zero bytes if there are not so many, so that the result always has that length.
 func (r *reader) bytes(size int) []byte {
-	if out := r.take(size); out != nil {
+	if out := r.next(size); out != nil {
 		return out
 	}
 	return make([]byte, size)
@@ -181,7 +183,7 @@
 		r.failed = true
 		return 0
 	}
-	r.take(size)
+	r.next(size)
 	return n
 }
 
@@ -191,11 +193,11 @@
 		r.failed = true
 		return 0
 	}
-	r.take(size)
+	r.next(size)
 	return n
 }
 
-// count reads a number of things of which each takes a byte at least.
+// count reads a number of elements. Each element takes at least one byte, so a count above the remaining bytes is malformed.
 func (r *reader) count() int {
 	n := r.unsigned()
 	if n > uint64(len(r.rest)) {
@@ -211,5 +213,5 @@
 		r.failed = true
 		return ""
 	}
-	return string(r.take(int(size)))
+	return string(r.next(int(size)))
 }
--- a/internal/controlstate/packing.go
+++ b/internal/controlstate/packing.go
@@ -14,12 +14,12 @@
 	"gullstair/internal/weights"
 )
 
-// A state that is written to a disk, or sent whole, is packed: with its configuration compressed, and in the form of the releases
-// before sections, which read it so from a disk that this release has written, and from its calls.
+// A state that is written to disk or sent whole is packed: its configuration is compressed, and the encoding is the gob format of
+// the releases before sections. Those releases can therefore read it from a disk that this release wrote and from its messages.
 
-const mostConfig = 64 << 20 // bytes of a configuration
+const maxConfigSize = 64 << 20 // bytes of an uncompressed configuration
 
-// packed is a state in the form of earlier releases.
+// packed is the gob format of earlier releases. It travels between brokers and is stored under the names of its fields.
 type packed struct {
 	Version   int64
 	Config    []byte // compressed
@@ -29,17 +29,18 @@
 	Weights   map[string]int64
 	Named     map[string][]weights.Naming
 	Leases    map[string]Lease
-	Changes   map[string]uint64 // earlier releases pass over it and do not keep it
+	Changes   map[string]uint64 // versions of sections; earlier releases ignore it and do not keep it
 }
 
-// Packer packs payloads. It remembers the newest configuration that it has compressed: most changes are about something else.
+// Packer packs payloads of the register. It caches the newest compressed configuration, because most changes leave the
+// configuration as it is. It may be used by many goroutines at once.
 type Packer struct {
 	mu         sync.Mutex
-	sum        delta.Sum // of the configuration
+	sum        delta.Sum // of the cached configuration
 	compressed []byte
 }
 
-// Pack packs a payload. One that is no state stays as it is.
+// Pack packs a payload. It returns a payload that is not an encoded state unchanged.
 func (p *Packer) Pack(payload []byte) []byte {
 	if !sections.Is(payload) {
 		return payload
@@ -49,15 +50,15 @@
 		return payload
 	}
 	out := packed{Version: s.Version, Config: p.compress(s.Config), Taken: s.Taken, Bases: s.Bases, Forgotten: s.Forgotten, Weights: s.Weights,
-		Named: s.Named, Leases: s.Leases, Changes: s.changes}
+		Named: s.Named, Leases: s.Leases, Changes: s.sectionVersions}
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(out); err != nil {
-		panic(err) // its types are fixed
+		panic(err) // cannot happen: the types are fixed
 	}
 	return b.Bytes()
 }
 
-// Unpack reads what Pack, or an earlier release, has written. What is packed in no way stays as it is.
+// Unpack decodes what Pack or an earlier release wrote. It returns a text that is not packed unchanged.
 func (p *Packer) Unpack(text []byte) ([]byte, error) {
 	if len(text) == 0 || sections.Is(text) {
 		return text, nil
@@ -71,8 +72,8 @@
 		return nil, err
 	}
 	s := State{Version: in.Version, Config: config, Taken: in.Taken, Bases: in.Bases, Forgotten: in.Forgotten, Weights: in.Weights,
-		Named: in.Named, Leases: in.Leases, changes: in.Changes}
-	for len(s.Bases) < len(s.Taken) { // written before bases were kept: they count as built on the version in force then
+		Named: in.Named, Leases: in.Leases, sectionVersions: in.Changes}
+	for len(s.Bases) < len(s.Taken) { // written before bases were stored: these orders count as built on the version then in force
 		s.Bases = append(s.Bases, in.Version)
 	}
 	return s.Encode(), nil
@@ -91,7 +92,7 @@
 	var b bytes.Buffer
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
 	if err != nil {
-		panic(err) // the level is fixed
+		panic(err) // cannot happen: the level is fixed
 	}
 	if _, err := w.Write(config); err != nil {
 		panic(err) // writing to a buffer does not fail
@@ -107,6 +108,6 @@
 	if len(compressed) == 0 {
 		return nil, nil
 	}
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), mostConfig))
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), maxConfigSize))
 	return raw, errors.Wrap(err, "decompress the configuration")
 }
--- a/internal/controlstate/packing_test.go
+++ b/internal/controlstate/packing_test.go
@@ -13,8 +13,8 @@
 	"gullstair/internal/weights"
 )
 
-// drawState makes a state by changes as they come.
-func drawState(random *rand.Rand, changes int) State {
+// randomState returns a state after random changes.
+func randomState(random *rand.Rand, changes int) State {
 	s, _ := Decode(nil)
 	for range changes {
 		switch random.IntN(5) {
@@ -42,8 +42,8 @@
 	return s
 }
 
-// alike compares what states say.
-func alike(a, b State) bool {
+// equalStates reports whether two states have the same content.
+func equalStates(a, b State) bool {
 	same := a.Version == b.Version && bytes.Equal(a.Config, b.Config) && a.Forgotten == b.Forgotten && len(a.Taken) == len(b.Taken)
 	for at := range a.Taken {
 		same = same && a.Taken[at] == b.Taken[at] && a.Bases[at] == b.Bases[at]
@@ -51,64 +51,66 @@
 	return same && reflect.DeepEqual(a.Leases, b.Leases) && reflect.DeepEqual(a.Weights, b.Weights) && fmt.Sprint(a.Named) == fmt.Sprint(b.Named)
 }
 
-// TestWrittenAndRead draws states: each is read as it was written, packed or not, and has one form.
+// TestWrittenAndRead encodes and decodes random states, packed and unpacked. Each must come back equal and have a single
+// encoding.
 func TestWrittenAndRead(t *testing.T) {
 	random, packer := rand.New(rand.NewPCG(4, 4)), &Packer{}
 	for range 2000 {
-		s := drawState(random, random.IntN(40))
+		s := randomState(random, random.IntN(40))
 		text := s.Encode()
 		read, err := Decode(text)
-		if err != nil || !alike(s, read) || !bytes.Equal(read.Encode(), text) {
-			t.Fatalf("%+v is read as %+v, %v", s, read, err)
+		if err != nil || !equalStates(s, read) || !bytes.Equal(read.Encode(), text) {
+			t.Fatalf("%+v is decoded as %+v, error %v", s, read, err)
 		}
 		back, err := packer.Unpack(packer.Pack(text))
 		if err != nil || !bytes.Equal(back, text) {
-			t.Fatalf("%+v is unpacked as another state, %v", s, err)
+			t.Fatalf("%+v is unpacked as another state, error %v", s, err)
 		}
 	}
 	if text, err := packer.Unpack(nil); err != nil || text != nil || packer.Pack(nil) != nil {
-		t.Errorf("no state: %q, %v", text, err)
+		t.Errorf("an empty payload is unpacked as %q, error %v", text, err)
 	}
 	if _, err := packer.Unpack([]byte("neither")); err == nil {
-		t.Error("a text that is no state is unpacked")
+		t.Error("a text that is not an encoded state is unpacked without an error")
 	}
 }
 
-// TestSectionsOfChanges: a change writes its section, under a higher version, and no other.
+// TestSectionsOfChanges checks that a change rewrites only its own section and raises that section's version.
 func TestSectionsOfChanges(t *testing.T) {
-	before := drawState(rand.New(rand.NewPCG(8, 4)), 60)
+	before := randomState(rand.New(rand.NewPCG(8, 4)), 60)
 	named, _ := before.NameWeights("m0", 50)
 	renewed, _ := before.Acquire("role0", before.Leases["role0"].Holder, before.Leases["role0"], false)
 	replaced, _, _ := before.Replace(before.Version, before.Version+1, []byte("other"))
 	for what, c := range map[string]struct {
-		after State
-		wants map[string]bool
+		after   State
+		changed map[string]bool
 	}{
-		"weights named":             {named, map[string]bool{weightsSection: true}},
-		"a lease renewed":           {renewed, map[string]bool{leasesSection: true}},
-		"a configuration":           {replaced, map[string]bool{configurationSection: true, ordersSection: true}},
-		"ages that say nothing new": {before.AgeWeights("m0", nil, time.Second), map[string]bool{}},
+		"weights named":            {named, map[string]bool{weightsSection: true}},
+		"a lease renewed":          {renewed, map[string]bool{leasesSection: true}},
+		"a configuration":          {replaced, map[string]bool{configurationSection: true, ordersSection: true}},
+		"ages that change nothing": {before.AgeWeights("m0", nil, time.Second), map[string]bool{}},
 	} {
 		old, _ := sections.Parse(before.Encode())
 		next, _ := sections.Parse(c.after.Encode())
 		patch := sections.Diff(old, next)
 		for _, change := range patch.Changes {
-			if section, _ := old.Get(change.Name); !c.wants[change.Name] || change.Version <= section.Version {
-				t.Errorf("%s: %s from version %d to %d", what, change.Name, section.Version, change.Version)
+			if section, _ := old.Get(change.Name); !c.changed[change.Name] || change.Version <= section.Version {
+				t.Errorf("%s: section %s goes from version %d to %d", what, change.Name, section.Version, change.Version)
 			}
 		}
-		if len(patch.Changes) != len(c.wants) {
+		if len(patch.Changes) != len(c.changed) {
 			t.Errorf("%s: %d sections differ", what, len(patch.Changes))
 		}
 	}
 }
 
-// ofEarlierRelease was written by the release before sections: version 9, two orders, a model with versions 3 and 4, a lease.
-const ofEarlierRelease = "cX8DAQEFU3RhdGUB/4AAAQgBB1ZlcnNpb24BBAABBkNvbmZpZwEKAAEFVGFrZW4B/4QAAQVCYXNlcwH/hgABCUZvcmdvdHRlbgEEAAEHV2VpZ2h0cwH/iAABBU5hbWVkAf+OAAEGTGVhc2VzAf+SAAAAJP+DAgEBFVtdY29udHJvbHN0YXRlLkRpZ2VzdAH/hAAB/4IAABb/gQEBAQZEaWdlc3QB/4IAAQYBGAAAFf+FAgEBB1tdaW50NjQB/4YAAQQAACD/hwQBARBtYXBbc3RyaW5nXWludDY0Af+IAAEMAQQAACz/jQQBARttYXBbc3RyaW5nXVtdd2VpZ2h0cy5OYW1pbmcB/44AAQwB/4wAAA3/iwIBAv+MAAH/igAAKP+JAwEBBk5hbWluZwH/igABAgEHVmVyc2lvbgEEAAEDQWdlAQQAAAAu/5EEAQEdbWFwW3N0cmluZ11jb250cm9sc3RhdGUuTGVhc2UB/5IAAQwB/5AAAC3/jwMBAv+QAAEDAQZIb2xkZXIBDAABBVRva2VuAQYAAQdSZW5ld2FsAQYAAABy/4ABEgETqlYqSy0qzszPU7KyrAUEAAD//wECDP+7/7J4Yj//qf/EEzEHVv+PDP+tBP+e/+tU/+L/0/+f/5cf/6YHAQIABgIBAW0IAQEBbQIBBgH87msoAAABCAABAQl3ZWlnaHRzL20BAm4xAQIBAwAA"
+// earlierReleaseState was written by the release before sections: configuration version 9, two orders, a model with versions 3
+// and 4, and a lease.
+const earlierReleaseState = "cX8DAQEFU3RhdGUB/4AAAQgBB1ZlcnNpb24BBAABBkNvbmZpZwEKAAEFVGFrZW4B/4QAAQVCYXNlcwH/hgABCUZvcmdvdHRlbgEEAAEHV2VpZ2h0cwH/iAABBU5hbWVkAf+OAAEGTGVhc2VzAf+SAAAAJP+DAgEBFVtdY29udHJvbHN0YXRlLkRpZ2VzdAH/hAAB/4IAABb/gQEBAQZEaWdlc3QB/4IAAQYBGAAAFf+FAgEBB1tdaW50NjQB/4YAAQQAACD/hwQBARBtYXBbc3RyaW5nXWludDY0Af+IAAEMAQQAACz/jQQBARttYXBbc3RyaW5nXVtdd2VpZ2h0cy5OYW1pbmcB/44AAQwB/4wAAA3/iwIBAv+MAAH/igAAKP+JAwEBBk5hbWluZwH/igABAgEHVmVyc2lvbgEEAAEDQWdlAQQAAAAu/5EEAQEdbWFwW3N0cmluZ11jb250cm9sc3RhdGUuTGVhc2UB/5IAAQwB/5AAAC3/jwMBAv+QAAEDAQZIb2xkZXIBDAABBVRva2VuAQYAAQdSZW5ld2FsAQYAAABy/4ABEgETqlYqSy0qzszPU7KyrAUEAAD//wECDP+7/7J4Yj//qf/EEzEHVv+PDP+tBP+e/+tU/+L/0/+f/5cf/6YHAQIABgIBAW0IAQEBbQIBBgH87msoAAABCAABAQl3ZWlnaHRzL20BAm4xAQIBAwAA"
 
-// TestEarlierRelease reads what the release before sections has written, and writes what that reads.
+// TestEarlierRelease unpacks a state that the release before sections wrote.
 func TestEarlierRelease(t *testing.T) {
-	text, err := base64.StdEncoding.DecodeString(ofEarlierRelease)
+	text, err := base64.StdEncoding.DecodeString(earlierReleaseState)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -123,9 +125,9 @@
 	}
 	if s.Version != 9 || string(s.Config) != `{"version":9}` || len(s.Taken) != 2 || s.Bases[1] != 3 || s.Weights["m"] != 4 || len(s.Named["m"]) != 2 ||
 		s.Leases["weights/m"] != (Lease{Holder: "n1", Token: 2, Renewal: 3}) {
-		t.Errorf("read: %+v", s)
+		t.Errorf("decoded state: %+v", s)
 	}
 	if _, taken, err := s.Replace(0, 3, []byte(`{"version":3}`)); err != nil || !taken {
-		t.Errorf("an order that it had taken, sent again: %t, %v", taken, err)
+		t.Errorf("an order that the earlier release accepted, sent again: duplicate %t, error %v", taken, err)
 	}
 }
--- a/internal/planted/control.go
+++ b/internal/planted/control.go
@@ -65,7 +65,7 @@
 	{"control: the giver tells everybody by itself", relayFile, "	from, member := t.place(self)\n", "	from, member := t.place(self)\n	member = false\n", "", ""},
 	{"control: a value made from another than it is a patch on", announceFile, " || before.Value.Sequence != m.Chosen.From", "", "", ""},
 	{"control: a section is left out of the whole's sum", sectionsFile, "		hash.Write(d.sums[at][:])", "		_ = at", "", ""},
-	{"control: a section's version does not rise", stateFile, "s.changes[section]+1)", "s.changes[section])", "", ""},
+	{"control: a section's version does not rise", stateFile, "s.sectionVersions[section]+1)", "s.sectionVersions[section])", "", ""},
 	{"control: founded with other members", foundFile, "a.State.Value.Sequence > 0 || a.State.Value.Members.Equal(members)", "true", "", ""},
 }
 
