--- a/internal/sections/sections.go
+++ b/internal/sections/sections.go
@@ -1,7 +1,8 @@
-// Package sections is a document of named sections in a canonical form, and its changes section by section. Each section has a
-// version of its own; one sum names the whole, and is made of the sections' sums, so what did not change is not summed up again.
+// Package sections provides a document of named sections in a canonical encoding, and patches that carry only the sections that
+// changed. Each section has its own version. The digest of the document is computed from the digests of its sections, so an
+// unchanged section is not hashed again.
 //
-// The package has no I/O, clock or goroutine.
+// The package does no I/O, reads no clock and starts no goroutines.
 package sections
 
 import (
@@ -17,40 +18,41 @@
 )
 
 const (
-	magic       = "gss1" // what a document begins with
-	mostName    = 64     // bytes
-	mostSection = 64 << 20
+	magic          = "gss1" // first bytes of every document
+	maxNameSize    = 64     // bytes
+	maxSectionSize = 64 << 20
 )
 
-// ErrMalformed says that a text is no document, or not in its canonical form.
+// ErrMalformed means that a text is not a document, or is not in canonical form.
 var ErrMalformed = errors.New("not a document of sections")
 
-// ErrMismatch says that a patch was made from another document, or is damaged.
+// ErrMismatch means that a patch was made from another document, or is damaged.
 var ErrMismatch = errors.New("the patch of sections does not fit")
 
-// Section is one part of a document.
+// Section is a named part of a document with its own version.
 type Section struct {
 	Name    string
-	Version uint64 // rises with each change of the section
+	Version uint64 // increases with each change of the section
 	Body    []byte
 }
 
-// Document is a document as it is read. Nobody changes it.
+// Document is a parsed document with its encoding. It is immutable.
 type Document struct {
 	text     []byte
-	sections []Section // by name; bodies are parts of text
-	sums     []delta.Sum
-	sum      delta.Sum
+	sections []Section   // sorted by name; bodies are slices of text
+	sums     []delta.Sum // digest of each section's body
+	sum      delta.Sum   // digest of the document
 }
 
-// New makes a document of sections in any order.
+// New returns a document with the given sections, which may be in any order.
 func New(list ...Section) Document {
 	sorted := slices.Clone(list)
 	slices.SortFunc(sorted, func(a, b Section) int { return strings.Compare(a.Name, b.Name) })
 	return build(sorted, nil)
 }
 
-// build makes the canonical text of sorted sections. sums are those that are known, by place; nil: none.
+// build encodes sorted sections. sums holds the digests that are already known, by index, with zero values for the others; nil
+// means that none is known.
 func build(sorted []Section, sums []delta.Sum) Document {
 	size := len(magic) + binary.MaxVarintLen64
 	for _, s := range sorted {
@@ -73,12 +75,12 @@
 			d.sums = append(d.sums, delta.SumOf(s.Body))
 		}
 	}
-	d.sum = d.total()
+	d.sum = d.computeSum()
 	return d
 }
 
-// total is the sum of the whole: of the sections' names, versions and sums.
-func (d *Document) total() delta.Sum {
+// computeSum returns the digest of the document, which covers the names, versions and digests of its sections.
+func (d *Document) computeSum() delta.Sum {
 	hash := sha256.New()
 	for at, s := range d.sections {
 		head := binary.AppendUvarint([]byte(s.Name), 0)
@@ -89,23 +91,23 @@
 	return delta.Sum(hash.Sum(nil)[:len(delta.Sum{})])
 }
 
-// Is says whether a text begins as a document does.
+// IsDocument reports whether a text begins like an encoded document.
 func Is(text []byte) bool { return bytes.HasPrefix(text, []byte(magic)) }
 
-// Parse reads a document. The text must not be changed afterwards.
+// Parse decodes a document. The caller must not modify the text afterwards, because the document refers to it.
 func Parse(text []byte) (Document, error) {
 	if !Is(text) {
 		return Document{}, ErrMalformed
 	}
 	d := Document{text: text}
 	rest := text[len(magic):]
-	count, rest, err := number(rest)
+	count, rest, err := readUvarint(rest)
 	if err != nil {
 		return Document{}, err
 	}
 	for range count {
 		s := Section{}
-		if s, rest, err = section(rest); err != nil {
+		if s, rest, err = readSection(rest); err != nil {
 			return Document{}, err
 		}
 		if n := len(d.sections); n > 0 && d.sections[n-1].Name >= s.Name {
@@ -117,26 +119,27 @@
 	if len(rest) > 0 {
 		return Document{}, errors.Wrapf(ErrMalformed, "%d bytes too many", len(rest))
 	}
-	d.sum = d.total()
+	d.sum = d.computeSum()
 	return d, nil
 }
 
-func section(text []byte) (s Section, rest []byte, err error) {
-	name, rest, err := field(text, mostName)
+// readSection decodes a section and returns the bytes after it.
+func readSection(text []byte) (s Section, rest []byte, err error) {
+	name, rest, err := readField(text, maxNameSize)
 	if err != nil {
 		return s, nil, err
 	}
 	s.Name = string(name)
-	if s.Version, rest, err = number(rest); err != nil {
+	if s.Version, rest, err = readUvarint(rest); err != nil {
 		return s, nil, err
 	}
-	s.Body, rest, err = field(rest, mostSection)
+	s.Body, rest, err = readField(rest, maxSectionSize)
 	return s, rest, err
 }
 
-// field reads a length and as many bytes.
-func field(text []byte, most uint64) (body, rest []byte, err error) {
-	length, rest, err := number(text)
+// readField reads a length and a body of that length, at most `most` bytes.
+func readField(text []byte, most uint64) (body, rest []byte, err error) {
+	length, rest, err := readUvarint(text)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -146,8 +149,8 @@
 	return rest[:length:length], rest[length:], nil
 }
 
-// number reads a number in its shortest form.
-func number(text []byte) (n uint64, rest []byte, err error) {
+// readUvarint reads an unsigned varint and rejects any encoding but the shortest.
+func readUvarint(text []byte) (n uint64, rest []byte, err error) {
 	n, size := binary.Uvarint(text)
 	if size <= 0 || size > 1 && text[size-1] == 0 {
 		return 0, nil, errors.Wrap(ErrMalformed, "a number")
@@ -155,29 +158,30 @@
 	return n, text[size:], nil
 }
 
-// Text is the document in its canonical form.
+// Text returns the canonical encoding of the document.
 func (d Document) Text() []byte { return d.text }
 
-// Sum names the document.
+// Sum returns the digest of the document.
 func (d Document) Sum() delta.Sum { return d.sum }
 
-// Sections are its sections, by name.
+// Sections returns the sections, sorted by name.
 func (d Document) Sections() []Section { return d.sections }
 
-// Get returns a section.
+// Get returns the section with this name.
 func (d Document) Get(name string) (Section, bool) {
-	at, found := d.place(name)
+	at, found := d.find(name)
 	if !found {
 		return Section{}, false
 	}
 	return d.sections[at], true
 }
 
-func (d Document) place(name string) (int, bool) {
+// find returns the index of the section with this name.
+func (d Document) find(name string) (int, bool) {
 	return slices.BinarySearchFunc(d.sections, name, func(s Section, name string) int { return strings.Compare(s.Name, name) })
 }
 
-// Change is what becomes of one section.
+// Change is the change of one section: its removal, or its new version and the hunks that make its new body.
 type Change struct {
 	Name    string
 	Version uint64
@@ -185,18 +189,18 @@
 	Hunks   []delta.Hunk
 }
 
-// Patch makes one document from another. Sections that it does not name stay.
+// Patch turns one document into another. Sections that it does not name are unchanged.
 type Patch struct {
-	Base    delta.Sum // of what it is applied to
-	Result  delta.Sum // of what it makes
+	Base    delta.Sum // digest of the document that the patch applies to
+	Result  delta.Sum // digest of the document that the patch produces
 	Changes []Change
 }
 
-// Diff makes the patch from base to next.
+// Diff returns the patch that turns base into next.
 func Diff(base, next Document) Patch {
 	p := Patch{Base: base.sum, Result: next.sum}
 	for at, s := range next.sections {
-		before, known := base.place(s.Name)
+		before, known := base.find(s.Name)
 		if known && base.sections[before].Version == s.Version && base.sums[before] == next.sums[at] {
 			continue
 		}
@@ -209,14 +213,14 @@
 		p.Changes = append(p.Changes, c)
 	}
 	for _, s := range base.sections {
-		if _, stays := next.place(s.Name); !stays {
+		if _, stays := next.find(s.Name); !stays {
 			p.Changes = append(p.Changes, Change{Name: s.Name, Removed: true})
 		}
 	}
 	return p
 }
 
-// Size is about how many bytes the patch takes.
+// Size estimates the number of bytes of the encoded patch, before compression.
 func (p Patch) Size() int {
 	const hunk, change, sums = 12, 8, 2 * len(delta.Sum{})
 	size := sums
@@ -226,7 +230,8 @@
 	return size
 }
 
-// Apply makes the document that the patch says from its base.
+// Apply returns the document that the patch produces from base. It returns ErrMismatch if the digest of base or of the result
+// differs from the one in the patch.
 func (p Patch) Apply(base Document) (Document, error) {
 	if base.sum != p.Base {
 		return Document{}, ErrMismatch
@@ -235,7 +240,7 @@
 	var all []Section
 	known := map[string]delta.Sum{}
 	for _, c := range p.Changes {
-		if changed[c.Name] || len(c.Name) > mostName {
+		if changed[c.Name] || len(c.Name) > maxNameSize {
 			return Document{}, ErrMismatch
 		}
 		changed[c.Name] = true
@@ -244,7 +249,7 @@
 		}
 		before, _ := base.Get(c.Name)
 		body, err := delta.ApplyHunks(before.Body, c.Hunks)
-		if err != nil || len(body) > mostSection {
+		if err != nil || len(body) > maxSectionSize {
 			return Document{}, ErrMismatch
 		}
 		all = append(all, Section{Name: c.Name, Version: c.Version, Body: body})
--- a/internal/sections/sections_test.go
+++ b/internal/sections/sections_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-func draw(random *rand.Rand) Document {
+// randomDocument returns a document of up to four small sections.
+func randomDocument(random *rand.Rand) Document {
 	var list []Section
 	for at := range random.IntN(5) {
 		body := make([]byte, random.IntN(300))
@@ -21,8 +22,8 @@
 	return New(list...)
 }
 
-// changed makes a document of which some sections are others.
-func changed(random *rand.Rand, d Document) Document {
+// mutate returns a document in which some sections of d are changed, removed or added.
+func mutate(random *rand.Rand, d Document) Document {
 	list := slices.Clone(d.Sections())
 	for at := range list {
 		if random.IntN(3) == 0 && len(list[at].Body) > 0 {
@@ -39,15 +40,16 @@
 	return New(list...)
 }
 
-// TestPatches draws documents and changes: what is written is read again, and a patch makes the next one, in its canonical form.
+// TestPatches checks on random documents that the encoding is decoded again, that a patch produces the next document in canonical
+// form, and that it does not apply to another document.
 func TestPatches(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 7))
 	for range 5000 {
-		base := draw(random)
-		next := changed(random, base)
+		base := randomDocument(random)
+		next := mutate(random, base)
 		read, err := Parse(next.Text())
 		if err != nil || read.Sum() != next.Sum() || len(read.Sections()) != len(next.Sections()) {
-			t.Fatalf("read: %v, %+v", err, read)
+			t.Fatalf("the decoded document differs: error %v, document %+v", err, read)
 		}
 		patch, err := UnmarshalPatch(Diff(base, next).Marshal())
 		if err != nil {
@@ -55,32 +57,32 @@
 		}
 		made, err := patch.Apply(base)
 		if err != nil || !bytes.Equal(made.Text(), next.Text()) || made.Sum() != next.Sum() {
-			t.Fatalf("a patch makes another document: %v", err)
+			t.Fatalf("the patch produces another document: %v", err)
 		}
-		if other := draw(random); other.Sum() != base.Sum() {
+		if other := randomDocument(random); other.Sum() != base.Sum() {
 			if _, err := patch.Apply(other); err == nil {
-				t.Fatal("a patch is applied to another document")
+				t.Fatal("the patch applies to a document that is not its base")
 			}
 		}
 	}
 }
 
-// TestSectionsThatStay are not carried, whatever their size.
+// TestSectionsThatStay checks that a patch does not carry unchanged sections, however large they are.
 func TestSectionsThatStay(t *testing.T) {
 	large := Section{Name: "configuration", Version: 7, Body: bytes.Repeat([]byte("0123456789abcdef"), 1<<16)}
 	base := New(large, Section{Name: "leases", Version: 1, Body: []byte("one")})
 	next := New(large, Section{Name: "leases", Version: 2, Body: []byte("two")})
 	patch := Diff(base, next)
 	if len(patch.Changes) != 1 || patch.Size() > 100 {
-		t.Errorf("%d changes, %d bytes", len(patch.Changes), patch.Size())
+		t.Errorf("the patch has %d changes and %d bytes, want 1 change and at most 100 bytes", len(patch.Changes), patch.Size())
 	}
 	renumbered := New(Section{Name: "leases", Version: 9, Body: []byte("one")}, large)
 	if p := Diff(base, renumbered); len(p.Changes) != 1 || p.Result == base.Sum() {
-		t.Errorf("a section's version alone: %+v", p)
+		t.Errorf("a patch that only changes a section's version: %+v", p)
 	}
 }
 
-// TestDamagedPatches makes nothing of a patch that is damaged, or was made from another document.
+// TestDamagedPatches checks that a damaged patch, or one made from another document, does not apply.
 func TestDamagedPatches(t *testing.T) {
 	base := New(Section{Name: "a", Version: 1, Body: []byte("one two three")}, Section{Name: "b", Body: []byte("stays")})
 	next := New(Section{Name: "a", Version: 2, Body: []byte("one 2 three")}, Section{Name: "b", Body: []byte("stays")})
@@ -99,7 +101,7 @@
 		p := Diff(base, next)
 		damage(&p)
 		if made, err := p.Apply(base); err == nil {
-			t.Errorf("%s: made %q", name, made.Text())
+			t.Errorf("%s: the patch applies and produces %q", name, made.Text())
 		}
 	}
 }
@@ -108,18 +110,18 @@
 	whole := New(Section{Name: "a", Version: 3, Body: []byte("body")}, Section{Name: "b", Body: []byte("x")}).Text()
 	for at := range whole {
 		if _, err := Parse(whole[:at]); err == nil {
-			t.Errorf("%d of %d bytes are read", at, len(whole))
+			t.Errorf("a document cut off after %d of %d bytes is parsed", at, len(whole))
 		}
 	}
 	for name, text := range map[string]string{
-		"more behind it":    string(whole) + "x",
-		"unordered":         "gss1\x02\x01b\x00\x00\x01a\x00\x00",
-		"a name twice":      "gss1\x02\x01a\x00\x00\x01a\x00\x00",
-		"a longer number":   "gss1\x81\x00\x01a\x00\x00",
-		"a length too long": "gss1\x01\x01a\x00\xff\xff\xff\xff\x0f",
+		"trailing bytes":              string(whole) + "x",
+		"unordered":                   "gss1\x02\x01b\x00\x00\x01a\x00\x00",
+		"duplicate name":              "gss1\x02\x01a\x00\x00\x01a\x00\x00",
+		"number not in shortest form": "gss1\x81\x00\x01a\x00\x00",
+		"length beyond the end":       "gss1\x01\x01a\x00\xff\xff\xff\xff\x0f",
 	} {
 		if d, err := Parse([]byte(text)); err == nil {
-			t.Errorf("%s: %+v", name, d)
+			t.Errorf("%s: parsed as %+v", name, d)
 		}
 	}
 }
@@ -129,7 +131,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		d, err := Parse(text)
 		if err == nil && !bytes.Equal(New(d.Sections()...).Text(), text) {
-			t.Fatalf("%q has another canonical form", text)
+			t.Fatalf("%q is parsed but is not in canonical form", text)
 		}
 	})
 }
@@ -145,7 +147,7 @@
 			return
 		}
 		if made, err := p.Apply(base); err == nil && made.Sum() != p.Result {
-			t.Fatalf("%q makes another document", text)
+			t.Fatalf("%q produces a document with another digest", text)
 		}
 	})
 }
--- a/internal/sections/wire.go
+++ b/internal/sections/wire.go
@@ -11,21 +11,21 @@
 	"gullstair/internal/delta"
 )
 
-// A patch on the wire: a byte that says whether the rest is compressed, then the sums and the changes.
+// An encoded patch is a format byte, which says whether the rest is compressed, then the two digests and the changes.
 const (
-	plain          = 0
-	compressed     = 1
-	compressFrom   = 256 // bytes; shorter ones grow by it
-	mostPatch      = 128 << 20
-	mostChanges    = 1 << 10
-	mostHunks      = 1 << 20
-	removedSection = 1
+	formatPlain      = 0
+	formatCompressed = 1
+	minCompressSize  = 256 // bytes; compression makes shorter patches larger
+	maxPatchSize     = 128 << 20
+	maxChanges       = 1 << 10
+	maxHunks         = 1 << 20
+	removedSection   = 1
 )
 
-// Marshal writes the patch.
+// Marshal encodes the patch and compresses it if that makes it smaller.
 func (p Patch) Marshal() []byte {
 	out := make([]byte, 0, p.Size()+1)
-	out = append(out, plain)
+	out = append(out, formatPlain)
 	out = append(out, p.Base[:]...)
 	out = append(out, p.Result[:]...)
 	out = binary.AppendUvarint(out, uint64(len(p.Changes)))
@@ -46,14 +46,14 @@
 			out = append(out, h.Insert...)
 		}
 	}
-	if len(out) < compressFrom {
+	if len(out) < minCompressSize {
 		return out
 	}
 	var b bytes.Buffer
-	b.WriteByte(compressed)
+	b.WriteByte(formatCompressed)
 	w, err := flate.NewWriter(&b, flate.BestSpeed)
 	if err != nil {
-		panic(err) // the level is fixed
+		panic(err) // cannot happen: the level is fixed
 	}
 	if _, err := w.Write(out[1:]); err != nil {
 		panic(err) // writing to a buffer does not fail
@@ -67,15 +67,15 @@
 	return out
 }
 
-// UnmarshalPatch reads a patch.
+// UnmarshalPatch decodes a patch. It bounds the decompressed size and the numbers of changes and hunks.
 func UnmarshalPatch(text []byte) (Patch, error) {
-	if len(text) == 0 || text[0] != plain && text[0] != compressed {
+	if len(text) == 0 || text[0] != formatPlain && text[0] != formatCompressed {
 		return Patch{}, ErrMalformed
 	}
 	rest := text[1:]
-	if text[0] == compressed {
+	if text[0] == formatCompressed {
 		var err error
-		if rest, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(rest)), mostPatch)); err != nil {
+		if rest, err = io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(rest)), maxPatchSize)); err != nil {
 			return Patch{}, errors.Wrap(err, "decompress a patch")
 		}
 	}
@@ -84,13 +84,13 @@
 		return Patch{}, ErrMalformed
 	}
 	p := Patch{Base: delta.Sum(rest[:sums/2]), Result: delta.Sum(rest[sums/2 : sums])}
-	count, rest, err := number(rest[sums:])
-	if err != nil || count > mostChanges {
+	count, rest, err := readUvarint(rest[sums:])
+	if err != nil || count > maxChanges {
 		return Patch{}, ErrMalformed
 	}
 	for range count {
 		c := Change{}
-		if c, rest, err = change(rest); err != nil {
+		if c, rest, err = readChange(rest); err != nil {
 			return Patch{}, err
 		}
 		p.Changes = append(p.Changes, c)
@@ -101,13 +101,14 @@
 	return p, nil
 }
 
-func change(text []byte) (c Change, rest []byte, err error) {
-	name, rest, err := field(text, mostName)
+// readChange decodes the change of one section and returns the bytes after it.
+func readChange(text []byte) (c Change, rest []byte, err error) {
+	name, rest, err := readField(text, maxNameSize)
 	if err != nil {
 		return c, nil, err
 	}
 	c.Name = string(name)
-	if c.Version, rest, err = number(rest); err != nil {
+	if c.Version, rest, err = readUvarint(rest); err != nil {
 		return c, nil, err
 	}
 	if len(rest) == 0 || rest[0] > removedSection {
@@ -117,13 +118,13 @@
 	if c.Removed {
 		return c, rest, nil
 	}
-	count, rest, err := number(rest)
-	if err != nil || count > mostHunks {
+	count, rest, err := readUvarint(rest)
+	if err != nil || count > maxHunks {
 		return c, nil, ErrMalformed
 	}
 	for range count {
 		h := delta.Hunk{}
-		if h, rest, err = hunk(rest); err != nil {
+		if h, rest, err = readHunk(rest); err != nil {
 			return c, nil, err
 		}
 		c.Hunks = append(c.Hunks, h)
@@ -131,17 +132,18 @@
 	return c, rest, nil
 }
 
-func hunk(text []byte) (h delta.Hunk, rest []byte, err error) {
-	from, rest, err := number(text)
+// readHunk decodes a hunk and returns the bytes after it.
+func readHunk(text []byte) (h delta.Hunk, rest []byte, err error) {
+	from, rest, err := readUvarint(text)
 	if err != nil {
 		return h, nil, err
 	}
-	length, rest, err := number(rest)
-	if err != nil || from > mostSection || length > mostSection {
+	length, rest, err := readUvarint(rest)
+	if err != nil || from > maxSectionSize || length > maxSectionSize {
 		return h, nil, ErrMalformed
 	}
 	h.From, h.Length = int(from), int(length)
-	insert, rest, err := field(rest, mostSection)
+	insert, rest, err := readField(rest, maxSectionSize)
 	if len(insert) > 0 {
 		h.Insert = insert
 	}
