--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -1,7 +1,7 @@
-// Package delta describes a byte string by how it differs from one that the other side has: parts of that one, wherever they have
-// moved, and new bytes between. It fits values of which small parts change.
+// Package delta encodes a byte string as its difference from a base that the receiver has: copied ranges of the base, which may
+// have moved, and inserted bytes between them. It suits values of which small parts change.
 //
-// The package has no I/O, clock or goroutine.
+// The package does no I/O, reads no clock and starts no goroutines.
 package delta
 
 import (
@@ -10,16 +10,16 @@
 	"github.com/cockroachdb/errors"
 )
 
-const sumSize = 16 // bytes of SHA-256 that name a byte string
+const sumSize = 16 // bytes of SHA-256 that identify a byte string
 
-// Sum names a byte string.
+// Sum is a digest that identifies a byte string: its SHA-256 hash, truncated to 16 bytes.
 type Sum [sumSize]byte
 
-// SumOf names b.
+// SumOf returns the digest of b.
 func SumOf(b []byte) Sum {
 	whole := sha256.Sum256(b)
 	return Sum(whole[:sumSize])
 }
 
-// ErrMismatch says that a patch was made from another byte string, or is damaged.
+// ErrMismatch means that hunks were made from another base, or are damaged.
 var ErrMismatch = errors.New("the patch does not fit")
--- a/internal/delta/hunks.go
+++ b/internal/delta/hunks.go
@@ -5,32 +5,32 @@
 	"slices"
 )
 
-// Hunk copies a part of the base and adds bytes behind it.
+// Hunk copies a range of the base and appends the inserted bytes after it.
 type Hunk struct {
-	From   int // in the base
+	From   int // offset in the base
 	Length int
 	Insert []byte
 }
 
 const (
-	leastBlock = 32      // bytes that must be alike for a part to be copied from elsewhere in the base
-	mostBlocks = 1 << 14 // of the base that are looked up: in a large one blocks are larger
-	hashPrime  = 0x9e3779b97f4a7c15
+	minBlockSize = 32      // bytes; shortest match that is copied from elsewhere in the base
+	maxBlocks    = 1 << 14 // blocks of the base that are indexed; a large base has larger blocks
+	hashPrime    = 0x9e3779b97f4a7c15
 )
 
-// Hunks makes the hunks that make next from base. What both begin and end with costs nothing to find; between, parts of the base
-// are found wherever they have moved.
+// Hunks returns the hunks that turn base into next. It first takes off the common prefix and suffix, which are cheap to find, and
+// then looks for ranges of the base that have moved in the middle.
 func Hunks(base, next []byte) []Hunk {
 	prefix := commonPrefix(base, next)
 	suffix := commonSuffix(base[prefix:], next[prefix:])
-	hunks := between(base[:len(base)-suffix], next[prefix:len(next)-suffix], prefix)
+	hunks := hunksBetween(base[:len(base)-suffix], next[prefix:len(next)-suffix], prefix)
 	if suffix > 0 {
 		hunks = append(hunks, Hunk{From: len(base) - suffix, Length: suffix})
 	}
-	return trimmed(hunks)
+	return withoutEmptyHunks(hunks)
 }
 
-// ApplyHunks makes what the hunks say from base.
+// ApplyHunks returns the byte string that the hunks produce from base, or ErrMismatch if a hunk exceeds the base.
 func ApplyHunks(base []byte, hunks []Hunk) ([]byte, error) {
 	size := 0
 	for _, h := range hunks {
@@ -47,7 +47,7 @@
 	return next, nil
 }
 
-// Inserted is how many bytes hunks carry.
+// InsertedBytes returns the number of bytes that the hunks insert.
 func Inserted(hunks []Hunk) (bytes int) {
 	for _, h := range hunks {
 		bytes += len(h.Insert)
@@ -75,14 +75,15 @@
 	return most
 }
 
-// between makes hunks for rest, which follows what both begin with, from the base.
-func between(base, rest []byte, prefix int) []Hunk {
+// hunksBetween returns the hunks for the middle of the new text: first the common prefix of the given length, then rest, which
+// follows it, as copies from the base and insertions.
+func hunksBetween(base, rest []byte, prefix int) []Hunk {
 	hunks := []Hunk{{Length: prefix}}
-	blocks := indexOf(base[prefix:])
-	window := newRolling(blocks.size)
-	begin := 0 // of what no hunk has yet
+	blocks := newBlockIndex(base[prefix:])
+	window := newRollingHash(blocks.size)
+	begin := 0 // start of the part of rest that no hunk covers yet
 	for at := 0; at+blocks.size <= len(rest); {
-		from, found := blocks.find(window.at(rest, at), rest[at:])
+		from, found := blocks.find(window.hashAt(rest, at), rest[at:])
 		if !found {
 			at++
 			continue
@@ -99,72 +100,74 @@
 	return hunks
 }
 
-// blocks are the places of a text's blocks, by their hash.
-type blocks struct {
-	size  int
-	text  []byte
-	first map[uint64]int
+// blockIndex maps the hash of each block of a text to the offset of the first such block.
+type blockIndex struct {
+	size    int
+	text    []byte
+	offsets map[uint64]int
 }
 
-func indexOf(text []byte) blocks {
-	size := leastBlock
-	for len(text)/size > mostBlocks {
+// newBlockIndex splits a text into at most maxBlocks blocks of equal size and indexes them.
+func newBlockIndex(text []byte) blockIndex {
+	size := minBlockSize
+	for len(text)/size > maxBlocks {
 		size *= 2
 	}
-	b := blocks{size: size, text: text, first: make(map[uint64]int, len(text)/size)}
-	window := newRolling(size)
+	b := blockIndex{size: size, text: text, offsets: make(map[uint64]int, len(text)/size)}
+	window := newRollingHash(size)
 	for at := 0; at+size <= len(text); at += size {
-		hash := window.fresh(text[at : at+size])
-		if _, known := b.first[hash]; !known {
-			b.first[hash] = at
+		hash := window.hashOf(text[at : at+size])
+		if _, known := b.offsets[hash]; !known {
+			b.offsets[hash] = at
 		}
 	}
 	return b
 }
 
-// find looks for the block that a text begins with.
-func (b blocks) find(hash uint64, text []byte) (from int, found bool) {
-	from, found = b.first[hash]
+// find returns the offset of an indexed block with this hash that equals the beginning of text.
+func (b blockIndex) find(hash uint64, text []byte) (from int, found bool) {
+	from, found = b.offsets[hash]
 	return from, found && bytes.Equal(b.text[from:from+b.size], text[:b.size])
 }
 
-// rolling is a polynomial hash of a window that moves over a text byte by byte.
-type rolling struct {
+// rollingHash is a polynomial hash of a window that moves over a text byte by byte.
+type rollingHash struct {
 	size  int
-	power uint64 // of the byte that leaves
+	power uint64 // factor of the byte that leaves the window
 	hash  uint64
-	next  int // where hash is of the window that begins here
-	known bool
+	next  int  // start of the window that follows the hashed one
+	known bool // hash is valid
 }
 
-func newRolling(size int) *rolling {
-	r := &rolling{size: size, power: 1}
+func newRollingHash(size int) *rollingHash {
+	r := &rollingHash{size: size, power: 1}
 	for range size - 1 {
 		r.power *= hashPrime
 	}
 	return r
 }
 
-func (r *rolling) fresh(window []byte) (hash uint64) {
+// hashOf computes the hash of a window from its bytes.
+func (r *rollingHash) hashOf(window []byte) (hash uint64) {
 	for _, c := range window {
 		hash = hash*hashPrime + uint64(c) + 1
 	}
 	return hash
 }
 
-// at is the hash of the window that begins at a place; cheap where that is one after the last.
-func (r *rolling) at(text []byte, place int) uint64 {
+// hashAt returns the hash of the window that starts at an offset. It is cheap if the previous call was for the offset before.
+func (r *rollingHash) hashAt(text []byte, place int) uint64 {
 	if r.known && place == r.next {
 		left, entered := text[place-1], text[place+r.size-1]
 		r.hash = (r.hash-(uint64(left)+1)*r.power)*hashPrime + uint64(entered) + 1
 	} else {
-		r.hash = r.fresh(text[place : place+r.size])
+		r.hash = r.hashOf(text[place : place+r.size])
 	}
 	r.known, r.next = true, place+1
 	return r.hash
 }
 
-// trimmed leaves out hunks that say nothing.
-func trimmed(hunks []Hunk) []Hunk {
+// withoutEmptyHunks removes hunks that copy and insert nothing.
+func withoutEmptyHunks(hunks []Hunk) []Hunk {
 	return slices.DeleteFunc(hunks, func(h Hunk) bool { return h.Length == 0 && len(h.Insert) == 0 })
 }
--- a/internal/delta/hunks_test.go
+++ b/internal/delta/hunks_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// configurationLike makes a text like a configuration, of many lines that are alike in part.
+// configurationLike returns a text that resembles a configuration: many lines with common parts.
 func configurationLike(random *rand.Rand, lines int) []byte {
 	var b strings.Builder
 	for range lines {
@@ -18,8 +18,8 @@
 	return []byte(b.String())
 }
 
-// edited puts in, takes out, moves or changes a part of a text.
-func edited(random *rand.Rand, text []byte) []byte {
+// randomEdit inserts, removes, moves or replaces a part of a text.
+func randomEdit(random *rand.Rand, text []byte) []byte {
 	at := random.IntN(len(text) + 1)
 	to := min(len(text), at+random.IntN(60))
 	switch random.IntN(4) {
@@ -30,7 +30,7 @@
 	case 2:
 		return slices.Concat(text[:at], []byte("?"), text[to:])
 	}
-	return slices.Concat(text[to:], text[:at], text[at:to]) // the front goes to the end
+	return slices.Concat(text[to:], text[:at], text[at:to]) // moves the beginning to the end
 }
 
 func TestHunksMakeTheNext(t *testing.T) {
@@ -39,16 +39,17 @@
 		base := configurationLike(random, random.IntN(60))
 		next := slices.Clone(base)
 		for range random.IntN(5) {
-			next = edited(random, next)
+			next = randomEdit(random, next)
 		}
 		made, err := ApplyHunks(base, Hunks(base, next))
 		if err != nil || !bytes.Equal(made, next) {
-			t.Fatalf("%q from %q: %q, %v", next, base, made, err)
+			t.Fatalf("hunks for %q from base %q produce %q, error %v", next, base, made, err)
 		}
 	}
 }
 
-// TestHunksOfFewChanges changes a number at the front and one line in the middle of a large text: little is carried.
+// TestHunksOfFewChanges checks that the hunks stay small when a number at the beginning and one line in the middle of a large text
+// change.
 func TestHunksOfFewChanges(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 9))
 	for _, lines := range []int{20, 350, 100_000} {
@@ -57,10 +58,10 @@
 		next := slices.Concat([]byte(`{"version":18,`), base[14:middle], []byte("changed"), base[middle+3:])
 		hunks := Hunks(base, next)
 		if carried := Inserted(hunks); carried > 200 || len(hunks) > 5 {
-			t.Errorf("%d lines, %d bytes: %d bytes in %d hunks", lines, len(base), carried, len(hunks))
+			t.Errorf("%d lines, %d bytes: %d bytes inserted in %d hunks", lines, len(base), carried, len(hunks))
 		}
 		if made, err := ApplyHunks(base, hunks); err != nil || !bytes.Equal(made, next) {
-			t.Errorf("%d lines: another text is made, %v", lines, err)
+			t.Errorf("%d lines: the hunks produce another text, error %v", lines, err)
 		}
 	}
 }
@@ -69,11 +70,11 @@
 	base := []byte("0123456789")
 	for _, h := range []Hunk{{From: -1, Length: 1}, {From: 0, Length: 11}, {From: 11}, {From: 5, Length: -1}, {From: 9, Length: 1 << 62}} {
 		if made, err := ApplyHunks(base, []Hunk{h}); err == nil {
-			t.Errorf("%+v makes %q", h, made)
+			t.Errorf("%+v is out of range but produces %q", h, made)
 		}
 	}
 	if hunks := Hunks(base, nil); len(hunks) != 0 {
-		t.Errorf("nothing takes %v", hunks)
+		t.Errorf("an empty text has hunks %v", hunks)
 	}
 }
 
@@ -81,7 +82,7 @@
 	f.Add([]byte("abcdefghijklmnopqrstuvwxyzabcdefghijklmnopqrstuvwxyz"), []byte("xyzabcdefghijklmnopqrstuvwxyzabcdefghijklmnopqrstuvw"))
 	f.Fuzz(func(t *testing.T, base, next []byte) {
 		if made, err := ApplyHunks(base, Hunks(base, next)); err != nil || !bytes.Equal(made, next) {
-			t.Fatalf("%q from %q: %q, %v", next, base, made, err)
+			t.Fatalf("hunks for %q from base %q produce %q, error %v", next, base, made, err)
 		}
 	})
 }
