--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -1,6 +1,8 @@
-// Package weights keeps which versions of models' weights have been named and since when, and says on which of them work
-// may still begin. Each version has a bound of its own: that a newer one is named, or that a process starts or learns late,
-// gives older weights no more time. It has no I/O, clock or goroutine; a ledger may be used by many goroutines at once.
+// Package weights records which versions of models' weights the operator has named and when, and says which versions may still
+// start work. Once a version is named, work may start on older ones only for a bounded time. Each version has its own bound: older
+// weights get no more time when a newer version is named, when a process starts, or when a process learns of a version late.
+//
+// The package does no I/O, reads no clock and starts no goroutines. A Ledger may be used by many goroutines at once.
 package weights
 
 import (
@@ -11,25 +13,26 @@
 )
 
 const (
-	// stopBefore is how long before the bound requests stop going to older weights, so that those on their way begin in time.
-	stopBefore = 900 * time.Millisecond
-	// recallBefore is how long before the bound a request that waits at an instance with older weights is taken back. A
-	// broker may have learned of a version so long after its acknowledgement.
-	recallBefore = 400 * time.Millisecond
+	// sendMargin is how long before the bound a broker stops sending requests to older weights, so that requests on their way
+	// still start in time.
+	sendMargin = 900 * time.Millisecond
+	// recallMargin is how long before the bound a broker recalls a request that is queued at an instance with older weights. It
+	// covers the time between the acknowledgement of a version and the moment when a broker learns of it.
+	recallMargin = 400 * time.Millisecond
 )
 
-// Naming is a version of a model's weights that was named, and how long ago that was, at least.
+// Naming is a version of a model's weights that the operator named, with a lower bound on the time since then.
 type Naming struct {
 	Version int64
 	Age     time.Duration
 }
 
-// Grace is how long after a version was named requests may be sent to instances with older weights. bound is how long
-// after its acknowledgement work may begin on them.
-func Grace(bound time.Duration) time.Duration { return max(0, bound-stopBefore) }
+// Grace returns how long after a version was named requests may be sent to instances with older weights. bound is how long after
+// the version's acknowledgement work may start on them.
+func Grace(bound time.Duration) time.Duration { return max(0, bound-sendMargin) }
 
-// Merge joins what two brokers know of the versions of one model. It returns the newest whose grace has passed, and all
-// above it, by version.
+// Merge combines what two brokers know of the versions of one model; the greater age wins. It returns the newest version whose
+// grace period has passed and all versions above it, sorted by version. The result does not depend on the order of merges.
 func Merge(a, b []Naming, grace time.Duration) []Naming {
 	var out []Naming
 	for _, n := range slices.Concat(a, b) {
@@ -48,101 +51,107 @@
 	return out
 }
 
-// Ledger knows the versions that have been named, by model.
+// Ledger records the versions that have been named, by model.
 type Ledger struct {
 	bound time.Duration
 
 	mu     sync.Mutex
-	models map[string][]naming // the oldest version first
+	models map[string][]namedVersion // sorted by version, oldest first
 }
 
-// naming is a version with the moment at which it was named, or a later one at which that was certain.
-type naming struct {
+// namedVersion is a version with the latest time at which it can have been named.
+type namedVersion struct {
 	version int64
-	at      time.Time
+	namedAt time.Time
 }
 
-// New makes a ledger that knows no version. bound is how long after a version's acknowledgement work may begin on older ones.
-func New(bound time.Duration) *Ledger { return &Ledger{bound: bound, models: map[string][]naming{}} }
+// New returns an empty ledger. bound is how long after a version's acknowledgement work may start on older versions.
+func New(bound time.Duration) *Ledger {
+	return &Ledger{bound: bound, models: map[string][]namedVersion{}}
+}
 
-// Learn takes the versions of one model as the register has them: the newest, and those that Merge returned. A newest one
-// that is not among those was named long ago. It returns the versions that are news here. What is known of a version's age is
-// never taken back.
-func (l *Ledger) Learn(now time.Time, model string, newest int64, named []Naming) (news []int64) {
+// Learn merges the versions of one model that the register holds: the newest, and the result of the register's own Merge. If named
+// does not contain the newest version, that version was named long ago. Learn returns the versions that are new to the ledger. A
+// version's recorded age never decreases.
+func (l *Ledger) Learn(now time.Time, model string, newest int64, named []Naming) (added []int64) {
 	if !slices.ContainsFunc(named, func(n Naming) bool { return n.Version == newest }) {
 		named = append(slices.Clone(named), Naming{Version: newest, Age: l.bound})
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	before := l.named(now, model)
-	var next []naming
+	before := l.namedLocked(now, model)
+	var next []namedVersion
 	for _, n := range Merge(before, named, Grace(l.bound)) {
-		next = append(next, naming{n.Version, now.Add(-n.Age)})
+		next = append(next, namedVersion{n.Version, now.Add(-n.Age)})
 		if !slices.ContainsFunc(before, func(b Naming) bool { return b.Version == n.Version }) {
-			news = append(news, n.Version)
+			added = append(added, n.Version)
 		}
 	}
 	l.models[model] = next
-	return news
+	return added
 }
 
-// Named returns what is known of a model's versions, as Merge takes it.
+// Named returns the recorded versions of a model with their ages, as input for Merge.
 func (l *Ledger) Named(now time.Time, model string) []Naming {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.named(now, model)
+	return l.namedLocked(now, model)
 }
 
-// named returns what is known of a model's versions; l.mu is held.
-func (l *Ledger) named(now time.Time, model string) []Naming {
+// namedLocked is Named for callers that hold l.mu.
+func (l *Ledger) namedLocked(now time.Time, model string) []Naming {
 	var out []Naming
 	for _, n := range l.models[model] {
-		out = append(out, Naming{n.version, now.Sub(n.at)})
+		out = append(out, Naming{n.version, now.Sub(n.namedAt)})
 	}
 	return out
 }
 
-// Settled says whether the register, which has these namings, knows of each version whose grace has passed here that it has.
+// Settled reports whether the register, which holds these namings, has recorded the end of each grace period that has passed by this
+// ledger. If it has not, the ages in the register need an update.
 func (l *Ledger) Settled(now time.Time, model string, named []Naming) bool {
-	for _, here := range l.Named(now, model) {
-		late := func(there Naming) bool { return there.Version == here.Version && there.Age < Grace(l.bound) }
-		if here.Age >= Grace(l.bound) && slices.ContainsFunc(named, late) {
+	for _, local := range l.Named(now, model) {
+		behind := func(registered Naming) bool {
+			return registered.Version == local.Version && registered.Age < Grace(l.bound)
+		}
+		if local.Age >= Grace(l.bound) && slices.ContainsFunc(named, behind) {
 			return false
 		}
 	}
 	return true
 }
 
-// Oldest is the oldest version that a request may be sent to now.
+// MinVersion returns the oldest version that a request may be sent to now.
 func (l *Ledger) Oldest(now time.Time, model string) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	oldest := int64(1)
 	for _, n := range l.models[model] {
-		if now.Sub(n.at) >= Grace(l.bound) {
+		if now.Sub(n.namedAt) >= Grace(l.bound) {
 			oldest = max(oldest, n.version)
 		}
 	}
 	return oldest
 }
 
-// Since is when the first version above this one was named; zero: none has been.
+// Since returns when the first version above this one was named, or the zero time if there is no newer version.
 func (l *Ledger) Since(model string, version int64) (since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, n := range l.models[model] {
-		if n.version > version && (since.IsZero() || n.at.Before(since)) {
-			since = n.at
+		if n.version > version && (since.IsZero() || n.namedAt.Before(since)) {
+			since = n.namedAt
 		}
 	}
 	return since
 }
 
-// BeginBy is when a request must have begun that is sent to an instance with this version; zero: it has no newer one.
+// StartDeadline returns when a request that is sent to an instance with this version must have started, or the zero time if there
+// is no newer version.
 func (l *Ledger) BeginBy(model string, version int64) time.Time {
 	since := l.Since(model, version)
 	if since.IsZero() {
 		return since
 	}
-	return since.Add(l.bound - recallBefore)
+	return since.Add(l.bound - recallMargin)
 }
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -14,7 +14,8 @@
 
 func at(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
 
-// TestEachVersionHasItsBound names versions each 3 s, faster than the bound of any passes.
+// TestEachVersionHasItsBound names a version every 3 s, which is shorter than the bound, and checks that each version's bound still
+// runs from its own naming.
 func TestEachVersionHasItsBound(t *testing.T) {
 	l := New(bound)
 	var named []Naming
@@ -27,56 +28,57 @@
 			newest++
 			named = append(named, Naming{Version: newest})
 			if news := l.Learn(at(float64(3*(newest-2))), "m", newest, named[newest-2:]); !slices.Equal(news, []int64{newest}) {
-				t.Errorf("news with version %d: %v", newest, news)
+				t.Errorf("Learn of version %d returned %v as new", newest, news)
 			}
 		}
 		if got := l.Oldest(at(c.at), "m"); got != c.oldest {
-			t.Errorf("after %v s the oldest is %d, not %d", c.at, got, c.oldest)
+			t.Errorf("after %v s the oldest allowed version is %d, want %d", c.at, got, c.oldest)
 		}
 		if by := l.BeginBy("m", 1); c.at < 5.1 && !by.Equal(at(5.6)) {
-			t.Errorf("after %v s work on version 1 must begin by %v", c.at, by.Sub(start))
+			t.Errorf("after %v s the start deadline on version 1 is %v, want 5.6s", c.at, by.Sub(start))
 		}
 	}
 	if got := l.Oldest(at(100), "another"); got != 1 {
-		t.Errorf("of a model without a version: %d", got)
+		t.Errorf("a model without a named version: oldest allowed version is %d", got)
 	}
 	if by := l.BeginBy("m", 6); !by.IsZero() {
-		t.Errorf("work on the newest must begin by %v", by.Sub(start))
+		t.Errorf("the newest version has a start deadline of %v", by.Sub(start))
 	}
 }
 
-// TestAStartDoesNotAddTime has a process that starts learn what the register has; what is told later only makes it older.
+// TestAStartDoesNotAddTime checks that a process that starts takes the ages from the register, and that a later report with lower
+// ages does not give older weights more time.
 func TestAStartDoesNotAddTime(t *testing.T) {
 	l := New(bound)
 	l.Learn(at(10), "m", 3, []Naming{{2, 7 * time.Second}, {3, 4 * time.Second}})
 	if l.Oldest(at(10), "m") != 2 || l.Oldest(at(11.2), "m") != 3 {
-		t.Errorf("oldest %d and then %d", l.Oldest(at(10), "m"), l.Oldest(at(11.2), "m"))
+		t.Errorf("oldest allowed version %d and then %d, want 2 and 3", l.Oldest(at(10), "m"), l.Oldest(at(11.2), "m"))
 	}
 	l.Learn(at(10), "m", 3, []Naming{{2, 0}, {3, 0}})
 	if l.Oldest(at(11.2), "m") != 3 {
-		t.Error("an age was taken back")
+		t.Error("the age of a version decreased")
 	}
 	fresh := New(bound)
 	if fresh.Learn(at(0), "m", 4, nil); fresh.Oldest(at(0), "m") != 4 {
-		t.Error("a version that the register does not date was named long ago")
+		t.Error("a version without an age in the register must count as named long ago")
 	}
 }
 
-// TestSettled checks when the register has to be told that the time of older weights is over.
+// TestSettled checks that Settled asks for an update of the register once, when a grace period has passed.
 func TestSettled(t *testing.T) {
 	l := New(bound)
 	named := []Naming{{Version: 2}}
 	l.Learn(at(0), "m", 2, named)
 	if !l.Settled(at(5), "m", named) || l.Settled(at(5.2), "m", named) {
-		t.Error("before the time is over there is nothing to tell, and after it there is")
+		t.Error("the register must be settled before the grace period has passed and not after it")
 	}
 	named = Merge(named, l.Named(at(5.2), "m"), Grace(bound))
 	if !l.Settled(at(60), "m", named) || !l.Settled(at(60), "m", nil) {
-		t.Error("it is told again and again")
+		t.Error("the register is not settled although it has recorded the end of the grace period")
 	}
 }
 
-// TestMerge checks that it does not matter in which order or how often ages are joined.
+// TestMerge checks that the result does not depend on the order or number of merges.
 func TestMerge(t *testing.T) {
 	namings := rapid.Custom(func(t *rapid.T) []Naming {
 		var out []Naming
@@ -92,28 +94,29 @@
 		merge := func(x, y []Naming) []Naming { return Merge(x, y, Grace(bound)) }
 		one, other := merge(merge(a, b), c), merge(c, merge(b, a))
 		if !slices.Equal(one, other) || !slices.Equal(merge(one, one), one) || !slices.Equal(merge(one, a), one) {
-			t.Fatalf("%v, %v", one, other)
+			t.Fatalf("merges in another order differ: %v, %v", one, other)
 		}
 		for at, n := range one {
 			if at > 0 && (n.Version <= one[at-1].Version || n.Age >= Grace(bound)) {
-				t.Fatalf("kept: %v", one)
+				t.Fatalf("the result has unsorted or superfluous versions: %v", one)
 			}
 		}
 	})
 }
 
-// TestHistories draws histories of a fleet: versions are named at any moment, brokers renew what the register knows, start
-// again, and learn late. No broker ever takes a version for older than it is; one that lived through a naming never sends to
-// older weights after its grace; nor does one that started since, once the register was told that the grace is over.
+// TestHistories runs random histories of a fleet: versions are named at any time, and brokers update the ages in the register,
+// restart, and learn of versions late. No broker may end a grace period early. A broker that was running when a version was named
+// must not send to older weights after the grace period, nor may one that started after the register recorded the end of that
+// period.
 func TestHistories(t *testing.T) {
 	const model, brokers = "m", 4
 	rapid.Check(t, func(t *rapid.T) {
 		now := start
-		var register, truth []Naming // truth: Age from start to the naming
+		var register, truth []Naming // in truth, Age is the time from start to the naming
 		newest := int64(0)
 		ledgers := make([]*Ledger, brokers)
-		since := make([]time.Time, brokers) // of the process
-		settled := map[int64]time.Time{}    // when the register was told that a version's grace is over
+		since := make([]time.Time, brokers) // start of each broker's process
+		settled := map[int64]time.Time{}    // when the register recorded that a version's grace period had passed
 		for i := range ledgers {
 			ledgers[i], since[i] = New(bound), now
 		}
@@ -125,7 +128,7 @@
 				newest++
 				register = append(slices.Clone(register), Naming{Version: newest})
 				truth = append(truth, Naming{newest, now.Sub(start)})
-				for i := range ledgers { // a naming is acknowledged when those in touch know it
+				for i := range ledgers { // a naming is acknowledged once all reachable brokers know it
 					ledgers[i].Learn(now, model, newest, register)
 				}
 			case "renew":
@@ -143,21 +146,21 @@
 				}
 			}
 			for _, n := range register {
-				if _, told := settled[n.Version]; !told && n.Age >= Grace(bound) {
+				if _, known := settled[n.Version]; !known && n.Age >= Grace(bound) {
 					settled[n.Version] = now
 				}
 			}
 			for i, l := range ledgers {
 				oldest := l.Oldest(now, model)
 				for _, n := range truth {
-					over := now.Sub(start.Add(n.Age)) >= Grace(bound)
-					told, isTold := settled[n.Version]
-					lived := !since[i].After(start.Add(n.Age))
-					if oldest == n.Version && n.Version > 1 && !over {
-						t.Fatalf("broker %d takes version %d for older than it is", i, n.Version)
+					gracePassed := now.Sub(start.Add(n.Age)) >= Grace(bound)
+					settledAt, isSettled := settled[n.Version]
+					sawNaming := !since[i].After(start.Add(n.Age))
+					if oldest == n.Version && n.Version > 1 && !gracePassed {
+						t.Fatalf("broker %d ends the grace period of version %d early", i, n.Version)
 					}
-					if over && oldest < n.Version && (lived || isTold && since[i].After(told)) {
-						t.Fatalf("broker %d sends to %d after the grace of %d", i, oldest, n.Version)
+					if gracePassed && oldest < n.Version && (sawNaming || isSettled && since[i].After(settledAt)) {
+						t.Fatalf("broker %d sends to version %d after the grace period of version %d", i, oldest, n.Version)
 					}
 				}
 			}
