--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -1,5 +1,5 @@
-// Package rollout brings the instances of a service to a new version of a model's weights: which of them are ordered
-// now, and which are asked whether they are done. It has no I/O, clock or goroutine.
+// Package rollout plans how the instances of a service load a new version of a model's weights: which instances are ordered to load
+// it now, and which are polled for completion. The package does no I/O, reads no clock and starts no goroutines.
 package rollout
 
 import (
@@ -11,31 +11,32 @@
 	"gullstair/internal/instances"
 )
 
-// RecordKind is the kind of the records that tell the brokers how an instance's roll-out stands.
+// RecordKind is the kind of the records that carry an instance's Progress to the other brokers.
 const RecordKind = 'v'
 
 const (
-	partAtOnce  = 6                       // one instance in so many loads at a time: loads slow each other down
-	firstLook   = 350 * time.Millisecond  // an instance is asked so long after it took an order whether it is done,
-	lookEvery   = 150 * time.Millisecond  // and then as often
-	giveUpAfter = 8 * time.Second         // an order that is not done by then is sent anew
-	silentFor   = time.Second             // an instance of which nothing is heard for so long makes room for another
-	hurryAfter  = 2500 * time.Millisecond // after so long more load at a time,
-	hurryEvery  = 500 * time.Millisecond  // and more again each time so much has passed
-	retryAfter  = 300 * time.Millisecond  // an instance that did not take an order is ordered again
+	initialDivisor = 6                       // at first one in this many instances loads at a time, because concurrent loads slow each other down
+	firstPollDelay = 350 * time.Millisecond  // from an instance's acceptance of an order to the first poll
+	pollInterval   = 150 * time.Millisecond  // between later polls
+	orderTimeout   = 8 * time.Second         // an order that is not complete by then is sent again
+	silenceTimeout = time.Second             // an instance that does not reply for longer frees its place for another
+	rampUpAfter    = 2500 * time.Millisecond // after this time more instances load at a time,
+	rampUpInterval = 500 * time.Millisecond  // and more again after each such interval
+	retryDelay     = 300 * time.Millisecond  // before an instance that failed to accept an order is ordered again
 )
 
-// Progress is what the fleet is told of one instance.
+// Progress is the state of one instance's load as it is sent to the fleet. It travels between brokers under the names of its
+// fields.
 type Progress struct {
 	ID      string
 	Model   string
 	Version int64
-	Loading bool // until it is done
+	Loading bool // false once the instance runs Version
 }
 
 func init() { dissemination.RegisterBody("v", Progress{}) }
 
-// Record is the progress as it is told to the other brokers.
+// Record returns the progress as a record for dissemination. Its sequence rises with the version, and from loading to done.
 func (p Progress) Record() dissemination.Record {
 	sequence := 2 * uint64(p.Version)
 	if !p.Loading {
@@ -44,76 +45,77 @@
 	return dissemination.Record{Kind: RecordKind, Key: p.ID + "/" + p.Model, Version: dissemination.Version{Sequence: sequence}, Body: p}
 }
 
-// flight is an order that is out.
-type flight struct {
-	version int64
-	at      time.Time
-	look    time.Time
-	heard   time.Time // of the instance
-	taken   bool
+// pendingOrder is an order that was sent to an instance and is not complete.
+type pendingOrder struct {
+	version   int64
+	orderedAt time.Time
+	pollDue   time.Time // when to poll the instance next
+	lastReply time.Time // or orderedAt, if the instance has not replied yet
+	accepted  bool      // the instance has accepted the order
 }
 
-// Planner plans the roll-out of one model. One goroutine at a time may use it.
+// Planner plans the rollout of one model. It is not safe for concurrent use.
 type Planner struct {
 	model   string
-	flights map[string]*flight // by instance
-	retry   map[string]time.Time
+	pending map[string]*pendingOrder // by instance
+	retryAt map[string]time.Time     // by instance; no new order before this time
 }
 
-// New makes a planner that has ordered nothing yet.
+// New returns a planner without pending orders.
 func New(model string) *Planner {
-	return &Planner{model: model, flights: map[string]*flight{}, retry: map[string]time.Time{}}
+	return &Planner{model: model, pending: map[string]*pendingOrder{}, retryAt: map[string]time.Time{}}
 }
 
-// Lagging returns the instances that run an older version than this one, by id.
+// Lagging returns the instances that run an older version than this one, in the order of all. It leaves out instances that are
+// gone.
 func Lagging(all []instances.Instance, model string, version int64) []instances.Instance {
 	var out []instances.Instance
 	for _, i := range all {
-		if has := i.VersionOf(model); i.State != instances.Gone && has > 0 && has < version {
+		if current := i.VersionOf(model); i.State != instances.Gone && current > 0 && current < version {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// Plan returns the instances to be ordered now and those to be asked whether they are done. since tells when the first version
-// above one was named: the longer ago that is, the more instances that have that one load at a time. Those with the oldest
-// weights go first.
-func (p *Planner) Plan(now time.Time, since func(version int64) time.Time, all []instances.Instance, version int64) (order, look []instances.Instance) {
+// Plan returns the instances to order now and those to poll for completion. since returns when the first version above a given one
+// was named; the longer ago that is, the more of the instances that run the given version load at a time. Instances with the
+// oldest weights come first.
+func (p *Planner) Plan(now time.Time, since func(version int64) time.Time, all []instances.Instance, version int64) (order, pollDue []instances.Instance) {
 	lagging := Lagging(all, p.model, version)
-	p.clean(now, lagging, version)
-	running := p.running(all)
-	slices.SortStableFunc(lagging, p.urgency)
+	p.dropFinished(now, lagging, version)
+	running := p.countRunning(all)
+	slices.SortStableFunc(lagging, p.compareUrgency)
 	for _, i := range lagging {
-		f := p.flights[i.ID]
+		f := p.pending[i.ID]
 		switch {
-		case f == nil && now.After(p.retry[i.ID]) && len(p.flights) < mostAtOnce(running, now.Sub(since(i.VersionOf(p.model)))):
-			p.flights[i.ID] = &flight{version: version, at: now, heard: now, look: now.Add(firstLook)}
+		case f == nil && now.After(p.retryAt[i.ID]) && len(p.pending) < maxConcurrentLoads(running, now.Sub(since(i.VersionOf(p.model)))):
+			p.pending[i.ID] = &pendingOrder{version: version, orderedAt: now, lastReply: now, pollDue: now.Add(firstPollDelay)}
 			order = append(order, i)
-		case f != nil && f.taken && !now.Before(f.look):
-			f.look = now.Add(lookEvery)
-			look = append(look, i)
+		case f != nil && f.accepted && !now.Before(f.pollDue):
+			f.pollDue = now.Add(pollInterval)
+			pollDue = append(pollDue, i)
 		}
 	}
-	return order, look
+	return order, pollDue
 }
 
-// urgency orders instances: the draining last, before that the oldest weights first.
-func (p *Planner) urgency(a, b instances.Instance) int {
+// compareUrgency sorts instances by state, so that draining instances come last, and then by version, oldest weights first.
+func (p *Planner) compareUrgency(a, b instances.Instance) int {
 	return cmp.Or(cmp.Compare(a.State, b.State), cmp.Compare(a.VersionOf(p.model), b.VersionOf(p.model)))
 }
 
-// mostAtOnce is how many of n instances load at a time.
-func mostAtOnce(n int, elapsed time.Duration) int {
-	part := partAtOnce
-	for limit := hurryAfter; elapsed > limit && part > 1; limit += hurryEvery {
-		part--
+// maxConcurrentLoads returns how many of n instances may load at a time, when elapsed has passed since a newer version was named.
+func maxConcurrentLoads(n int, elapsed time.Duration) int {
+	divisor := initialDivisor
+	for limit := rampUpAfter; elapsed > limit && divisor > 1; limit += rampUpInterval {
+		divisor--
 	}
-	return max(1, (n+part-1)/part)
+	return max(1, (n+divisor-1)/divisor)
 }
 
-// running is the number of instances that run the model.
-func (p *Planner) running(all []instances.Instance) int {
+// countRunning returns the number of instances that run the model.
+func (p *Planner) countRunning(all []instances.Instance) int {
 	n := 0
 	for _, i := range all {
 		if i.VersionOf(p.model) > 0 {
@@ -123,42 +125,44 @@
 	return n
 }
 
-// clean drops flights that are over: done, gone, of an older version, or without an end.
-func (p *Planner) clean(now time.Time, lagging []instances.Instance, version int64) {
-	for id, f := range p.flights {
+// dropFinished removes pending orders that are complete, belong to an instance that is gone or to another version, or have timed
+// out.
+func (p *Planner) dropFinished(now time.Time, lagging []instances.Instance, version int64) {
+	for id, f := range p.pending {
 		lags := slices.ContainsFunc(lagging, func(i instances.Instance) bool { return i.ID == id })
-		if !lags || f.version != version || now.Sub(f.at) > giveUpAfter {
-			delete(p.flights, id)
+		if !lags || f.version != version || now.Sub(f.orderedAt) > orderTimeout {
+			delete(p.pending, id)
 		}
 	}
 }
 
-// Taken notes that an instance has taken its order.
+// Accepted records that an instance has accepted its order.
 func (p *Planner) Taken(id string, now time.Time) {
-	if f := p.flights[id]; f != nil {
-		f.taken, f.look, f.heard = true, now.Add(firstLook), now
+	if f := p.pending[id]; f != nil {
+		f.accepted, f.pollDue, f.lastReply = true, now.Add(firstPollDelay), now
 	}
 }
 
-// Heard notes that an instance is at work on its order.
+// StillLoading records a reply that an instance is still loading.
 func (p *Planner) Heard(id string, now time.Time) {
-	if f := p.flights[id]; f != nil {
-		f.heard = now
+	if f := p.pending[id]; f != nil {
+		f.lastReply = now
 	}
 }
 
-// Silent notes that an instance did not say whether it is done. It may have crashed: others need not wait for it.
+// NoReply records that an instance did not reply to a poll. After silenceTimeout it counts as failed, since it may have crashed and
+// other instances must not wait for it.
 func (p *Planner) Silent(id string, now time.Time) {
-	if f := p.flights[id]; f != nil && now.Sub(f.heard) > silentFor {
+	if f := p.pending[id]; f != nil && now.Sub(f.lastReply) > silenceTimeout {
 		p.Failed(id, now)
 	}
 }
 
-// Failed notes that an instance did not take its order.
+// Failed records that an instance did not accept its order. The instance is ordered again after retryDelay.
 func (p *Planner) Failed(id string, now time.Time) {
-	delete(p.flights, id)
-	p.retry[id] = now.Add(retryAfter)
+	delete(p.pending, id)
+	p.retryAt[id] = now.Add(retryDelay)
 }
 
-// Done notes that an instance runs the version that it was ordered.
-func (p *Planner) Done(id string) { delete(p.flights, id) }
+// Done records that an instance runs the version that it was ordered to load.
+func (p *Planner) Done(id string) { delete(p.pending, id) }
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -21,11 +21,11 @@
 	return slices.IndexFunc(all, func(i instances.Instance) bool { return i.ID == id })
 }
 
-// at says that all versions were named at a moment.
+// at returns a function that reports the same naming time for every version.
 func at(moment time.Time) func(int64) time.Time { return func(int64) time.Time { return moment } }
 
-// TestAllGetThere plays a roll-out in which some orders are refused, some are forgotten and one instance ends: all
-// others get there, no more at a time than allowed.
+// TestAllGetThere simulates a rollout in which one order is refused, one is lost by a restart and one instance goes away. All other
+// instances must reach the new version, with no more concurrent loads than allowed.
 func TestAllGetThere(t *testing.T) {
 	all := fleetOf(12)
 	p := New("m")
@@ -36,7 +36,7 @@
 	for len(Lagging(all, "m", 2)) > 0 {
 		now = now.Add(50 * time.Millisecond)
 		if now.Sub(start) > 20*time.Second {
-			t.Fatalf("%d lag still", len(Lagging(all, "m", 2)))
+			t.Fatalf("%d instances still run the old version after 20 s", len(Lagging(all, "m", 2)))
 		}
 		order, look := p.Plan(now, at(start), all, 2)
 		for _, i := range order {
@@ -45,14 +45,14 @@
 			case i.ID == "i03" && orders[i.ID] == 1:
 				p.Failed(i.ID, now)
 			case i.ID == "i05" && orders[i.ID] == 1:
-				p.Taken(i.ID, now) // and forgets it by a restart
+				p.Taken(i.ID, now) // and loses it by a restart
 			default:
 				p.Taken(i.ID, now)
 				loading[i.ID] = now
 			}
 		}
-		if now.Sub(start) < hurryAfter && len(loading) > 2 {
-			t.Fatalf("%d load at a time after %v", len(loading), now.Sub(start))
+		if now.Sub(start) < rampUpAfter && len(loading) > 2 {
+			t.Fatalf("%d instances load at a time after %v", len(loading), now.Sub(start))
 		}
 		for _, i := range look {
 			since, loads := loading[i.ID]
@@ -70,43 +70,45 @@
 		}
 	}
 	if took := now.Sub(start); took > 5*time.Second {
-		t.Errorf("it took %v", took)
+		t.Errorf("the rollout took %v, want at most 5 s", took)
 	}
 }
 
 func TestMoreAtATimeAsTimeRunsOut(t *testing.T) {
 	last := 0
-	for _, elapsed := range []time.Duration{0, hurryAfter, hurryAfter + hurryEvery + 1, hurryAfter + 10*hurryEvery} {
-		most := mostAtOnce(72, elapsed)
+	for _, elapsed := range []time.Duration{0, rampUpAfter, rampUpAfter + rampUpInterval + 1, rampUpAfter + 10*rampUpInterval} {
+		most := maxConcurrentLoads(72, elapsed)
 		if most < last {
-			t.Errorf("after %v %d load at a time, before %d", elapsed, most, last)
+			t.Errorf("after %v %d instances may load at a time, fewer than %d before", elapsed, most, last)
 		}
 		last = most
 	}
-	if mostAtOnce(72, 0) != 12 || last != 72 || mostAtOnce(0, 0) != 1 {
-		t.Errorf("at first %d, at last %d", mostAtOnce(72, 0), last)
+	if maxConcurrentLoads(72, 0) != 12 || last != 72 || maxConcurrentLoads(0, 0) != 1 {
+		t.Errorf("%d instances may load at a time at first and %d at last", maxConcurrentLoads(72, 0), last)
 	}
 }
 
-// TestNewerVersion goes on to a version that is named while the one before is on its way.
+// TestNewerVersion checks that a version that is named during the rollout of the previous one replaces its pending orders, and that
+// the newer record supersedes the older one.
 func TestNewerVersion(t *testing.T) {
 	all := fleetOf(2)
 	p := New("m")
 	now := time.Unix(0, 0)
 	if order, _ := p.Plan(now, at(now), all, 2); len(order) != 1 {
-		t.Fatalf("ordered: %v", order)
+		t.Fatalf("first orders: %v, want one", order)
 	}
 	if order, _ := p.Plan(now.Add(time.Millisecond), at(now), all, 3); len(order) != 1 || order[0].ID != "i00" {
-		t.Errorf("ordered anew: %v", order)
+		t.Errorf("orders of the newer version: %v, want i00", order)
 	}
 	done := Progress{ID: "i", Model: "m", Version: 2}.Record()
 	loading := Progress{ID: "i", Model: "m", Version: 3, Loading: true}.Record()
 	if !done.Version.Less(loading.Version) {
-		t.Error("a newer load does not follow on the one before")
+		t.Error("the record of a newer load does not supersede the previous one")
 	}
 }
 
-// TestSilentInstanceMakesRoom has an instance crash with its order: the others load at once, not after its order is given up.
+// TestSilentInstanceMakesRoom checks that after the crash of an instance that has an order the others load soon, not only after
+// orderTimeout.
 func TestSilentInstanceMakesRoom(t *testing.T) {
 	all := fleetOf(4)
 	p := New("m")
@@ -119,7 +121,7 @@
 				ordered[i.ID] = now.Sub(start)
 			}
 			p.Taken(i.ID, now)
-			all[indexOf(all, i.ID)].State = instances.Draining // as the fleet is told
+			all[indexOf(all, i.ID)].State = instances.Draining // as the instance's record says while it loads
 		}
 		for _, i := range look {
 			if i.ID == "i00" {
@@ -131,18 +133,18 @@
 		}
 	}
 	if len(ordered) != 4 || ordered["i01"] > 1500*time.Millisecond {
-		t.Errorf("ordered: %v", ordered)
+		t.Errorf("times of the first orders: %v", ordered)
 	}
 }
 
-// TestOldestFirst has instances with three versions: those whose time runs out first go first, and a newer version gives
-// them no more time.
+// TestOldestFirst checks with instances on three versions that those whose bound passes first are ordered first, and that a newer
+// version gives them no more time.
 func TestOldestFirst(t *testing.T) {
 	all := fleetOf(12)
 	for n := range all {
 		all[n].Models = []instances.Model{{Name: "m", Version: int64(3 - n/4)}}
 	}
-	named := func(version int64) time.Time { return time.Unix(3*version, 0) } // when the first version above one was
+	named := func(version int64) time.Time { return time.Unix(3*version, 0) } // naming time of the first version above this one
 	p := New("m")
 	order, _ := p.Plan(time.Unix(9, 0), named, all, 4)
 	for _, i := range order {
@@ -151,9 +153,9 @@
 		}
 	}
 	if len(order) != 4 {
-		t.Errorf("%d load at a time, 6 s after the version that they lack", len(order))
+		t.Errorf("%d instances load at a time, 6 s after the naming of the version that they lack; want 4", len(order))
 	}
 	if order, _ := New("m").Plan(time.Unix(9, 0), func(int64) time.Time { return time.Unix(9, 0) }, all, 4); len(order) != 2 {
-		t.Errorf("%d load at a time at first", len(order))
+		t.Errorf("%d instances load at a time at first, want 2", len(order))
 	}
 }
