--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -9,12 +9,12 @@
 	"gullstair/internal/controlstate"
 )
 
-// TestTurns plays brokers that see the register late, are frozen and cut off from it, and act whenever they may. Where
-// instances do not check fences, two holders' turns never come within the bound; a token has one holder.
+// TestTurns simulates brokers that observe the register late, freeze and get partitioned from it, and act whenever they may. Each
+// token must have one holder. Where instances do not check fencing tokens, the actions of two holders must be at least minGap apart.
 func TestTurns(t *testing.T) {
 	for _, fencing := range []bool{false, true} {
 		for seed := range uint64(300) {
-			turns(t, seed, fencing)
+			simulateTurns(t, seed, fencing)
 		}
 	}
 }
@@ -22,12 +22,13 @@
 type broker struct {
 	name   string
 	lease  *Lease
-	cut    bool // from the register
+	cut    bool // partitioned from the register
 	frozen bool
-	seen   controlstate.Lease
+	seen   controlstate.Lease // last read from the register
 }
 
-func turns(t *testing.T, seed uint64, fencing bool) {
+// simulateTurns runs 3000 random steps of four brokers.
+func simulateTurns(t *testing.T, seed uint64, fencing bool) {
 	const bound = 3 * time.Second
 	rng := rand.New(rand.NewPCG(seed, 9))
 	state := controlstate.State{}
@@ -86,14 +87,14 @@
 		lastHolder, lastToken, lastAt = b.name, token, now
 	}
 	if acted == 0 {
-		t.Fatalf("seed %d: nobody ever acted", seed)
+		t.Fatalf("seed %d: no broker ever acted", seed)
 	}
 }
 
 func TestOwner(t *testing.T) {
 	live := []string{"a", "b", "c", "d"}
 	if Owner("role", nil) != "" {
-		t.Error("nobody is live and somebody owns")
+		t.Error("a role has an owner although no broker is live")
 	}
 	counts := map[string]int{}
 	for i := range 4000 {
