--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -1,5 +1,6 @@
-// Package configuration reads and checks the operator's configuration and answers what a request may do under it:
-// the route by host and longest path prefix, the tenant by key, the limits.
+// Package configuration parses and validates the operator's configuration and looks up what applies to a request: the route by host
+// and longest path prefix, the tenant by API key, and the limits. It also applies patches to a configuration. The package does no
+// I/O.
 package configuration
 
 import (
@@ -16,7 +17,7 @@
 	"gullstair/internal/finding"
 )
 
-// Kind says how often a request may run.
+// Kind is the kind of a route. It determines how often a request may run.
 type Kind int
 
 const (
@@ -25,24 +26,24 @@
 	Streaming             // a stream of events; at most once unless the route is resumable
 )
 
-// Configuration is one version, checked and indexed. Nobody changes it.
+// Configuration is one version of the configuration, validated and indexed. It is immutable.
 type Configuration struct {
 	Version  int64
-	Raw      []byte // as the operator sent it
+	Raw      []byte // JSON as the operator sent it, or as a patch produced it
 	Routes   []*Route
 	Services map[string]*Service
 	Limits   Limits
 
-	hosts   map[string][]*Route // longest prefix first
-	tenants map[string]*Tenant  // by key
-	named   map[string]*Tenant  // the same by name
-	walls   uint64              // names the set of isolated tenants
+	routesByHost  map[string][]*Route // longest prefix first
+	tenantsByKey  map[string]*Tenant
+	tenantsByName map[string]*Tenant
+	isolationHash uint64 // identifies the set of isolated tenants
 
-	storeName string
+	storeName string // service of the prompt store
 	store     *Store
 }
 
-// Route says what becomes of the requests of a host under a path prefix.
+// Route determines how requests for a host under a path prefix are served.
 type Route struct {
 	Name        string
 	Host        string
@@ -65,7 +66,7 @@
 	Weight  float64
 }
 
-// Service is a set of instances that serve the same requests, or a store of kept prompts.
+// Service is a set of instances that serve the same requests, or a prompt store.
 type Service struct {
 	Name           string
 	MaxConnections int
@@ -73,17 +74,17 @@
 	Store          *Store
 }
 
-// Engine is what the operator tells about the model servers of a service.
+// Engine describes the model servers of a service.
 type Engine struct {
 	Slots          int
 	CapacityTokens float64
 	TokenBytes     float64
 	LinkMbps       float64
-	MaxConcurrency int // calls for events that one server holds at once
+	MaxConcurrency int // concurrent calls for events that one server accepts
 	Models         []string
 }
 
-// Store is a store of kept prompts.
+// Store is a prompt store: a server that keeps the KV cache of processed prompts.
 type Store struct {
 	Address        string
 	Zone           string
@@ -91,7 +92,7 @@
 	MaxConcurrency int
 }
 
-// Limits bound what a client may send and how long it may rest.
+// Limits bound the size of clients' requests and the time that clients may be idle.
 type Limits struct {
 	HeaderBytes   int64
 	BodyBytes     int64
@@ -99,11 +100,11 @@
 	IdleTimeout   time.Duration
 }
 
-// Tenant is the holder of keys.
+// Tenant is an owner of API keys.
 type Tenant struct {
 	Name     string
 	Priority int
-	Isolated bool // shares no cached part with another tenant
+	Isolated bool // shares no cached prompt prefix with another tenant
 }
 
 const (
@@ -113,10 +114,10 @@
 	defaultIdleTimeout   = 60 * time.Second
 )
 
-// Parse reads and checks a configuration; the error lists every finding.
+// Parse parses and validates a configuration. The error lists all findings.
 func Parse(raw []byte) (*Configuration, error) { return parse(raw, placeOf) }
 
-// parse has findings in items of lists placed by a function.
+// parse is Parse with a function that returns the place that findings report for an item of a list.
 func parse(raw []byte, place func(list string, i int, name string) string) (*Configuration, error) {
 	message := &configpb.Configuration{}
 	options := protojson.UnmarshalOptions{DiscardUnknown: true}
@@ -132,9 +133,9 @@
 	return c, nil
 }
 
-// Route finds the route of a request; nil if there is none.
+// Route returns the route of a request, or nil if there is none.
 func (c *Configuration) Route(host, path string) *Route {
-	for _, r := range c.hosts[hostName(host)] {
+	for _, r := range c.routesByHost[hostName(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -142,23 +143,24 @@
 	return nil
 }
 
-// TenantOf finds the tenant that holds a key; nil if none does.
-func (c *Configuration) TenantOf(key string) *Tenant { return c.tenants[key] }
+// TenantOf returns the tenant with this API key, or nil if there is none.
+func (c *Configuration) TenantOf(key string) *Tenant { return c.tenantsByKey[key] }
 
-// TenantNamed finds a tenant by its name; nil if there is none.
-func (c *Configuration) TenantNamed(name string) *Tenant { return c.named[name] }
+// TenantNamed returns the tenant with this name, or nil if there is none.
+func (c *Configuration) TenantNamed(name string) *Tenant { return c.tenantsByName[name] }
 
-// KVStore returns the store of kept prompts, the first by name; nil: there is none.
+// KVStore returns the prompt store and the name of its service; if there are several, the first by name. store is nil if there is
+// none.
 func (c *Configuration) KVStore() (service string, store *Store) { return c.storeName, c.store }
 
-// HasTenants says whether requests need a key unless their route is public.
-func (c *Configuration) HasTenants() bool { return len(c.tenants) > 0 }
+// HasTenants reports whether requests need an API key unless their route is public.
+func (c *Configuration) HasTenants() bool { return len(c.tenantsByKey) > 0 }
 
-// Walls identifies the set of isolated tenants. Parts that were cached while the set was another one may have been
-// made by a tenant that is isolated now, so they are not shared on.
-func (c *Configuration) Walls() uint64 { return c.walls }
+// IsolationHash identifies the set of isolated tenants. Prompt prefixes that were cached while the set was different may come from
+// a tenant that is isolated now, so they are no longer shared.
+func (c *Configuration) Walls() uint64 { return c.isolationHash }
 
-// hostName is a Host header without a port, in lower case.
+// hostName returns a Host header without its port, in lower case.
 func hostName(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i > strings.LastIndexByte(host, ']') {
 		host = host[:i]
@@ -166,7 +168,7 @@
 	return strings.ToLower(host)
 }
 
-// builder turns a message into a Configuration and collects findings.
+// builder converts a protobuf message to a Configuration and collects findings.
 type builder struct {
 	message  *configpb.Configuration
 	place    func(list string, i int, name string) string
@@ -174,8 +176,8 @@
 }
 
 func (b *builder) build() *Configuration {
-	c := &Configuration{Version: b.message.Version, Services: map[string]*Service{}, hosts: map[string][]*Route{},
-		tenants: map[string]*Tenant{}, named: map[string]*Tenant{}, Limits: limitsOf(b.message.Limits)}
+	c := &Configuration{Version: b.message.Version, Services: map[string]*Service{}, routesByHost: map[string][]*Route{},
+		tenantsByKey: map[string]*Tenant{}, tenantsByName: map[string]*Tenant{}, Limits: limitsOf(b.message.Limits)}
 	if c.Version <= 0 {
 		b.findings.Add("version", "%d is not above 0", c.Version)
 	}
@@ -188,10 +190,10 @@
 	for i, t := range b.message.Tenants {
 		b.addTenant(c, i, t)
 	}
-	for _, routes := range c.hosts {
+	for _, routes := range c.routesByHost {
 		slices.SortStableFunc(routes, func(x, y *Route) int { return len(y.Prefix) - len(x.Prefix) })
 	}
-	c.walls = wallsOf(b.message.Tenants)
+	c.isolationHash = hashIsolatedTenants(b.message.Tenants)
 	return c
 }
 
@@ -236,12 +238,12 @@
 		b.findings.Add(place, "timeout_ms is not above 0")
 	}
 	route.Splits = b.splitsOf(c, place, r)
-	for _, other := range c.hosts[route.Host] {
+	for _, other := range c.routesByHost[route.Host] {
 		if other.Prefix == route.Prefix {
 			b.findings.Add(place, "has the host and prefix of route %q", other.Name)
 		}
 	}
-	c.hosts[route.Host] = append(c.hosts[route.Host], route)
+	c.routesByHost[route.Host] = append(c.routesByHost[route.Host], route)
 	c.Routes = append(c.Routes, route)
 }
 
@@ -269,7 +271,7 @@
 	return splits
 }
 
-// kindOf reads a route's kind. One that is not known may not run twice.
+// kindOf parses a route's kind. An unknown kind is Unsafe, so its requests run at most once.
 func kindOf(kind string) Kind {
 	switch kind {
 	case "safe":
@@ -286,12 +288,12 @@
 		b.findings.Add(place, "has no name")
 	}
 	tenant := &Tenant{Name: t.Name, Priority: int(t.Priority), Isolated: t.Isolated}
-	c.named[t.Name] = tenant
+	c.tenantsByName[t.Name] = tenant
 	for _, key := range t.ApiKeys {
-		if other := c.tenants[key]; other != nil && other.Name != t.Name {
+		if other := c.tenantsByKey[key]; other != nil && other.Name != t.Name {
 			b.findings.Add(place, "shares a key with tenant %q", other.Name)
 		}
-		c.tenants[key] = tenant
+		c.tenantsByKey[key] = tenant
 	}
 }
 
@@ -316,7 +318,8 @@
 	return limits
 }
 
-func wallsOf(tenants []*configpb.Tenant) uint64 {
+// hashIsolatedTenants returns a hash of the sorted names of the isolated tenants.
+func hashIsolatedTenants(tenants []*configpb.Tenant) uint64 {
 	var names []string
 	for _, t := range tenants {
 		if t.Isolated {
@@ -332,6 +335,7 @@
 	return hash.Sum64()
 }
 
+// placeOf returns the place that a finding reports for an item of a list.
 func placeOf(list string, i int, name string) string { return fmt.Sprintf("%s[%d] %s", list, i, name) }
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -34,7 +34,7 @@
 			var found *finding.Error
 			switch {
 			case err == nil:
-				t.Fatal("it is taken for valid")
+				t.Fatal("the invalid configuration is accepted")
 			case errors.As(err, &found):
 				var lines []string
 				for _, f := range found.Findings {
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestWallsName checks that the set of isolated tenants, and nothing else, changes what cached parts are shared under.
-func TestWallsName(t *testing.T) {
+// TestIsolationHash checks that the hash depends on the set of isolated tenants and on nothing else.
+func TestIsolationHash(t *testing.T) {
 	with := func(tenants string) uint64 {
 		c, err := Parse([]byte(`{"version":1,"tenants":[` + tenants + `]}`))
 		if err != nil {
@@ -95,10 +95,10 @@
 	}
 	one := with(`{"name":"a","api_keys":["1"],"isolated":true},{"name":"b","api_keys":["2"]}`)
 	if one != with(`{"name":"b","api_keys":["2","3"],"priority":4},{"name":"a","api_keys":["1"],"isolated":true}`) {
-		t.Error("other keys change the walls")
+		t.Error("the hash depends on API keys, priorities or the order of tenants")
 	}
 	if one == with(`{"name":"a","api_keys":["1"],"isolated":true},{"name":"b","api_keys":["2"],"isolated":true}`) {
-		t.Error("another isolated tenant leaves the walls as they are")
+		t.Error("another isolated tenant does not change the hash")
 	}
 }
 
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -13,24 +13,24 @@
 	"gullstair/internal/finding"
 )
 
-// Patch is a change of a configuration's items by their names. It is checked by itself; whether it makes a valid
-// configuration shows when it is applied to one. Nobody changes it.
+// Patch adds, replaces and removes items of a configuration by name. ParsePatch validates the patch itself; Apply validates the
+// resulting configuration. A Patch is immutable.
 type Patch struct {
 	Version int64
-	Raw     []byte // as the operator sent it
+	Raw     []byte // JSON as the operator sent it
 
 	version json.RawMessage
 	lists   []listPatch
 }
 
-// listPatch is what a patch does to one of the lists of a configuration.
+// listPatch is the part of a patch that changes one list of a configuration.
 type listPatch struct {
 	list   string
 	upsert []item
 	remove []string
 }
 
-// item is one entry of a list, with all that was sent of it.
+// item is one entry of a list with its complete JSON.
 type item struct {
 	name string
 	raw  json.RawMessage
@@ -39,7 +39,7 @@
 // namedLists are the lists of a configuration whose items have names.
 var namedLists = []string{"routes", "services", "tenants"}
 
-// ParsePatch reads a patch and checks it by itself; the error lists every finding.
+// ParsePatch parses a patch and validates it without a configuration. The error lists all findings.
 func ParsePatch(raw []byte) (*Patch, error) {
 	message := &configpb.Update{}
 	options := protojson.UnmarshalOptions{DiscardUnknown: true}
@@ -82,7 +82,7 @@
 	return p, nil
 }
 
-// checkLists finds what has no items with names and would be passed over.
+// checkLists reports fields that are not lists of named items, which a patch would silently ignore.
 func checkLists(findings *finding.List, part string, lists map[string]json.RawMessage) {
 	var unknown []string
 	for list := range lists {
@@ -96,6 +96,7 @@
 	}
 }
 
+// check reports items without a name, duplicate items, and items that are both upserted and removed.
 func (c *listPatch) check(findings *finding.List) {
 	seen := map[string]bool{}
 	for i, changed := range c.upsert {
@@ -113,37 +114,39 @@
 	}
 }
 
+// upsertPlace returns the place that a finding reports for an upserted item.
 func upsertPlace(list string, i int, name string) string {
 	return "upsert." + placeOf(list, i, name)
 }
 
-// Apply changes a configuration, as the operator sent it, and checks the whole that comes of it. What is not named stays as
-// it was sent, with fields that this program does not know. An item to be removed that is not there is no fault.
+// Apply applies the patch to the JSON of a configuration and validates the result. Items and fields that the patch does not name
+// are kept as they were sent, including fields that this program does not know. The removal of an item that does not exist is not
+// an error.
 func (p *Patch) Apply(base []byte) (*Configuration, error) {
 	if len(base) == 0 {
 		base = []byte("{}")
 	}
-	whole, err := objectOf(base)
+	config, err := objectOf(base)
 	if err != nil {
 		return nil, err
 	}
-	upserted := map[string][]int{} // by list: the place in the patch that each item of the whole has, or notUpserted
+	upserted := map[string][]int{} // by list: for each item of the result its index in the patch, or notUpserted
 	for _, change := range p.lists {
-		before, err := itemsOf(whole[change.list])
+		before, err := itemsOf(config[change.list])
 		if err != nil {
 			return nil, err
 		}
 		after, from := change.apply(before)
-		if len(after) == 0 && whole[change.list] == nil {
+		if len(after) == 0 && config[change.list] == nil {
 			continue
 		}
 		upserted[change.list] = from
-		if whole[change.list], err = encode(after); err != nil {
+		if config[change.list], err = encode(after); err != nil {
 			return nil, err
 		}
 	}
-	whole["version"] = p.version
-	raw, err := encode(whole)
+	config["version"] = p.version
+	raw, err := encode(config)
 	if err != nil {
 		return nil, err
 	}
@@ -157,15 +160,15 @@
 
 const notUpserted = -1
 
-// apply returns the list after the change, and for each of its items which of the patch's it is.
+// apply returns the list after the change, and for each of its items the index in upsert, or notUpserted.
 func (c *listPatch) apply(before []item) (after []json.RawMessage, from []int) {
 	placed := make([]bool, len(c.upsert))
-	for _, kept := range before {
-		at := slices.IndexFunc(c.upsert, func(changed item) bool { return changed.name == kept.name })
+	for _, existing := range before {
+		at := slices.IndexFunc(c.upsert, func(changed item) bool { return changed.name == existing.name })
 		switch {
-		case slices.Contains(c.remove, kept.name):
+		case slices.Contains(c.remove, existing.name):
 		case at < 0:
-			after, from = append(after, kept.raw), append(from, notUpserted)
+			after, from = append(after, existing.raw), append(from, notUpserted)
 		case !placed[at]:
 			placed[at] = true
 			after, from = append(after, c.upsert[at].raw), append(from, at)
@@ -179,7 +182,7 @@
 	return after, from
 }
 
-// objectOf reads the fields of a JSON object; of none there are none.
+// objectOf returns the fields of a JSON object. An empty text and null have no fields.
 func objectOf(raw json.RawMessage) (map[string]json.RawMessage, error) {
 	fields := map[string]json.RawMessage{}
 	if err := unmarshalField(raw, &fields); err != nil {
@@ -191,19 +194,19 @@
 	return fields, nil
 }
 
-// itemsOf reads a list of items with names.
+// itemsOf parses a list of named items.
 func itemsOf(raw json.RawMessage) ([]item, error) {
 	var all []json.RawMessage
 	if err := unmarshalField(raw, &all); err != nil {
 		return nil, err
 	}
 	items := make([]item, len(all))
-	for i, one := range all {
-		fields, err := objectOf(one)
+	for i, rawItem := range all {
+		fields, err := objectOf(rawItem)
 		if err != nil {
 			return nil, err
 		}
-		items[i].raw = one
+		items[i].raw = rawItem
 		if err := unmarshalField(fields["name"], &items[i].name); err != nil {
 			return nil, err
 		}
@@ -211,6 +214,7 @@
 	return items, nil
 }
 
+// unmarshalField parses raw into a value, and leaves the value unchanged if raw is empty.
 func unmarshalField(raw json.RawMessage, into any) error {
 	if len(raw) == 0 {
 		return nil
@@ -221,7 +225,7 @@
 	return nil
 }
 
-// encode writes a value as JSON, its text unchanged.
+// encode returns a value as JSON without HTML escaping, so that strings keep their text.
 func encode(value any) (json.RawMessage, error) {
 	var text bytes.Buffer
 	encoder := json.NewEncoder(&text)
--- a/internal/configuration/patch_test.go
+++ b/internal/configuration/patch_test.go
@@ -12,7 +12,7 @@
 	"gullstair/internal/finding"
 )
 
-// document is a configuration as an operator writes it.
+// document is a configuration as an operator writes it, with a field that the program does not know.
 type document struct {
 	Version  int64            `json:"version"`
 	Routes   []map[string]any `json:"routes"`
@@ -31,7 +31,7 @@
 	return map[string]*[]map[string]any{"routes": &d.Routes, "services": &d.Services, "tenants": &d.Tenants}
 }
 
-func parsedAs[T any](t *testing.T, raw []byte) T {
+func unmarshalAs[T any](t *testing.T, raw []byte) T {
 	t.Helper()
 	var out T
 	if err := json.Unmarshal(raw, &out); err != nil {
@@ -40,7 +40,7 @@
 	return out
 }
 
-func written(t *testing.T, value any) []byte {
+func marshal(t *testing.T, value any) []byte {
 	t.Helper()
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -49,11 +49,11 @@
 	return raw
 }
 
-// TestPatchMakesTheWhole draws histories of patches. After each the configuration is the one that the same changes make of a
-// plain document, field for field, also those that the program does not know.
+// TestPatchMakesTheWhole applies random sequences of patches. After each one the configuration must equal, field for field, a plain
+// document with the same changes, including fields that the program does not know.
 func TestPatchMakesTheWhole(t *testing.T) {
 	for seed := range uint64(50) {
-		chance := rand.New(rand.NewPCG(seed, 1))
+		rng := rand.New(rand.NewPCG(seed, 1))
 		want := document{Version: 1, Limits: map[string]any{"max_body_bytes": 4096.0}, Unknown: "a & b"}
 		for i := range 5 {
 			service := fmt.Sprint("s", i)
@@ -61,27 +61,27 @@
 			want.Routes = append(want.Routes, routeNamed(fmt.Sprint("r", i), service, 100))
 			want.Tenants = append(want.Tenants, map[string]any{"name": fmt.Sprint("t", i), "api_keys": []string{fmt.Sprint("k", i)}})
 		}
-		raw := written(t, want)
+		raw := marshal(t, want)
 		for step := range 40 {
 			upsert, remove := map[string][]map[string]any{}, map[string][]string{}
-			version := want.Version + 1 + int64(chance.IntN(3))
+			version := want.Version + 1 + int64(rng.IntN(3))
 			for _, list := range []string{"routes", "tenants"} {
-				for _, at := range chance.Perm(8)[:chance.IntN(5)] {
+				for _, at := range rng.Perm(8)[:rng.IntN(5)] {
 					name := fmt.Sprint(list[:1], at)
-					if chance.IntN(3) == 0 {
+					if rng.IntN(3) == 0 {
 						remove[list] = append(remove[list], name)
 						continue
 					}
-					changed := routeNamed(name, fmt.Sprint("s", chance.IntN(5)), 1+chance.IntN(1000))
+					changed := routeNamed(name, fmt.Sprint("s", rng.IntN(5)), 1+rng.IntN(1000))
 					if list == "tenants" {
-						changed = map[string]any{"name": name, "api_keys": []string{fmt.Sprintf("%s-%d-%d", name, step, chance.IntN(3))}}
+						changed = map[string]any{"name": name, "api_keys": []string{fmt.Sprintf("%s-%d-%d", name, step, rng.IntN(3))}}
 					}
 					upsert[list] = append(upsert[list], changed)
 				}
-				apply(want.lists()[list], upsert[list], remove[list])
+				applyReference(want.lists()[list], upsert[list], remove[list])
 			}
 			want.Version = version
-			patch, err := ParsePatch(written(t, map[string]any{"version": version, "upsert": upsert, "remove": remove}))
+			patch, err := ParsePatch(marshal(t, map[string]any{"version": version, "upsert": upsert, "remove": remove}))
 			if err != nil {
 				t.Fatalf("seed %d step %d: %v", seed, step, err)
 			}
@@ -90,8 +90,8 @@
 				t.Fatalf("seed %d step %d: %v", seed, step, err)
 			}
 			raw = c.Raw
-			if got, whole := parsedAs[any](t, raw), parsedAs[any](t, written(t, want)); !reflect.DeepEqual(got, whole) {
-				t.Fatalf("seed %d step %d:\n%v\nwant\n%v", seed, step, got, whole)
+			if got, expected := unmarshalAs[any](t, raw), unmarshalAs[any](t, marshal(t, want)); !reflect.DeepEqual(got, expected) {
+				t.Fatalf("seed %d step %d:\n%v\nwant\n%v", seed, step, got, expected)
 			}
 			if c.Version != version || len(c.Routes) != len(want.Routes) {
 				t.Fatalf("seed %d step %d: version %d, %d routes", seed, step, c.Version, len(c.Routes))
@@ -100,8 +100,8 @@
 	}
 }
 
-// apply changes a list as the page has it, in the plainest way.
-func apply(list *[]map[string]any, upsert []map[string]any, remove []string) {
+// applyReference is a direct reference implementation of a patch of one list.
+func applyReference(list *[]map[string]any, upsert []map[string]any, remove []string) {
 	for _, changed := range upsert {
 		at := slices.IndexFunc(*list, func(kept map[string]any) bool { return kept["name"] == changed["name"] })
 		if at < 0 {
@@ -117,7 +117,7 @@
 {"name":"one","host":"h","path_prefix":"/1/","timeout_ms":10,"service":"a"},{"name":"two","host":"h","path_prefix":"/2/","timeout_ms":10,"service":"b"}],
 "tenants":[{"name":"t","api_keys":["k"]}]}`
 
-// TestPatchFindings has patches that are wrong, by themselves or by what they make, each with the places of its faults.
+// TestPatchFindings checks the places of the findings for patches that are invalid themselves or have an invalid result.
 func TestPatchFindings(t *testing.T) {
 	for text, want := range map[string][]string{
 		`{}`: {"version"},
@@ -148,17 +148,17 @@
 	}
 }
 
-// TestPatchesThatCannotBeRead has none of them taken.
+// TestPatchesThatCannotBeRead checks that malformed patches are rejected.
 func TestPatchesThatCannotBeRead(t *testing.T) {
 	for _, text := range []string{"", `{"version":5`, `{"version":5,"upsert":{"routes":"one"}}`, `{"version":5,"remove":{"routes":[1]}}`, `{"version":5,"version":6}`} {
 		if _, err := ParsePatch([]byte(text)); err == nil {
-			t.Errorf("%q was read", text)
+			t.Errorf("the malformed patch %q is parsed", text)
 		}
 	}
 }
 
-// TestPatchesThatChangeLittle are valid: one that names nothing, one that removes what is not there, one that makes the
-// first configuration.
+// TestPatchesThatChangeLittle checks edge cases of valid patches: a patch without items, one that removes items that do not exist,
+// and one that creates the first configuration.
 func TestPatchesThatChangeLittle(t *testing.T) {
 	for _, c := range []struct {
 		base, patch string
