--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads the settings file of one process: lines of the form a.b=value, lists joined by commas.
-// Unknown fields are ignored. Findings name the field at fault and are reported together.
+// Package settings loads and validates the settings file of one process. Its lines have the form a.b=value; list elements are
+// separated by commas. Unknown fields are ignored. Each finding names the invalid field, and all findings are reported together.
+// Load reads the file and Path the environment; the other functions do no I/O.
 package settings
 
 import (
@@ -19,10 +20,10 @@
 // EnvironmentVariable names the variable that holds the path of the settings file.
 const EnvironmentVariable = "GULLSTAIR_SETTINGS"
 
-// defaultLinkMbps is what a machine's link is taken to carry where nothing is said of it.
+// defaultLinkMbps is the assumed bandwidth of a machine's network link if the settings do not state it.
 const defaultLinkMbps = 1000
 
-// Settings is what a process is told about itself, its machine and its deployment.
+// Settings describes a process, its machine and its deployment.
 type Settings struct {
 	NodeName        string
 	Role            string
@@ -30,35 +31,35 @@
 	Zone            string
 	Region          string
 	ZoneRegions     map[string]string // region of each zone
-	ListenFront     string            // host:port for clients; empty: this process serves none
+	ListenFront     string            // host:port for clients; empty if this process serves no clients
 	ListenReadiness string
 	ListenControl   string
-	PortFirst       int // first port that is free for the brokers' own protocol
+	PortFirst       int // first port of the range for the brokers' own protocol
 	PortLast        int
 	Seeds           []string // control addresses of other brokers
-	Bootstrap       bool     // the first start of the whole system
+	Bootstrap       bool     // first start of the whole system
 	CountsForQuorum bool     // this machine's disk holds a replica of the register
 	MemoryMB        int
-	MaxDescriptors  int
-	LinkMbps        float64 // of the machine's own link
-	DataDir         string  // empty: no disk
+	MaxDescriptors  int     // limit of open file descriptors
+	LinkMbps        float64 // bandwidth of the machine's network link
+	DataDir         string  // empty if the process has no disk
 	Heartbeat       time.Duration
 	Contracts       []string
 	Tolerance       Tolerance
 	Bounds          Bounds
 }
 
-// Tolerance is what may be lost at one time while everything promised still holds.
+// Tolerance is how many simultaneous failures the system must survive with all its guarantees intact.
 type Tolerance struct {
-	Machines int // whose disk holds, or may hold, a replica of the register
+	Machines int // counts machines whose disk holds, or may hold, a replica of the register
 	Zones    int
 	Regions  int
 }
 
-// Bounds are the deployment's limits on time and retries.
+// Bounds holds the deployment's limits on times and retries.
 type Bounds struct {
-	Drain            time.Duration // a draining instance receives nothing later than this after the acknowledgement
-	Grace            time.Duration // from SIGTERM to SIGKILL
+	Drain            time.Duration // a draining instance gets no requests later than this after the acknowledgement of the drain
+	Grace            time.Duration // time from SIGTERM to SIGKILL
 	ConfigConverge   time.Duration
 	Contact          time.Duration
 	CatchUp          time.Duration
@@ -72,7 +73,7 @@
 	AddressReuse     time.Duration
 }
 
-// Path returns where the environment says the settings file is.
+// Path returns the path of the settings file from the environment.
 func Path() (string, error) {
 	path := os.Getenv(EnvironmentVariable)
 	if path == "" {
@@ -81,7 +82,7 @@
 	return path, nil
 }
 
-// Load reads and checks the file at path.
+// Load reads and validates the settings file at path.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -90,7 +91,7 @@
 	return Parse(text)
 }
 
-// Parse reads and checks settings; the error lists every finding.
+// Parse parses and validates settings. The error lists all findings.
 func Parse(text []byte) (*Settings, error) {
 	loader := properties.Loader{Encoding: properties.UTF8, DisableExpansion: true}
 	values, err := loader.LoadBytes(text)
@@ -105,7 +106,7 @@
 	return s, nil
 }
 
-// reader takes fields from the file and collects findings.
+// reader converts the values of a settings file and collects findings.
 type reader struct {
 	values   *properties.Properties
 	findings finding.List
@@ -113,10 +114,10 @@
 
 func (r *reader) read() *Settings {
 	s := &Settings{
-		NodeName:        r.needed("node_name"),
+		NodeName:        r.required("node_name"),
 		Role:            r.text("role"),
-		IP:              r.needed("ip"),
-		Zone:            r.needed("zone"),
+		IP:              r.required("ip"),
+		Zone:            r.required("zone"),
 		Region:          r.text("region"),
 		ZoneRegions:     r.zones(),
 		ListenFront:     r.address("listen.front"),
@@ -165,7 +166,7 @@
 	return strings.TrimSpace(r.values.GetString(name, ""))
 }
 
-func (r *reader) needed(name string) string {
+func (r *reader) required(name string) string {
 	value := r.text(name)
 	if value == "" {
 		r.findings.Add(name, "is missing")
@@ -206,28 +207,28 @@
 	return on
 }
 
-func (r *reader) number(name string, otherwise float64) float64 {
+func (r *reader) number(name string, fallback float64) float64 {
 	value := r.text(name)
 	if value == "" {
-		return otherwise
+		return fallback
 	}
 	x, err := strconv.ParseFloat(value, 64)
 	if err != nil || x < 0 {
 		r.findings.Add(name, "%q is not a number of 0 or more", value)
-		return otherwise
+		return fallback
 	}
 	return x
 }
 
-// count reads a whole number of 0 or more; 0 where it is not told.
+// count returns a non-negative number without its fraction, or 0 if it is not set.
 func (r *reader) count(name string) int { return int(r.number(name, 0)) }
 
-func (r *reader) milliseconds(name string, otherwise float64) time.Duration {
-	return time.Duration(r.number(name, otherwise) * float64(time.Millisecond))
+func (r *reader) milliseconds(name string, fallback float64) time.Duration {
+	return time.Duration(r.number(name, fallback) * float64(time.Millisecond))
 }
 
-func (r *reader) seconds(name string, otherwise float64) time.Duration {
-	return time.Duration(r.number(name, otherwise) * float64(time.Second))
+func (r *reader) seconds(name string, fallback float64) time.Duration {
+	return time.Duration(r.number(name, fallback) * float64(time.Second))
 }
 
 func (r *reader) zones() map[string]string {
@@ -257,12 +258,13 @@
 	s.PortFirst, s.PortLast = first, last
 }
 
-// PeerAddress is where the brokers' own protocol is served on the machine with this IP; ports are the same on all.
+// PeerAddress returns the address at which the broker on the machine with this IP serves the brokers' own protocol. The ports are
+// the same on all machines.
 func (s *Settings) PeerAddress(ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.PortFirst))
 }
 
-// SeedIPs returns the seeds' addresses without their ports, each once.
+// SeedIPs returns the IPs of the seeds without duplicates.
 func (s *Settings) SeedIPs() []string {
 	var ips []string
 	for _, seed := range s.Seeds {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -31,7 +31,7 @@
 		t.Errorf("seeds: %s", got)
 	}
 	if s.ZoneRegions["b"] != "r" || s.PeerAddress("10.9.9.9") != "10.9.9.9:7560" {
-		t.Errorf("zones %v, peers at %s", s.ZoneRegions, s.PeerAddress("10.9.9.9"))
+		t.Errorf("zones %v, peer address %s", s.ZoneRegions, s.PeerAddress("10.9.9.9"))
 	}
 	if b := s.Bounds; b.Drain != 2*time.Second || b.Grace != 8*time.Second || !b.Fencing || b.RetryBudgetRatio != 0.2 || b.RetryBudgetSlack != 58 {
 		t.Errorf("bounds: %+v", b)
@@ -59,7 +59,7 @@
 	}
 	_, err := Parse([]byte(text))
 	if err == nil {
-		t.Fatal("the settings are taken for valid")
+		t.Fatal("the invalid settings are accepted")
 	}
 	goldie.New(t).Assert(t, "findings", []byte(strings.ReplaceAll(err.Error(), "; ", "\n")+"\n"))
 }
@@ -69,7 +69,7 @@
 	f.Add([]byte("a=b\nnode_name"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if s, err := Parse(text); err == nil && (s.IP == "" || s.PortFirst < 1) {
-			t.Fatalf("taken without an address or ports: %+v", s)
+			t.Fatalf("settings without an IP or ports are accepted: %+v", s)
 		}
 	})
 }
