--- a/internal/configuration/patch_test.go
+++ b/internal/configuration/patch_test.go
@@ -49,9 +49,9 @@
 	return raw
 }
 
-// TestPatchMakesTheWhole applies random sequences of patches. After each one the configuration must equal, field for field, a plain
+// TestPatchMatchesReference applies random sequences of patches. After each one the configuration must equal, field for field, a plain
 // document with the same changes, including fields that the program does not know.
-func TestPatchMakesTheWhole(t *testing.T) {
+func TestPatchMatchesReference(t *testing.T) {
 	for seed := range uint64(50) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		want := document{Version: 1, Limits: map[string]any{"max_body_bytes": 4096.0}, Unknown: "a & b"}
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestPatchesThatCannotBeRead checks that malformed patches are rejected.
-func TestPatchesThatCannotBeRead(t *testing.T) {
+// TestMalformedPatches checks that malformed patches are rejected.
+func TestMalformedPatches(t *testing.T) {
 	for _, text := range []string{"", `{"version":5`, `{"version":5,"upsert":{"routes":"one"}}`, `{"version":5,"remove":{"routes":[1]}}`, `{"version":5,"version":6}`} {
 		if _, err := ParsePatch([]byte(text)); err == nil {
 			t.Errorf("the malformed patch %q is parsed", text)
@@ -157,9 +157,9 @@
 	}
 }
 
-// TestPatchesThatChangeLittle checks edge cases of valid patches: a patch without items, one that removes items that do not exist,
+// TestPatchEdgeCases checks edge cases of valid patches: a patch without items, one that removes items that do not exist,
 // and one that creates the first configuration.
-func TestPatchesThatChangeLittle(t *testing.T) {
+func TestPatchEdgeCases(t *testing.T) {
 	for _, c := range []struct {
 		base, patch string
 		routes      int
--- a/internal/controlstate/controlstate_test.go
+++ b/internal/controlstate/controlstate_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestOrdersAreRememberedWithinABound(t *testing.T) {
+func TestRecordedOrdersAreBounded(t *testing.T) {
 	s := State{}
 	for v := int64(1); v <= maxTakenOrders+50; v++ {
 		next, _, err := s.Replace(v-1, v, []byte(fmt.Sprint(v)))
@@ -107,10 +107,10 @@
 	})
 }
 
-// TestOrdersAreRememberedAndThenNotJudged accepts more orders than the state records. A recorded order is confirmed as a
+// TestOrdersAreRecordedAndThenForgotten accepts more orders than the state records. A recorded order is confirmed as a
 // duplicate, an older one returns ErrForgotten, and one that was never accepted returns ErrConflict. The size of the state is
 // bounded.
-func TestOrdersAreRememberedAndThenNotJudged(t *testing.T) {
+func TestOrdersAreRecordedAndThenForgotten(t *testing.T) {
 	s, _ := Decode(nil)
 	raw := func(version int64) []byte { return fmt.Appendf(nil, "configuration %d", version) }
 	const orders = 3 * maxTakenOrders
--- a/internal/delta/hunks_test.go
+++ b/internal/delta/hunks_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestHunksThatDoNotFit(t *testing.T) {
+func TestHunksOutOfRange(t *testing.T) {
 	base := []byte("0123456789")
 	for _, h := range []Hunk{{From: -1, Length: 1}, {From: 0, Length: 11}, {From: 11}, {From: 5, Length: -1}, {From: 9, Length: 1 << 62}} {
 		if made, err := ApplyHunks(base, []Hunk{h}); err == nil {
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -24,9 +24,9 @@
 // at returns a function that reports the same naming time for every version.
 func at(moment time.Time) func(int64) time.Time { return func(int64) time.Time { return moment } }
 
-// TestAllGetThere simulates a rollout in which one order is refused, one is lost by a restart and one instance goes away. All other
+// TestRolloutReachesAllInstances simulates a rollout in which one order is refused, one is lost by a restart and one instance goes away. All other
 // instances must reach the new version, with no more concurrent loads than allowed.
-func TestAllGetThere(t *testing.T) {
+func TestRolloutReachesAllInstances(t *testing.T) {
 	all := fleetOf(12)
 	p := New("m")
 	start := time.Unix(0, 0)
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestMoreAtATimeAsTimeRunsOut(t *testing.T) {
+func TestConcurrentLoadsIncreaseOverTime(t *testing.T) {
 	last := 0
 	for _, elapsed := range []time.Duration{0, rampUpAfter, rampUpAfter + rampUpInterval + 1, rampUpAfter + 10*rampUpInterval} {
 		most := maxConcurrentLoads(72, elapsed)
@@ -107,9 +107,9 @@
 	}
 }
 
-// TestSilentInstanceMakesRoom checks that after the crash of an instance that has an order the others load soon, not only after
+// TestSilentInstanceDoesNotBlockOthers checks that after the crash of an instance that has an order the others load soon, not only after
 // orderTimeout.
-func TestSilentInstanceMakesRoom(t *testing.T) {
+func TestSilentInstanceDoesNotBlockOthers(t *testing.T) {
 	all := fleetOf(4)
 	p := New("m")
 	start := time.Unix(0, 0)
--- a/internal/sections/sections_test.go
+++ b/internal/sections/sections_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// TestSectionsThatStay checks that a patch does not carry unchanged sections, however large they are.
-func TestSectionsThatStay(t *testing.T) {
+// TestUnchangedSectionsAreNotSent checks that a patch does not carry unchanged sections, however large they are.
+func TestUnchangedSectionsAreNotSent(t *testing.T) {
 	large := Section{Name: "configuration", Version: 7, Body: bytes.Repeat([]byte("0123456789abcdef"), 1<<16)}
 	base := New(large, Section{Name: "leases", Version: 1, Body: []byte("one")})
 	next := New(large, Section{Name: "leases", Version: 2, Body: []byte("two")})
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestAStartDoesNotAddTime checks that a process that starts takes the ages from the register, and that a later report with lower
+// TestRestartDoesNotExtendGrace checks that a process that starts takes the ages from the register, and that a later report with lower
 // ages does not give older weights more time.
-func TestAStartDoesNotAddTime(t *testing.T) {
+func TestRestartDoesNotExtendGrace(t *testing.T) {
 	l := New(bound)
 	l.Learn(at(10), "m", 3, []Naming{{2, 7 * time.Second}, {3, 4 * time.Second}})
 	if l.Oldest(at(10), "m") != 2 || l.Oldest(at(11.2), "m") != 3 {
