--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -143,10 +143,10 @@
 	return nil
 }
 
-// TenantOf returns the tenant with this API key, or nil if there is none.
+// TenantByKey returns the tenant with this API key, or nil if there is none.
 func (c *Configuration) TenantOf(key string) *Tenant { return c.tenantsByKey[key] }
 
-// TenantNamed returns the tenant with this name, or nil if there is none.
+// TenantByName returns the tenant with this name, or nil if there is none.
 func (c *Configuration) TenantNamed(name string) *Tenant { return c.tenantsByName[name] }
 
 // KVStore returns the prompt store and the name of its service; if there are several, the first by name. store is nil if there is
--- a/internal/controlstate/controlstate.go
+++ b/internal/controlstate/controlstate.go
@@ -26,10 +26,10 @@
 // ErrForgotten means that an order builds on so old a version that the state no longer records whether it was accepted.
 var ErrForgotten = errors.New("the order is too old to tell whether it was taken")
 
-// ErrOld means that a configuration's version is not above the one in force.
+// ErrStaleVersion means that a configuration's version is not above the one in force.
 var ErrOld = errors.New("the version is not above the one in force")
 
-// ErrHeld means that another holder has the lease.
+// ErrLeaseHeld means that another holder has the lease.
 var ErrHeld = errors.New("the lease is held by another")
 
 // Digest identifies an operator's order. It is a truncated SHA-256 hash of the order's content and base version.
@@ -166,7 +166,7 @@
 }
 
 // Acquire gives a lease to holder, or renews it. seen is the lease as holder last observed it; if another holder has renewed or
-// acquired it since, Acquire returns ErrHeld. fresh means that the holder's process has not held the lease yet and needs a new
+// acquired it since, Acquire returns ErrLeaseHeld. fresh means that the holder's process has not held the lease yet and needs a new
 // token.
 func (s State) Acquire(role, holder string, seen Lease, fresh bool) (next State, err error) {
 	present := s.Leases[role]
--- a/internal/controlstate/controlstate_test.go
+++ b/internal/controlstate/controlstate_test.go
@@ -12,25 +12,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, taken, err := s.Replace(0, 3, []byte("three"))
-	if err != nil || taken {
-		t.Fatalf("first configuration: error %v, duplicate %t", err, taken)
+	first, duplicate, err := s.Replace(0, 3, []byte("three"))
+	if err != nil || duplicate {
+		t.Fatalf("first configuration: error %v, duplicate %t", err, duplicate)
 	}
 	if _, _, err := first.Replace(0, 5, []byte("five")); !errors.Is(err, ErrConflict) {
 		t.Errorf("a configuration built on a version that is not in force: error %v, want ErrConflict", err)
 	}
 	if _, _, err := first.Replace(3, 3, []byte("other")); !errors.Is(err, ErrOld) {
-		t.Errorf("a configuration whose version is not higher: error %v, want ErrOld", err)
+		t.Errorf("a configuration whose version is not higher: error %v, want ErrStaleVersion", err)
 	}
 	second, _, err := first.Replace(3, 9, []byte("nine"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if same, taken, err := second.Replace(0, 3, []byte("three")); err != nil || !taken || same.Version != 9 {
-		t.Errorf("an accepted configuration sent again after its successor: error %v, duplicate %t, version %d", err, taken, same.Version)
+	if same, duplicate, err := second.Replace(0, 3, []byte("three")); err != nil || !duplicate || same.Version != 9 {
+		t.Errorf("an accepted configuration sent again after its successor: error %v, duplicate %t, version %d", err, duplicate, same.Version)
 	}
-	if _, taken, err := second.Replace(0, 3, []byte("another under its number")); taken || !errors.Is(err, ErrConflict) {
-		t.Errorf("another configuration under a used version: duplicate %t, error %v", taken, err)
+	if _, duplicate, err := second.Replace(0, 3, []byte("another under its number")); duplicate || !errors.Is(err, ErrConflict) {
+		t.Errorf("another configuration under a used version: duplicate %t, error %v", duplicate, err)
 	}
 	decoded, err := Decode(second.Encode())
 	if err != nil {
@@ -53,8 +53,8 @@
 	if len(s.Taken) != maxTakenOrders {
 		t.Errorf("%d orders are recorded", len(s.Taken))
 	}
-	if _, taken, err := s.Replace(99, 100, []byte("100")); err != nil || !taken {
-		t.Errorf("a recent order sent again: duplicate %t, error %v", taken, err)
+	if _, duplicate, err := s.Replace(99, 100, []byte("100")); err != nil || !duplicate {
+		t.Errorf("a recent order sent again: duplicate %t, error %v", duplicate, err)
 	}
 }
 
@@ -81,7 +81,7 @@
 		t.Fatalf("renewal: error %v, leases %+v", err, renewed.Leases)
 	}
 	if _, err := renewed.Acquire("role", "b", a, true); !errors.Is(err, ErrHeld) {
-		t.Errorf("acquired from a holder that has renewed it since: error %v, want ErrHeld", err)
+		t.Errorf("acquired from a holder that has renewed it since: error %v, want ErrLeaseHeld", err)
 	}
 	taken, err := renewed.Acquire("role", "b", renewed.Leases["role"], true)
 	if err != nil || taken.Leases["role"].Token <= a.Token {
@@ -115,19 +115,19 @@
 	raw := func(version int64) []byte { return fmt.Appendf(nil, "configuration %d", version) }
 	const orders = 3 * maxTakenOrders
 	for version := int64(1); version <= orders; version++ {
-		next, taken, err := s.Replace(version-1, version, raw(version))
-		if err != nil || taken {
-			t.Fatalf("order %d: duplicate %t, error %v", version, taken, err)
+		next, duplicate, err := s.Replace(version-1, version, raw(version))
+		if err != nil || duplicate {
+			t.Fatalf("order %d: duplicate %t, error %v", version, duplicate, err)
 		}
 		if s, err = Decode(next.Encode()); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for version := int64(1); version <= orders; version++ {
-		_, taken, err := s.Replace(version-1, version, raw(version))
+		_, duplicate, err := s.Replace(version-1, version, raw(version))
 		known := version > orders-maxTakenOrders
-		if taken != known || !known && !errors.Is(err, ErrForgotten) {
-			t.Fatalf("order %d of %d sent again: duplicate %t, error %v", version, orders, taken, err)
+		if duplicate != known || !known && !errors.Is(err, ErrForgotten) {
+			t.Fatalf("order %d of %d sent again: duplicate %t, error %v", version, orders, duplicate, err)
 		}
 	}
 	if _, _, err := s.Replace(orders-5, orders+1, raw(7)); !errors.Is(err, ErrConflict) {
@@ -164,15 +164,15 @@
 	appending := func(text string) func([]byte) ([]byte, error) {
 		return func(whole []byte) ([]byte, error) { return append(whole, text...), nil }
 	}
-	updated, taken, err := s.Update(3, 5, []byte("+1"), appending(" and more"))
-	if err != nil || taken || updated.Version != 5 {
-		t.Fatalf("an update: error %v, duplicate %t, version %d", err, taken, updated.Version)
+	updated, duplicate, err := s.Update(3, 5, []byte("+1"), appending(" and more"))
+	if err != nil || duplicate || updated.Version != 5 {
+		t.Fatalf("an update: error %v, duplicate %t, version %d", err, duplicate, updated.Version)
 	}
 	if string(updated.Config) != "three and more" {
 		t.Errorf("updated configuration: %q", updated.Config)
 	}
-	if _, taken, err := updated.Update(3, 5, []byte("+1"), appending(" and more")); err != nil || !taken {
-		t.Errorf("the update sent again: error %v, duplicate %t", err, taken)
+	if _, duplicate, err := updated.Update(3, 5, []byte("+1"), appending(" and more")); err != nil || !duplicate {
+		t.Errorf("the update sent again: error %v, duplicate %t", err, duplicate)
 	}
 	if _, _, err := updated.Update(3, 5, []byte("+2"), appending(" and other")); !errors.Is(err, ErrConflict) {
 		t.Errorf("another update on the same version: error %v, want ErrConflict", err)
@@ -181,7 +181,7 @@
 		t.Errorf("a complete configuration with the text of an update: error %v, want ErrConflict", err)
 	}
 	if _, _, err := updated.Update(5, 5, []byte("+3"), appending("")); !errors.Is(err, ErrOld) {
-		t.Errorf("an update whose version is not higher: error %v, want ErrOld", err)
+		t.Errorf("an update whose version is not higher: error %v, want ErrStaleVersion", err)
 	}
 	invalid := errors.New("invalid")
 	if after, _, err := updated.Update(5, 6, []byte("+4"), func([]byte) ([]byte, error) { return nil, invalid }); !errors.Is(err, invalid) || after.Version != 5 {
@@ -191,8 +191,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, taken, err := next.Update(3, 5, []byte("+1"), appending(" and more")); err != nil || !taken {
-		t.Errorf("the update sent again after its successor: error %v, duplicate %t", err, taken)
+	if _, duplicate, err := next.Update(3, 5, []byte("+1"), appending(" and more")); err != nil || !duplicate {
+		t.Errorf("the update sent again after its successor: error %v, duplicate %t", err, duplicate)
 	}
 	for v := int64(10); v < 10+maxTakenOrders; v++ {
 		if next, _, err = next.Replace(v-1, v, []byte("x")); err != nil {
--- a/internal/controlstate/packing_test.go
+++ b/internal/controlstate/packing_test.go
@@ -127,7 +127,7 @@
 		s.Leases["weights/m"] != (Lease{Holder: "n1", Token: 2, Renewal: 3}) {
 		t.Errorf("decoded state: %+v", s)
 	}
-	if _, taken, err := s.Replace(0, 3, []byte(`{"version":3}`)); err != nil || !taken {
-		t.Errorf("an order that the earlier release accepted, sent again: duplicate %t, error %v", taken, err)
+	if _, duplicate, err := s.Replace(0, 3, []byte(`{"version":3}`)); err != nil || !duplicate {
+		t.Errorf("an order that the earlier release accepted, sent again: duplicate %t, error %v", duplicate, err)
 	}
 }
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -20,11 +20,11 @@
 }
 
 type broker struct {
-	name   string
-	lease  *Lease
-	cut    bool // partitioned from the register
-	frozen bool
-	seen   controlstate.Lease // last read from the register
+	name        string
+	lease       *Lease
+	partitioned bool // from the register
+	frozen      bool
+	seen        controlstate.Lease // last read from the register
 }
 
 // simulateTurns runs 3000 random steps of four brokers.
@@ -48,18 +48,18 @@
 		b := brokers[rng.IntN(len(brokers))]
 		switch rng.IntN(200) {
 		case 0:
-			b.cut = !b.cut
+			b.partitioned = !b.partitioned
 		case 1:
 			b.frozen = !b.frozen
 		}
 		if b.frozen {
 			continue
 		}
-		if !b.cut && rng.IntN(3) == 0 {
+		if !b.partitioned && rng.IntN(3) == 0 {
 			b.seen = state.Leases["role"]
 		}
 		b.lease.Observe(now, b.seen)
-		if b.lease.Due(now, time.Unix(1000, 0), live) && !b.cut {
+		if b.lease.Due(now, time.Unix(1000, 0), live) && !b.partitioned {
 			begun := now
 			next, err := state.Acquire("role", b.name, b.seen, !b.lease.Had())
 			now = now.Add(time.Duration(rng.IntN(100)) * time.Millisecond)
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -134,7 +134,7 @@
 	return oldest
 }
 
-// Since returns when the first version above this one was named, or the zero time if there is no newer version.
+// SupersededAt returns when the first version above this one was named, or the zero time if there is no newer version.
 func (l *Ledger) Since(model string, version int64) (since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
