--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -9,25 +9,26 @@
 	"gullstair/internal/controlstate"
 )
 
-// TestTurns plays brokers that see the register late, are frozen and cut off from it, and act whenever they may. Where
-// instances do not check fences, two holders' turns never come within the bound; a token has one holder.
+// TestTurns simulates brokers that observe the register late, freeze and get partitioned from it, and act whenever they may. Each
+// token must have one holder. Where instances do not check fencing tokens, the actions of two holders must be at least minGap apart.
 func TestTurns(t *testing.T) {
 	for _, fencing := range []bool{false, true} {
 		for seed := range uint64(300) {
-			turns(t, seed, fencing)
+			simulateTurns(t, seed, fencing)
 		}
 	}
 }
 
 type broker struct {
-	name   string
-	lease  *Lease
-	cut    bool // from the register
-	frozen bool
-	seen   controlstate.Lease
+	name        string
+	lease       *Lease
+	partitioned bool // from the register
+	frozen      bool
+	seen        controlstate.Lease // last read from the register
 }
 
-func turns(t *testing.T, seed uint64, fencing bool) {
+// simulateTurns runs 3000 random steps of four brokers.
+func simulateTurns(t *testing.T, seed uint64, fencing bool) {
 	const bound = 3 * time.Second
 	rng := rand.New(rand.NewPCG(seed, 9))
 	state := controlstate.State{}
@@ -47,18 +48,18 @@
 		b := brokers[rng.IntN(len(brokers))]
 		switch rng.IntN(200) {
 		case 0:
-			b.cut = !b.cut
+			b.partitioned = !b.partitioned
 		case 1:
 			b.frozen = !b.frozen
 		}
 		if b.frozen {
 			continue
 		}
-		if !b.cut && rng.IntN(3) == 0 {
+		if !b.partitioned && rng.IntN(3) == 0 {
 			b.seen = state.Leases["role"]
 		}
 		b.lease.Observe(now, b.seen)
-		if b.lease.Due(now, time.Unix(1000, 0), live) && !b.cut {
+		if b.lease.Due(now, time.Unix(1000, 0), live) && !b.partitioned {
 			begun := now
 			next, err := state.Acquire("role", b.name, b.seen, !b.lease.Had())
 			now = now.Add(time.Duration(rng.IntN(100)) * time.Millisecond)
@@ -86,14 +87,14 @@
 		lastHolder, lastToken, lastAt = b.name, token, now
 	}
 	if acted == 0 {
-		t.Fatalf("seed %d: nobody ever acted", seed)
+		t.Fatalf("seed %d: no broker ever acted", seed)
 	}
 }
 
 func TestOwner(t *testing.T) {
 	live := []string{"a", "b", "c", "d"}
 	if Owner("role", nil) != "" {
-		t.Error("nobody is live and somebody owns")
+		t.Error("a role has an owner although no broker is live")
 	}
 	counts := map[string]int{}
 	for i := range 4000 {
