--- a/logic/dispatch.go
+++ b/logic/dispatch.go
@@ -5,58 +5,56 @@
 	"math"
 )
 
-// What is sent where, and when again.
-
-// missing returns the parts of s to be asked now with the holders each may go to, the weight that can no
-// longer come, and when to look again. A part that is late at a node gone silent gets a second copy or, where
-// the site allows none, a recall; one that is just slow keeps its place: asking again would feed the jam.
-func (b *Broker) missing(s *scan) (asks []*part, lost, held, at float64) {
+// partsToSend returns the parts of s to dispatch now, the weight that can no longer arrive, the weight that
+// waits for a holder, and when to check again. A late part at a silent node gets a second copy or, where
+// copies are off, a recall. A part that is merely slow stays: a copy would add to an overload.
+func (b *Broker) partsToSend(s *scan) (toSend []*part, lost, waiting, at float64) {
 	typ, open, next := &b.types[s.typ], 0.0, s.endAt
 	for _, p := range s.parts {
 		if p.open > 0 && !p.done {
 			open++
 		}
 	}
-	quiet := s.heard + typ.mean*(1+quietMeans/open)
-	if b.flag("limit.secondCopies") { // the last moment for a copy in time; a recall is dearer
-		quiet = min(quiet, s.targetAt-typ.mean-typ.dev)
+	copyAt := s.lastAnswer + typ.mean*(1+copyDelayMeans/open)
+	if b.flag("limit.secondCopies") { // the last moment for a copy in time; a recall costs more
+		copyAt = min(copyAt, s.targetAt-typ.mean-typ.dev)
 	}
 	for _, p := range s.parts {
-		late, silent, passedBy := p.open > 0, false, false
+		late, silent, overtaken := p.open > 0, false, false
 		for i := range p.tries {
-			// Crashed, cut off, or its answers are lost: the symptom is silence, of the node for longer than what is
-			// out there explains, or for this dispatch though one sent when it was late has come: the node works, the
-			// answer is lost. It holds against parts that hang too. A jam holds up both alike; a recall would feed it.
+			// A node is silent if it has not answered for longer than its open work explains. A dispatch is overtaken
+			// if its node answered another one that was sent when this one was late: the node works, but the answer
+			// is lost or the part hangs. An overload delays both alike, and a recall would add to it.
 			d, n := &p.tries[i], p.tries[i].node
-			passed := b.passed[n] > d.late && b.due(d.silent)
-			gone := passed || b.now-max(d.at, b.heard[n]) > d.wait
-			silent = silent || gone || b.poor(n) || b.heard[n] < d.at && b.flag("limit.secondCopies")
-			passedBy = passedBy || passed && d.open
+			newerAnswered := b.newestAnswered[n] > d.lateAt && b.due(d.silentAt)
+			isSilent := newerAnswered || b.now-max(d.sentAt, b.lastAnswer[n]) > d.grace
+			silent = silent || isSilent || b.unhealthy(n) || b.lastAnswer[n] < d.sentAt && b.flag("limit.secondCopies")
+			overtaken = overtaken || newerAnswered && d.open
 			if !d.open || p.done {
 				continue
 			}
-			if !b.due(d.late) {
-				next = min(next, d.late)
-			} else if !d.lateSeen && b.flag("limit.peers") { // a first sign, for all
-				d.lateSeen = true
-				if b.heard[n] < d.at {
-					b.lateAt[n], b.news = b.now, report(b.news, b.nodeID[n], noteLate)
+			if !b.due(d.lateAt) {
+				next = min(next, d.lateAt)
+			} else if !d.lateReported && b.flag("limit.peers") { // tell other brokers at once
+				d.lateReported = true
+				if b.lastAnswer[n] < d.sentAt {
+					b.lateAt[n], b.records = b.now, appendRecord(b.records, b.nodeID[n], noteLate)
 				}
 			}
-			if at := max(d.late, quiet); !b.due(at) && !passed {
+			if at := max(d.lateAt, copyAt); !b.due(at) && !newerAnswered {
 				late, next = false, min(next, at)
-			} else if !b.due(d.silent) {
-				next = min(next, d.silent)
-			} else if next = min(next, b.now+lookAgain); gone && !d.lostSeen {
-				// Silence of the node itself weighs two failures, and of one long unheard a single one is enough.
-				if d.lostSeen = true; b.judge(n, false, false) && !passed {
-					if b.history[n] <<= 1; b.now-b.heard[n] > recent {
+			} else if !b.due(d.silentAt) {
+				next = min(next, d.silentAt)
+			} else if next = min(next, b.now+recheckDelay); isSilent && !d.silenceCounted {
+				// A silent node counts two failures; without an answer in latencyMaxAge, one ejects it.
+				if d.silenceCounted = true; b.recordOutcome(n, false, false) && !newerAnswered {
+					if b.history[n] <<= 1; b.now-b.lastAnswer[n] > latencyMaxAge {
 						b.history[n] = 2
 					}
 				}
-			} else if !gone && !d.slowSeen {
-				d.slowSeen = true
-				b.sawLatency(p, d, b.now-d.at, true)
+			} else if !isSilent && !d.slowCounted {
+				d.slowCounted = true
+				b.recordLatency(p, d, b.now-d.sentAt, true)
 			}
 		}
 		if p.done || p.open > 0 && !late {
@@ -65,132 +63,132 @@
 		if !b.mayDispatch(p) {
 			if p.open == 0 {
 				lost += p.weight
-				b.compare(p, false)
+				b.compareShadow(p, false)
 			}
 			continue
 		}
-		p.nodes = b.eligible(p)
-		again := p.open == 1 && silent && len(p.nodes) > 0 && (passedBy || b.spare >= 1 &&
-			!b.sick(p.nodes[0]) && p.nodes[0] != p.tries[len(p.tries)-1].node)
-		failed := len(p.nodes) > 0 && b.tried(p, p.nodes[0]) && b.now < p.tries[len(p.tries)-1].at+lookAgain
-		if p.open == 0 && (len(p.nodes) == 0 || failed) { // nobody, or it has just failed there
-			held, next = held+p.weight, min(next, b.now+lookAgain)
+		p.candidates = b.eligible(p)
+		again := p.open == 1 && silent && len(p.candidates) > 0 && (overtaken || b.hedgeBudget >= 1 &&
+			!b.ejected(p.candidates[0]) && p.candidates[0] != p.tries[len(p.tries)-1].node)
+		failed := len(p.candidates) > 0 && b.tried(p, p.candidates[0]) &&
+			b.now < p.tries[len(p.tries)-1].sentAt+recheckDelay
+		if p.open == 0 && (len(p.candidates) == 0 || failed) { // no holder, or the part has just failed there
+			waiting, next = waiting+p.weight, min(next, b.now+recheckDelay)
 		} else if p.open == 0 || again && b.allows(p, "limit.secondCopies") {
-			asks = append(asks, p)
+			toSend = append(toSend, p)
 			if p.open > 0 {
-				b.spare -= 1 / open // the more are silent together, the surer it is
+				b.hedgeBudget -= 1 / open // several silent parts are stronger evidence
 			}
-			if len(p.tries) > 0 { // counted here, so that one scan's parts cannot pass the budget together
-				b.compare(p, true)
-				at := b.budgetOf(p)
-				b.extras[at], b.fleetSpare = append(b.extras[at], [2]float64{b.now}), b.fleetSpare-1
+			if len(p.tries) > 0 { // counted here: parts of one scan share the budget
+				b.compareShadow(p, true)
+				at := b.budgetKey(p)
+				b.retries[at], b.fleetBudget = append(b.retries[at], [2]float64{b.now}), b.fleetBudget-1
 			}
-		} else if again && b.due(p.tries[len(p.tries)-1].silent) && b.allows(p, "limit.cancelling") {
+		} else if again && b.due(p.tries[len(p.tries)-1].silentAt) && b.allows(p, "limit.cancelling") {
 			b.recall(p)
-			b.spare = max(0, b.spare-1/open)
+			b.hedgeBudget = max(0, b.hedgeBudget-1/open)
 		}
 	}
-	return asks, lost, held, next
+	return toSend, lost, waiting, next
 }
 
-// mayDispatch is the one gate for every dispatch: it guards the rules on effects, dispatches for a part and
-// the budget. Past its target time a scan asks again for a little only: the rest would feed a jam.
+// mayDispatch checks every dispatch of p: the rules on effects, the limit of dispatches and the retry
+// budgets. Past its target time a scan may retry only a little of its weight: more would add to an overload.
 func (b *Broker) mayDispatch(p *part) bool {
 	if typ := &b.types[p.scan.typ]; len(p.tries) == 0 {
 		return true
-	} else if b.due(p.scan.targetAt) && !p.began && 1-p.scan.got > lateTail*typ.lateBenefit {
+	} else if b.due(p.scan.targetAt) && !p.streaming && 1-p.scan.received > lateRetryShare*typ.lateBenefit {
 		return false
 	}
-	why := b.barred(p, &b.terms)
+	why := b.blockedBy(p, &b.settings)
 	if why == "fleet" {
-		b.do(Action{Kind: Short})
+		b.emit(Action{Kind: Short})
 	}
 	return why == ""
 }
 
-// barred names the rule that keeps p from a further dispatch under some terms, if there is one.
-func (b *Broker) barred(p *part, t *terms) string {
+// blockedBy returns the name of the rule that forbids p a further dispatch under settings t, or "".
+func (b *Broker) blockedBy(p *part, t *settings) string {
 	at := fmt.Sprintf("tableType.%d.", p.scan.typ)
-	first, window := p.firstRun(), t.num("rules.budgetWindow")
-	keyed := t.stated[at+"effect"] == "keyed" && b.now <= first+t.num(at+"repeatWindow")-4*b.num("turn")
-	if first >= 0 && t.stated[at+"effect"] != "replayable" && !keyed {
+	first, window := p.firstRunAt(), t.num("rules.budgetWindow")
+	keyed := t.values[at+"effect"] == "keyed" && b.now <= first+t.num(at+"repeatWindow")-4*b.num("turn")
+	if first >= 0 && t.values[at+"effect"] != "replayable" && !keyed {
 		return "effect"
-	} else if !b.triesLeft(p, t) {
+	} else if !b.attemptsLeft(p, t) {
 		return "dispatches"
-	} else if b.fleetSpare < 1 { // what all brokers together may send beyond first dispatches
+	} else if b.fleetBudget < 1 { // the retry budget of the whole fleet
 		return "fleet"
 	}
-	longest, key := b.now-max(b.num("rules.budgetWindow"), b.watch.num("rules.budgetWindow")), b.budgetOf(p)
-	b.extras[key], b.taken[key] = within(b.extras[key], longest), within(b.taken[key], longest)
-	extras, taken := within(b.extras[key], b.now-window), within(b.taken[key], b.now-window)
-	most := t.num("rules.spareDispatches") + t.num("rules.spareShare")*float64(len(taken))
-	if window > 0 && float64(len(extras))+1 > most {
+	longest, key := b.now-max(b.num("rules.budgetWindow"), b.shadow.num("rules.budgetWindow")), b.budgetKey(p)
+	b.retries[key], b.accepted[key] = dropUntil(b.retries[key], longest), dropUntil(b.accepted[key], longest)
+	retries, accepted := dropUntil(b.retries[key], b.now-window), dropUntil(b.accepted[key], b.now-window)
+	most := t.num("rules.spareDispatches") + t.num("rules.spareShare")*float64(len(accepted))
+	if window > 0 && float64(len(retries))+1 > most {
 		return "budget"
 	}
 	return ""
 }
 
-// eligible returns the holders that p may go to now: sound ones that it has not been to, else sound ones,
-// else any. A holder that drains, is gone, is cold and has had its share, or is not permitted to the scan is
-// never among them.
+// eligible returns the holders that p may go to now: healthy ones not tried yet, else healthy ones, else
+// ejected ones. It omits nodes that drain, are gone, exceed slow start or are not permitted to the scan.
 func (b *Broker) eligible(p *part) []int {
-	var fresh, sound, poor []int
+	var untried, healthy, unhealthy []int
 	for j := 0; p.shard < int(b.num("layout.shards")) && j < int(b.num("layout.reach")); j++ {
-		for _, n := range b.inCell[(p.shard+j)%len(b.inCell)] {
-			if may := p.scan.permitted; may != nil && !may[b.nodeID[n]] || !b.mayWarm(n) {
+		for _, n := range b.readyInCell[(p.shard+j)%len(b.readyInCell)] {
+			if may := p.scan.permitted; may != nil && !may[b.nodeID[n]] || !b.slowStartAllows(n) {
 				continue
-			} else if b.sick(n) {
-				poor = append(poor, n)
+			} else if b.ejected(n) {
+				unhealthy = append(unhealthy, n)
 			} else if b.tried(p, n) {
-				sound = append(sound, n)
+				healthy = append(healthy, n)
 			} else {
-				fresh = append(fresh, n)
+				untried = append(untried, n)
 			}
 		}
 	}
-	if len(fresh)+len(sound) == 0 {
-		return poor
-	} else if len(fresh) == 0 {
-		return sound
+	if len(untried)+len(healthy) == 0 {
+		return unhealthy
+	} else if len(untried) == 0 {
+		return healthy
 	}
-	return fresh
+	return untried
 }
 
-// send dispatches p to node n in this turn's call and returns when the dispatch will be late.
+// send dispatches p to node n in this turn's call and returns the time at which the dispatch is late.
 func (b *Broker) send(p *part, n int) float64 {
-	s, typ, c := p.scan, &b.types[p.scan.typ], b.turn[n]
+	s, typ, c := p.scan, &b.types[p.scan.typ], b.turnCalls[n]
 	if c == nil || c.parts >= int(b.num("layout.batch")) {
 		c = &call{node: n, work: b.num("layout.callWork")}
-		b.turn[n], b.calls = c, append(b.calls, c)
-		b.outCalls[n]++
-		b.outWork[n] += c.work
+		b.turnCalls[n], b.calls = c, append(b.calls, c)
+		b.openCalls[n]++
+		b.openWork[n] += c.work
 	}
-	source, save := b.prepare(p, n)
-	c.parts, c.out, c.work = c.parts+1, c.out+1, c.work+p.work
-	b.outWork[n] += p.work
-	b.allowed[n] -= p.work // the rule counts parts, not calls
-	b.meanWork += typShare * (p.work - b.meanWork)
-	limit, late := s.endAt, b.now+max(typ.mean+lateDevs*typ.dev, 4*b.num("turn"))
-	// At eight deviations, or at the last moment from which another dispatch is likely to make the target time.
-	silent := max(late, min(late+(silentDevs-lateDevs)*typ.dev, s.targetAt-typ.mean-typ.dev))
+	source, save := b.preparePrompt(p, n)
+	c.parts, c.open, c.work = c.parts+1, c.open+1, c.work+p.work
+	b.openWork[n] += p.work
+	b.allowance[n] -= p.work // slow start counts parts, not calls
+	b.meanWork += meanAlpha * (p.work - b.meanWork)
+	limit, lateAt := s.endAt, b.now+max(typ.mean+lateDeviations*typ.dev, 4*b.num("turn"))
+	// At silentDeviations, or at the last moment for another dispatch to meet the target time.
+	silentAt := max(lateAt, min(lateAt+(silentDeviations-lateDeviations)*typ.dev, s.targetAt-typ.mean-typ.dev))
 	if !b.flag("limit.secondCopies") && !b.flag("limit.cancelling") {
-		limit = min(limit, silent) // nothing but the time-out can take the part back from a silent node
+		limit = min(limit, silentAt) // only a timeout frees the part from a silent node
 	}
 	if len(p.tries) == 0 {
-		b.spare = min(b.spare+spareShare, spareMost)
+		b.hedgeBudget = min(b.hedgeBudget+hedgeRatio, hedgeBudgetMax)
 	}
-	s.heard = max(s.heard, b.now)
-	if typ.partial*b.least(s)/typ.need > typ.lateBenefit && b.least(s) < typ.need && !b.due(s.targetAt) {
-		limit = min(limit, s.targetAt) // it is answered then: a node need not begin what comes later
+	s.lastAnswer = max(s.lastAnswer, b.now)
+	if typ.partial*b.minWeight(s)/typ.need > typ.lateBenefit && b.minWeight(s) < typ.need && !b.due(s.targetAt) {
+		limit = min(limit, s.targetAt) // it is answered then; a node need not begin it later
 	}
-	lat, under := b.lat(n)
-	wait := max(silent-b.now, silentLoads*b.load(n)*lat/max(under, 0.001))
-	p.tries = append(p.tries, dispatch{node: n, call: c, at: b.now, late: late, silent: silent, wait: wait,
-		fresh: !b.linked(n), load: b.load(n), read: p.read, open: true, ran: true})
+	lat, under := b.recentLatency(n)
+	grace := max(silentAt-b.now, silentLoadFactor*b.load(n)*lat/max(under, 0.001))
+	p.tries = append(p.tries, dispatch{node: n, call: c, sentAt: b.now, lateAt: lateAt, silentAt: silentAt,
+		grace: grace, newConn: !b.connected(n), load: b.load(n), tokens: p.tokens, open: true, mayHaveRun: true})
 	p.open++
-	b.do(Action{Kind: Dispatch, ID: p.id, Node: b.nodeID[n], After: limit - b.now, Source: source, Save: save,
+	b.emit(Action{Kind: Dispatch, ID: p.id, Node: b.nodeID[n], After: limit - b.now, Source: source, Save: save,
 		Load: b.load(n) - p.work, Work: p.work})
-	return late
+	return lateAt
 }
 
 func (b *Broker) dispatchEnded(e *Event) {
@@ -201,65 +199,66 @@
 	d := &p.tries[e.Dispatch]
 	n, s, typ := d.node, p.scan, &b.types[p.scan.typ]
 	d.open, p.open = false, p.open-1
-	b.outWork[n] = max(0, b.outWork[n]-p.work)
-	if d.call.out--; d.call.out == 0 {
-		b.outWork[n] = max(0, b.outWork[n]-b.num("layout.callWork"))
-		b.outCalls[n]--
+	b.openWork[n] = max(0, b.openWork[n]-p.work)
+	if d.call.open--; d.call.open == 0 {
+		b.openWork[n] = max(0, b.openWork[n]-b.num("layout.callWork"))
+		b.openCalls[n]--
 	}
-	took := e.Elapsed // without what the connection took: that is no sign of load
-	if d.fresh && e.Outcome == Completed {
-		b.refusing -= typShare * b.refusing
-		more := min(e.Elapsed, b.num("limit.connectTimeout")+b.meanLat*typ.target)/typ.target - b.meanLat
-		b.connecting = max(0, b.connecting+typShare*(more-b.connecting))
-		took = max(0, took-b.connecting*typ.target)
-	} else if d.fresh && e.Outcome == ConnRefused {
-		b.refusing += typShare * (1 - b.refusing)
+	took := e.Elapsed // without connection setup, which is no sign of load
+	if d.newConn && e.Outcome == Completed {
+		b.refusalRate -= meanAlpha * b.refusalRate
+		more := min(e.Elapsed, b.num("limit.connectTimeout")+b.meanLatency*typ.target)/typ.target - b.meanLatency
+		b.connectCost = max(0, b.connectCost+meanAlpha*(more-b.connectCost))
+		took = max(0, took-b.connectCost*typ.target)
+	} else if d.newConn && e.Outcome == ConnRefused {
+		b.refusalRate += meanAlpha * (1 - b.refusalRate)
 	}
 	switch e.Outcome {
 	case Completed:
-		b.used[n], b.heard[n], b.passed[n] = b.now, b.now, max(b.passed[n], d.at)
-		b.full[b.budgetOf(p)] -= typShare * b.full[b.budgetOf(p)]
-		b.answers, b.newsAt = b.answers+1, b.now
-		if !d.began { // of a stream its first event has told
-			b.sawLatency(p, d, took, false)
-			typ.saw(e.Elapsed, b.num("layout.callWork"))
+		b.connUsedAt[n], b.lastAnswer[n], b.newestAnswered[n] = b.now, b.now, max(b.newestAnswered[n], d.sentAt)
+		b.saturation[b.budgetKey(p)] -= meanAlpha * b.saturation[b.budgetKey(p)]
+		b.answers, b.lastSignal = b.answers+1, b.now
+		if !d.streaming { // for a stream: recorded at its first event
+			b.recordLatency(p, d, took, false)
+			typ.observe(e.Elapsed, b.num("layout.callWork"))
 		}
-		b.done, b.doneAt = b.done*math.Exp((b.doneAt-b.now)/recent)+p.work, b.now
-		b.judge(n, true, b.due(d.late))
+		b.doneWork, b.doneAt = b.doneWork*math.Exp((b.doneAt-b.now)/latencyMaxAge)+p.work, b.now
+		b.recordOutcome(n, true, b.due(d.lateAt))
 		if !p.done {
-			p.done, s.heard = true, b.now
-			s.got += p.weight
-			if e.Dispatch > 0 && (p.open > 0 || !b.due(d.late)) { // it came first, or soon: it was worth it
-				b.spare = min(b.spare+1, spareMost)
+			p.done, s.lastAnswer = true, b.now
+			s.received += p.weight
+			if e.Dispatch > 0 && (p.open > 0 || !b.due(d.lateAt)) { // the copy won or was fast
+				b.hedgeBudget = min(b.hedgeBudget+1, hedgeBudgetMax)
 			}
 			b.recall(p)
 		}
 	case Errored, Severed:
-		b.judge(n, false, false)
-	case ConnRefused: // nobody is there: no need for more proof
-		b.used[n], b.history[n] = longAgo, 6
-		if d.fresh && b.refusing > slowLinks { // connecting is slow everywhere: it holds for this broker alone
-			b.note(n, false)
-		} else if b.judge(n, false, false) {
-			b.news[len(b.news)-1] = noteNobody
+		b.recordOutcome(n, false, false)
+	case ConnRefused: // nothing listens there: ejected at once
+		b.connUsedAt[n], b.history[n] = longAgo, 6
+		if d.newConn && b.refusalRate > refusalThreshold { // slow network: not reported to peers
+			b.updateHistory(n, false)
+		} else if b.recordOutcome(n, false, false) {
+			b.records[len(b.records)-1] = noteRefused
 		}
-	case Saturated: // full, not ill: it counts as slow
-		b.heard[n], b.full[b.budgetOf(p)] = b.now, b.full[b.budgetOf(p)]+typShare*(1-b.full[b.budgetOf(p)])
-		b.sawLatency(p, d, typ.target, true)
+	case Saturated: // full but healthy: counts as slow
+		b.lastAnswer[n], b.saturation[b.budgetKey(p)] =
+			b.now, b.saturation[b.budgetKey(p)]+meanAlpha*(1-b.saturation[b.budgetKey(p)])
+		b.recordLatency(p, d, typ.target, true)
 	}
-	d.ran = e.Outcome != Saturated && e.Outcome != ConnRefused && e.Outcome != Superseded // else it never ran
+	d.mayHaveRun = e.Outcome != Saturated && e.Outcome != ConnRefused && e.Outcome != Superseded
 	if s.ended && p.open == 0 {
 		delete(b.parts, p.id)
 	}
-	b.touch(s)
+	b.markDirty(s)
 }
 
-// recall stops waiting for p's open dispatches; a node may then drop what it has not begun.
+// recall cancels the open dispatches of p; a node may then drop what it has not begun.
 func (b *Broker) recall(p *part) {
 	for i := range p.tries {
 		if d := &p.tries[i]; d.open && b.flag("limit.cancelling") {
-			d.late = math.Inf(1)
-			b.do(Action{Kind: Recall, ID: p.id, Dispatch: i})
+			d.lateAt = math.Inf(1)
+			b.emit(Action{Kind: Recall, ID: p.id, Dispatch: i})
 		}
 	}
 }
--- a/logic/gossip.go
+++ b/logic/gossip.go
@@ -4,46 +4,44 @@
 	"slices"
 )
 
-// What brokers tell each other.
-
-// tell lets the other brokers know which work went where this turn, and which nodes failed or recovered.
-func (b *Broker) tell() {
+// sendNotes reports this turn's work, and nodes that failed or recovered, to the other brokers.
+func (b *Broker) sendNotes() {
 	wide := false
 	for _, c := range b.calls {
-		b.news = report(b.news, b.nodeID[c.node], worded(c.work))
-		wide = wide || c.work > wideWork*b.typTarget
+		b.records = appendRecord(b.records, b.nodeID[c.node], workByte(c.work))
+		wide = wide || c.work > wideWork*b.meanTarget
 	}
-	b.compareNotes()
-	for i := 0; i < len(b.news) && b.flag("limit.peers"); i += noteMost {
-		b.do(Action{Kind: Tell, Note: b.news[i:min(i+noteMost, len(b.news))], Wide: wide})
+	b.compareShadowNotes()
+	for i := 0; i < len(b.records) && b.flag("limit.peers"); i += noteMaxSize {
+		b.emit(Action{Kind: Tell, Note: b.records[i:min(i+noteMaxSize, len(b.records))], Wide: wide})
 	}
 }
 
-// takeNote takes up what another broker told. Notes may be lost, late or spoilt: nothing rests on one alone.
-func (b *Broker) takeNote(note []byte) {
-	if !readable(note) {
-		b.unreadable()
+// applyNote applies a note of another broker. Notes may be lost, late or malformed: each has a small effect.
+func (b *Broker) applyNote(note []byte) {
+	if !validNote(note) {
+		b.countMalformed()
 		return
 	}
-	for r := range slices.Chunk(note, noteRecord) {
-		switch n, known := b.byCode[uint16(r[0])<<8|uint16(r[1])]; {
-		case !known: // a node that this broker has not been told of
-		case r[2] <= noteFull:
-			b.others[n], b.othersAt[n] = b.load(n)-b.outWork[n]+float64(r[2])*noteWork, b.now
-			b.answers, b.newsAt = b.answers+1, b.now
-			if b.poor(n) { // it is being tried; after long with no ill word others work with it: its news was lost
-				b.restEnd[n] = max(b.restEnd[n], min(b.now+restTime, b.failAt[n]+recent))
+	for r := range slices.Chunk(note, noteRecordSize) {
+		switch n, known := b.nodeByCode[uint16(r[0])<<8|uint16(r[1])]; {
+		case !known: // a node that is not in the list
+		case r[2] <= noteMaxWork:
+			b.peerWork[n], b.peerWorkAt[n] = b.load(n)-b.openWork[n]+float64(r[2])*noteWorkUnit, b.now
+			b.answers, b.lastSignal = b.answers+1, b.now
+			if b.unhealthy(n) { // on trial elsewhere; after latencyMaxAge, its recovery note was lost
+				b.ejectedUntil[n] = max(b.ejectedUntil[n], min(b.now+ejectionTime, b.failedAt[n]+latencyMaxAge))
 			}
 		case r[2] == noteLate:
 			b.lateAt[n] = b.now
-		case r[2] == noteGood:
-			b.heard[n] = b.now
-			b.note(n, true)
-		case r[2] == noteNobody:
+		case r[2] == noteSuccess:
+			b.lastAnswer[n] = b.now
+			b.updateHistory(n, true)
+		case r[2] == noteRefused:
 			b.history[n] = 6
-			b.note(n, false)
-		case b.failAt[n] != b.now:
-			b.note(n, false)
+			b.updateHistory(n, false)
+		case b.failedAt[n] != b.now:
+			b.updateHistory(n, false)
 		}
 	}
 }
--- a/logic/health.go
+++ b/logic/health.go
@@ -4,82 +4,84 @@
 	"math/bits"
 )
 
-// Latencies seen and outlier ejection.
-
-// sawLatency keeps a node's recent latency; atLeast: the true one is longer and never counts in its favour.
-// Prompts differ too much in length for theirs to tell of the node.
-func (b *Broker) sawLatency(p *part, d *dispatch, elapsed float64, atLeast bool) {
+// recordLatency updates a node's recent latency. With atLeast, the true one is longer and never lowers the
+// average. Prompts vary too much in length for their latencies to describe the node.
+func (b *Broker) recordLatency(p *part, d *dispatch, elapsed float64, atLeast bool) {
 	n, target := d.node, b.types[p.scan.typ].target
-	lat, under := b.lat(n)
+	lat, under := b.recentLatency(n)
 	if atLeast && elapsed/target < lat || !atLeast && p.prompt != nil {
 		return
 	}
-	b.latency[n] = lat + latShare*(elapsed/target-lat)
-	b.under[n] = under + latShare*(d.load/target-under)
-	b.latAt[n] = b.now
-	k := b.kinds[b.kind[n]]
-	b.kinds[b.kind[n]] = [2]float64{k[0] + typShare*(elapsed/target-k[0]), k[1] + typShare*(d.load/target-k[1])}
-	b.meanLat += typShare * (elapsed/target - b.meanLat)
-	b.meanUnder += typShare * (d.load/target - b.meanUnder)
+	b.latency[n] = lat + nodeAlpha*(elapsed/target-lat)
+	b.latencyLoad[n] = under + nodeAlpha*(d.load/target-under)
+	b.latencyAt[n] = b.now
+	k := b.kindLatency[b.kind[n]]
+	b.kindLatency[b.kind[n]] = [2]float64{k[0] + meanAlpha*(elapsed/target-k[0]),
+		k[1] + meanAlpha*(d.load/target-k[1])}
+	b.meanLatency += meanAlpha * (elapsed/target - b.meanLatency)
+	b.meanLoad += meanAlpha * (d.load/target - b.meanLoad)
 }
 
-// judge keeps the last eight outcomes of a node. One that does poorly rests and then gets one call at a time.
-// What fails at one moment is one failure: a connection that breaks takes all parts on it along, and tells no
-// more than if it had carried one. A node that dies fails again at the next moment, or refuses connections.
-func (b *Broker) judge(n int, good, late bool) bool {
-	if !good && b.failAt[n] == b.now {
+// recordOutcome adds an outcome of node n and reports it to the other brokers. Failures at one moment count
+// once, and it returns false for the rest: a broken connection takes all its parts along and proves no more
+// than with one part. A node that dies fails again at the next moment, or refuses connections.
+func (b *Broker) recordOutcome(n int, success, late bool) bool {
+	if !success && b.failedAt[n] == b.now {
 		return false
 	}
 	if b.flag("share.verdicts") {
-		b.do(Action{Kind: Judged, Node: b.nodeID[n], Whole: good, Late: late})
+		b.emit(Action{Kind: Judged, Node: b.nodeID[n], Whole: success, Late: late})
 	}
-	if !good {
-		b.news = report(b.news, b.nodeID[n], noteBad)
-	} else if b.history[n] != 0xff || b.lateAt[n] > longAgo { // what is well and stays so is no news
-		b.news = report(b.news, b.nodeID[n], noteGood)
+	if !success {
+		b.records = appendRecord(b.records, b.nodeID[n], noteFailure)
+	} else if b.history[n] != 0xff || b.lateAt[n] > longAgo { // not for a healthy node
+		b.records = appendRecord(b.records, b.nodeID[n], noteSuccess)
 	}
-	return b.note(n, good)
+	return b.updateHistory(n, success)
 }
 
-func (b *Broker) note(n int, good bool) bool {
-	if good {
+// updateHistory adds an outcome to the history of node n and starts or ends its ejection.
+func (b *Broker) updateHistory(n int, success bool) bool {
+	if success {
 		b.lateAt[n] = longAgo
 	}
-	poor := b.poor(n)
+	wasUnhealthy := b.unhealthy(n)
 	b.history[n] <<= 1
-	if good {
+	if success {
 		b.history[n] |= 1
-		if poor { // a trial that went well counts twice
-			b.history[n], b.restEnd[n] = b.history[n]<<1|1, b.now
+		if wasUnhealthy { // a successful trial counts twice
+			b.history[n], b.ejectedUntil[n] = b.history[n]<<1|1, b.now
 		}
-	} else if b.failAt[n] = b.now; b.poor(n) && b.now >= b.restEnd[n] {
-		b.restEnd[n] = b.now + restTime
+	} else if b.failedAt[n] = b.now; b.unhealthy(n) && b.now >= b.ejectedUntil[n] {
+		b.ejectedUntil[n] = b.now + ejectionTime
 	}
 	return true
 }
 
-// poor says whether a node rests, or is on trial. Where eight outcomes come within a rest they tell of a
-// moment, and the next eight come soon: it takes more to rest a node, since others carry what it leaves.
-func (b *Broker) poor(n int) bool {
+// unhealthy reports whether a node is ejected or on trial. Eight outcomes within ejectionTime describe a
+// moment, and the next eight come soon: ejection takes more failures then, since others must carry the load.
+func (b *Broker) unhealthy(n int) bool {
 	good := bits.OnesCount8(b.history[n])
-	return good < goodFast || good < goodEnough && 8*b.gap() > restTime
+	return good < healthyMinFast || good < healthyMin && 8*b.answerInterval() > ejectionTime
 }
 
-func (b *Broker) sick(n int) bool { return b.poor(n) && (b.now < b.restEnd[n] || b.outCalls[n] > 0) }
+func (b *Broker) ejected(n int) bool {
+	return b.unhealthy(n) && (b.now < b.ejectedUntil[n] || b.openCalls[n] > 0)
+}
 
-// takeVerdict takes up what several brokers, or an operator, hold of a node. Its own word goes first:
-// if this broker has heard of the node since the newest that the verdict rests on, it knows better.
-func (b *Broker) takeVerdict(e *Event) {
+// applyVerdict applies what several brokers, or an operator, say of a node. This broker's own observations
+// win if they are newer than the newest one behind the verdict.
+func (b *Broker) applyVerdict(e *Event) {
 	n, known := b.index[e.Node]
-	if !known || max(b.heard[n], b.failAt[n]) >= b.now-e.Age {
+	if !known || max(b.lastAnswer[n], b.failedAt[n]) >= b.now-e.Age {
 		return
 	}
 	switch e.Outcome {
-	case Completed: // it is well again: as many successes as let it work
-		b.history[n], b.restEnd[n], b.lateAt[n] = b.history[n]|0x0f, b.now, longAgo
-	case Saturated: // slow or full: it is told again for as long as it holds
-		b.lateAt[n] = max(b.lateAt[n], b.now-recent+2*restTime)
+	case Completed: // recovered: enough successes to be healthy
+		b.history[n], b.ejectedUntil[n], b.lateAt[n] = b.history[n]|0x0f, b.now, longAgo
+	case Saturated: // slow or full: the verdict is repeated while it holds
+		b.lateAt[n] = max(b.lateAt[n], b.now-latencyMaxAge+2*ejectionTime)
 	default:
-		b.history[n], b.restEnd[n] = 1, b.now+restTime
+		b.history[n], b.ejectedUntil[n] = 1, b.now+ejectionTime
 	}
 }
--- a/logic/help_test.go
+++ b/logic/help_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// site is a small deployment: eight shards on a ring of four cells, each shard on two nodes; table type 0 is
-// replayable and needs all, 1 is keyed, 2 non-replayable, 3 may be answered from half, 4 fetches a second step.
-func site(changes map[string]any) map[string]any {
+// testSettings is a small deployment: eight shards on a ring of four cells, each shard on two nodes. Table type 0 is
+// replayable and needs all parts, 1 is keyed, 2 non-replayable, 3 allows answers from half, 4 fetches a second step.
+func testSettings(changes map[string]any) map[string]any {
 	t := map[string]any{"turn": 5.0, "brokers": 2.0, "zone": 0.0, "discovery": "automatic",
 		"layout.cells": 4.0, "layout.reach": 2.0, "layout.shards": 8.0, "layout.batch": 16.0, "layout.callWork": 50.0,
 		"limit.dispatches": 3.0, "limit.secondCopies": true, "limit.cancelling": true, "limit.retryAfter": true,
@@ -26,39 +26,39 @@
 	return t
 }
 
-// ring names one ready node a cell: 100, 101, ...
-func ring(cells int) (list []Entry) {
+// ringOfNodes lists one ready node per cell: 100, 101, ...
+func ringOfNodes(cells int) (list []Entry) {
 	for c := 0; c < cells; c++ {
 		list = append(list, Entry{Node: int64(100 + c), Cell: c, Readiness: Ready, Units: 1})
 	}
 	return list
 }
 
-// rig drives one instance and keeps what it did.
-type rig struct {
-	b    Broker
-	now  float64
-	acts []Action
+// testBroker drives one Broker and records its actions.
+type testBroker struct {
+	b       Broker
+	now     float64
+	actions []Action
 }
 
-func play(_ *testing.T, changes map[string]any, list []Entry) *rig {
-	r := &rig{now: 50000}
-	r.step(0, Event{Kind: Started, Seed: 7, Terms: site(changes)},
+func startBroker(_ *testing.T, changes map[string]any, list []Entry) *testBroker {
+	r := &testBroker{now: 50000}
+	r.step(0, Event{Kind: Started, Seed: 7, Terms: testSettings(changes)},
 		Event{Kind: ListArrived, List: ListCached, Entries: list})
 	return r
 }
 
-// step lets wait pass, firing no timers, hands over the events and returns what was done.
-func (r *rig) step(wait float64, events ...Event) []Action {
+// step advances the time by wait, without firing timers, passes the events to the broker and returns its actions.
+func (r *testBroker) step(wait float64, events ...Event) []Action {
 	r.now += wait
 	acts := r.b.Step(r.now, events)
-	r.acts = append(r.acts, acts...)
+	r.actions = append(r.actions, acts...)
 	return acts
 }
 
-// scanOf brings scan num with one part a shard, of equal weight unless weights are given: the scan's id is
-// 1000*num, its parts' follow.
-func scanOf(num int64, typ int, budget float64, shards ...int) []Event {
+// scanEvents returns the arrival of scan num with one part per shard, all of equal weight. The scan's id is 1000*num; the
+// ids of its parts follow it.
+func scanEvents(num int64, typ int, budget float64, shards ...int) []Event {
 	events := []Event{{Kind: ScanArrived, ID: 1000 * num, Scan: num, TableType: typ, Budget: budget, Shard: -1}}
 	for i, s := range shards {
 		events = append(events, Event{Kind: PartArrived, ID: 1000*num + 1 + int64(i), Scan: num, Shard: s,
@@ -67,24 +67,24 @@
 	return events
 }
 
-// ended is the outcome of a dispatch of a part.
-func (r *rig) ended(part int64, n int, how Outcome, elapsed float64) Event {
+// dispatchEnded returns the end of dispatch n of a part.
+func (r *testBroker) dispatchEnded(part int64, n int, how Outcome, elapsed float64) Event {
 	return Event{Kind: DispatchEnded, ID: part, Dispatch: n, Outcome: how, Elapsed: elapsed}
 }
 
-// answers are the first n parts of scan num coming in.
-func (r *rig) answers(num int64, n int) (events []Event) {
+// completions returns completed dispatches of the first n parts of scan num.
+func (r *testBroker) completions(num int64, n int) (events []Event) {
 	for i := int64(1); i <= int64(n); i++ {
-		events = append(events, r.ended(1000*num+i, 0, Completed, 300))
+		events = append(events, r.dispatchEnded(1000*num+i, 0, Completed, 300))
 	}
 	return events
 }
 
-// timer is the look that scan num asked for.
-func timer(num int64) Event { return Event{Kind: TimerDue, Timer: num} }
+// timerEvent fires the timer of scan num.
+func timerEvent(num int64) Event { return Event{Kind: TimerDue, Timer: num} }
 
-// kinds keeps the actions of some kinds.
-func kinds(acts []Action, want ...ActionKind) (some []Action) {
+// filterActions returns the actions of the given kinds.
+func filterActions(acts []Action, want ...ActionKind) (some []Action) {
 	for _, a := range acts {
 		for _, k := range want {
 			if a.Kind == k {
@@ -95,9 +95,9 @@
 	return some
 }
 
-// final returns the final answers given to scan num.
-func (r *rig) final(num int64) (some []Action) {
-	for _, a := range kinds(r.acts, Answer, Throttle, Abandon) {
+// finalAnswers returns the final answers to scan num.
+func (r *testBroker) finalAnswers(num int64) (some []Action) {
+	for _, a := range filterActions(r.actions, Answer, Throttle, Abandon) {
 		if a.ID == 1000*num {
 			some = append(some, a)
 		}
@@ -105,10 +105,10 @@
 	return some
 }
 
-// nodes says how many dispatches went to each node.
-func nodes(acts []Action) map[int64]int {
+// dispatchesByNode counts the dispatches to each node.
+func dispatchesByNode(acts []Action) map[int64]int {
 	count := map[int64]int{}
-	for _, a := range kinds(acts, Dispatch) {
+	for _, a := range filterActions(acts, Dispatch) {
 		count[a.Node]++
 	}
 	return count
--- a/logic/notes.go
+++ b/logic/notes.go
@@ -5,47 +5,47 @@
 	"math/bits"
 )
 
-// How brokers' notes are framed: three bytes for each call sent and each outcome that is news, two of the node
-// and one that says what.
+// The format of notes between brokers: one record of three bytes for each call sent and each reported outcome. Two bytes
+// are the node's code, the third is the amount of work or the outcome.
 
 const (
-	noteRecord = 3
-	noteMost   = 256 / noteRecord * noteRecord // bytes of one note
-	noteWork   = 16.0                          // work sent is told in so many ms, up to noteFull of them
-	noteFull   = 250
-	noteGood   = 251
-	noteBad    = 252
-	noteNobody = 253
-	noteLate   = 254
+	noteRecordSize = 3
+	noteMaxSize    = 256 / noteRecordSize * noteRecordSize // bytes in one note
+	noteWorkUnit   = 16.0                                  // work is reported in units of this many ms, at most noteMaxWork of them
+	noteMaxWork    = 250
+	noteSuccess    = 251
+	noteFailure    = 252
+	noteRefused    = 253
+	noteLate       = 254
 )
 
-// notebook is what reading notes takes: the nodes by their codes, and how many notes could not be read.
-type notebook struct {
-	byCode map[uint16]int
-	spoilt int
+// noteState holds the nodes by their codes and the number of malformed notes.
+type noteState struct {
+	nodeByCode map[uint16]int
+	malformed  int
 }
 
-// code is two bytes for a node, alike at all brokers.
-func code(id int64) uint16 { return uint16(uint64(id) * 0x9e3779b97f4a7c15 >> 48) }
+// nodeCode returns the two-byte code of a node, the same at all brokers.
+func nodeCode(id int64) uint16 { return uint16(uint64(id) * 0x9e3779b97f4a7c15 >> 48) }
 
-// worded is a record's byte for work sent.
-func worded(work float64) byte { return byte(min(noteFull, max(0, work/noteWork+0.5))) }
+// workByte returns the third byte of a record for work sent.
+func workByte(work float64) byte { return byte(min(noteMaxWork, max(0, work/noteWorkUnit+0.5))) }
 
-// report puts a record to a note.
-func report(note []byte, node int64, what byte) []byte {
-	c := code(node)
+// appendRecord appends a record to a note.
+func appendRecord(note []byte, node int64, what byte) []byte {
+	c := nodeCode(node)
 	return append(note, byte(c>>8), byte(c), what)
 }
 
-// readable says whether a note holds whole records and no more than there may be.
-func readable(note []byte) bool {
-	return len(note) > 0 && len(note)%noteRecord == 0 && len(note) <= noteMost
+// validNote reports whether a note holds whole records and does not exceed the size limit.
+func validNote(note []byte) bool {
+	return len(note) > 0 && len(note)%noteRecordSize == 0 && len(note) <= noteMaxSize
 }
 
-// unreadable counts a note that could not be read. It says so at the first, second, fourth and so on: whoever sends
-// many must not fill the log.
-func (b *Broker) unreadable() {
-	if b.spoilt++; bits.OnesCount(uint(b.spoilt)) == 1 {
-		b.do(Action{Kind: Note, Text: fmt.Sprintf("notes of other brokers that could not be read: %d", b.spoilt)})
+// countMalformed counts a malformed note. It logs the first, second, fourth and so on: a peer that sends many must not fill
+// the log.
+func (b *Broker) countMalformed() {
+	if b.malformed++; bits.OnesCount(uint(b.malformed)) == 1 {
+		b.emit(Action{Kind: Note, Text: fmt.Sprintf("notes of other brokers that could not be read: %d", b.malformed)})
 	}
 }
--- a/logic/prompt_test.go
+++ b/logic/prompt_test.go
@@ -6,17 +6,17 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// readers is a deployment whose nodes 100 to 103 each may run any request, and read prompts first.
-func readers(t *testing.T) *rig {
-	list := ring(4)
+// promptNodes is a deployment whose nodes 100 to 103 can each run any request, and prefill prompts first.
+func promptNodes(t *testing.T) *testBroker {
+	list := ringOfNodes(4)
 	for i := range list {
 		list[i].Cell = 0
 	}
-	return play(t, map[string]any{"layout.callWork": 0.0, "layout.reach": 1.0, "layout.batch": 1.0, "rules.cold": 0.0, "limit.peers": true}, list)
+	return startBroker(t, map[string]any{"layout.callWork": 0.0, "layout.reach": 1.0, "layout.batch": 1.0, "rules.cold": 0.0, "limit.peers": true}, list)
 }
 
-// prompted is a request of table type 0 with a prompt.
-func prompted(num int64, q *Prompt) []Event {
+// promptEvents returns the arrival of a request of table type 0 with a prompt.
+func promptEvents(num int64, q *Prompt) []Event {
 	if q.Group == nil {
 		q.Group = map[int64]int64{}
 	}
@@ -24,59 +24,61 @@
 		{Kind: PartArrived, ID: 1000*num + 1, Scan: num, Amount: 1, Prompt: q}}
 }
 
-func (r *rig) sent(events []Event) Action { return kinds(r.step(1, events...), Dispatch)[0] }
+func (r *testBroker) dispatchOf(events []Event) Action {
+	return filterActions(r.step(1, events...), Dispatch)[0]
+}
 
-// TestPromptsGoHome has a prompt whose shared parts nobody keeps go where its home is, also past some work there; what is
-// told as its work is the reading alone.
-func TestPromptsGoHome(t *testing.T) {
-	r := readers(t)
+// TestPromptsGoToHomeNode checks that a prompt whose shared tokens nobody keeps goes to its home node, also past some work there,
+// and that its reported work is the prefill alone.
+func TestPromptsGoToHomeNode(t *testing.T) {
+	r := promptNodes(t)
 	for num := int64(1); num <= 4; num++ {
-		sent := r.sent(prompted(num, &Prompt{Tokens: 2000, Shared: 1500, Home: []int64{102, 100}}))
+		sent := r.dispatchOf(promptEvents(num, &Prompt{Tokens: 2000, Shared: 1500, Home: []int64{102, 100}}))
 		assert.Equal(t, int64(102), sent.Node, "request %d", num)
-		assert.InDelta(t, 2000*readStart, sent.Work, 0.01, "the penalty of a copy elsewhere is no work")
+		assert.InDelta(t, 2000*initialPrefillTime, sent.Work, 0.01, "the cost of a copy elsewhere is not counted as work")
 	}
 }
 
-// TestBusyNodesAreLeftAlone has a node that keeps a prompt's parts take it while it has little to read, and no more once
-// what it reads in one go would hold up its streams for long.
-func TestBusyNodesAreLeftAlone(t *testing.T) {
-	r, at := readers(t), 0
+// TestBusyNodesAreAvoided checks that a node that keeps a prompt's tokens gets the prompt while it has little to prefill,
+// and not once its prefills would block its streams for long.
+func TestBusyNodesAreAvoided(t *testing.T) {
+	r, at := promptNodes(t), 0
 	for num := int64(1); num <= 40; num++ {
 		q := &Prompt{Tokens: 10000, Shared: 8000, Held: map[int64]float64{101: 8000}, Home: []int64{101}, FetchTime: 0.005, AcrossTime: 0.01}
-		if sent := r.sent(prompted(num, q)); sent.Node == 101 {
+		if sent := r.dispatchOf(promptEvents(num, q)); sent.Node == 101 {
 			at++
 			assert.Less(t, sent.Load, 1000.0, "half of the target time")
 		}
 	}
-	assert.Greater(t, at, 4, "the parts were at 101")
+	assert.Greater(t, at, 4, "101 keeps the tokens")
 }
 
-// TestStreamsTellNoLatency begins streams late at one node: prompts differ, and it goes on getting as many.
-func TestStreamsTellNoLatency(t *testing.T) {
-	r, count := readers(t), map[int64]int{}
+// TestStreamLatencyIsIgnored has late first events at one node: prompts differ in length, so it gets as many requests as before.
+func TestStreamLatencyIsIgnored(t *testing.T) {
+	r, count := promptNodes(t), map[int64]int{}
 	for num := int64(1); num <= 400; num++ {
-		sent := r.sent(prompted(num, &Prompt{Tokens: 500}))
+		sent := r.dispatchOf(promptEvents(num, &Prompt{Tokens: 500}))
 		elapsed := 20.0
 		if sent.Node == 103 {
 			elapsed = 1500
 		}
 		count[sent.Node]++
 		r.step(1, Event{Kind: StreamBegan, ID: 1000*num + 1, Elapsed: elapsed})
-		r.step(1, r.ended(1000*num+1, 0, Completed, elapsed))
+		r.step(1, r.dispatchEnded(1000*num+1, 0, Completed, elapsed))
 	}
 	for n := int64(100); n < 104; n++ {
 		assert.InDelta(t, 100, count[n], 50, "node %d", n)
 	}
 }
 
-// TestSavedPrompts has a store keep prompts that are shared for the most part, which nobody keeps.
+// TestSavedPrompts checks that a store saves prompts that are mostly shared and kept by no node.
 func TestSavedPrompts(t *testing.T) {
 	for _, c := range []struct {
 		shared float64
 		held   map[int64]float64
 		want   bool
 	}{{900, nil, true}, {600, nil, false}, {0, nil, false}, {900, map[int64]float64{100: 900, 101: 900, 102: 900, 103: 900}, false}} {
-		sent := readers(t).sent(prompted(1, &Prompt{Tokens: 1000, Shared: c.shared, Held: c.held, Home: []int64{100}}))
+		sent := promptNodes(t).dispatchOf(promptEvents(1, &Prompt{Tokens: 1000, Shared: c.shared, Held: c.held, Home: []int64{100}}))
 		assert.Equal(t, c.want, sent.Save, "%+v", c)
 	}
 }
--- a/logic/terms.go
+++ b/logic/terms.go
@@ -5,29 +5,29 @@
 	"math/bits"
 )
 
-// terms is what the site states at start: names to values. fault notes the first one that is missing.
-type terms struct {
-	stated map[string]any
+// settings holds the settings of a deployment by name. fault describes the first one that is missing or invalid.
+type settings struct {
+	values map[string]any
 	fault  string
 }
 
-// num reads a number; one that is not stated is 0.
-func (t *terms) num(name string) float64 {
-	x, _ := t.stated[name].(float64)
+// num returns a number, or 0 if it is not set.
+func (t *settings) num(name string) float64 {
+	x, _ := t.values[name].(float64)
 	return x
 }
 
-// flag reads a yes or no; one that is not stated is no.
-func (t *terms) flag(name string) bool {
-	on, _ := t.stated[name].(bool)
+// flag returns a boolean, or false if it is not set.
+func (t *settings) flag(name string) bool {
+	on, _ := t.values[name].(bool)
 	return on
 }
 
-// need reads a number that cannot be done without or be under least.
-func (t *terms) need(name string, least float64) float64 {
-	x, ok := t.stated[name].(float64)
+// require returns a number, and sets fault if it is missing, less than least or above 1e9.
+func (t *settings) require(name string, least float64) float64 {
+	x, ok := t.values[name].(float64)
 	if (!ok || !(x >= least && x <= 1e9)) && t.fault == "" {
-		t.fault = fmt.Sprintf("start setting %s is missing or impossible: %v", name, t.stated[name])
+		t.fault = fmt.Sprintf("start setting %s is missing or impossible: %v", name, t.values[name])
 	}
 	return x
 }
@@ -35,8 +35,8 @@
 // pcg is a permuted congruential generator (PCG-XSH-RR).
 type pcg struct{ state uint64 }
 
-// seeded starts the generator; two steps spread seeds that lie close together.
-func seeded(seed uint64) pcg {
+// newPCG returns a generator for a seed. Two steps separate the sequences of neighboring seeds.
+func newPCG(seed uint64) pcg {
 	c := pcg{}
 	c.float()
 	c.state += seed
@@ -44,7 +44,7 @@
 	return c
 }
 
-// float draws a number from 0 up to 1.
+// float returns a random number in [0, 1).
 func (c *pcg) float() float64 {
 	old := c.state
 	c.state = old*6364136223846793005 + 1442695040888963407
@@ -52,18 +52,18 @@
 	return float64(x) / (1 << 32)
 }
 
-// within drops what is older than limit from a list of times with amounts.
-func within(list [][2]float64, limit float64) [][2]float64 {
+// dropUntil removes the entries up to time limit from the front of a list of times and amounts.
+func dropUntil(list [][2]float64, limit float64) [][2]float64 {
 	for len(list) > 0 && list[0][0] <= limit {
 		list = list[1:]
 	}
 	return list
 }
 
-// zonePrice is what a call to another zone weighs, as a share of the target time.
-func (t *terms) zonePrice() float64 {
+// zonePrice is the cost of a call to another zone, as a share of the target time.
+func (t *settings) zonePrice() float64 {
 	if t.flag("prices.zonesUntold") {
-		return zoneWeighs
+		return defaultZonePrice
 	}
 	return t.num("prices.crossZone")
 }
--- a/logic/throttle.go
+++ b/logic/throttle.go
@@ -6,19 +6,18 @@
 	"slices"
 )
 
-// Load shedding, partial answers and the end of a scan.
-
-// turnedAway throttles by chance when the scan's nodes are predicted to miss its target time.
-func (b *Broker) turnedAway(s *scan, worst float64) bool {
-	value := b.types[s.typ].benefit // of a scan's work, all sites count by that
-	b.valued++
-	b.meanValue += (value - b.meanValue) / min(b.valued, 50)
-	worst *= math.Exp(min(0, b.newsAt+quietSpell-b.now) / quietSpell) // who hears nothing knows of no jam
-	ramp := min(1, max(0, (worst+fullWeighs*b.full[b.budgetOf(s.parts[0])]-throttleAt)/(throttleAll-throttleAt)))
+// throttled decides at random whether to reject s if its nodes are predicted to miss its target time.
+func (b *Broker) throttled(s *scan, predicted float64) bool {
+	value := b.types[s.typ].benefit // the value of a scan in every deployment
+	b.valueCount++
+	b.meanValue += (value - b.meanValue) / min(b.valueCount, 50)
+	predicted *= math.Exp(min(0, b.lastSignal+predictionMaxAge-b.now) / predictionMaxAge) // stale signal
+	ramp := min(1, max(0, (predicted+saturationWeight*b.saturation[b.budgetKey(s.parts[0])]-throttleStart)/
+		(throttleFull-throttleStart)))
 	return ramp > 0 && b.float() < math.Pow(ramp, value/b.meanValue)
 }
 
-// trim spares the lightest parts of a scan that may be answered from the heaviest, with trimSlack to lose.
+// trim drops the lightest parts of s that a partial answer can omit, and keeps trimSlack above the floor.
 func (b *Broker) trim(s *scan) bool {
 	typ, got, all := &b.types[s.typ], 0.0, s.parts
 	if typ.floor >= typ.need || s.step > 1 {
@@ -30,34 +29,34 @@
 		if got < typ.floor+trimSlack {
 			s.parts = append(s.parts, p)
 		} else {
-			s.spared = true
+			s.trimmed = true
 			delete(b.parts, p.id)
 		}
 		got += p.weight
 	}
-	return s.spared
+	return s.trimmed
 }
 
-// least is the weight that an answer of s must rest on.
-func (b *Broker) least(s *scan) float64 {
+// minWeight is the weight of parts that an answer of s needs.
+func (b *Broker) minWeight(s *scan) float64 {
 	if typ := &b.types[s.typ]; s.step == 1 || typ.floor < typ.need {
 		return min(typ.floor, typ.need)
 	}
 	return 1
 }
 
-func (b *Broker) enough(s *scan) bool { return s.got > 0 && s.got >= b.least(s)-0.00005 }
+func (b *Broker) enough(s *scan) bool { return s.received > 0 && s.received >= b.minWeight(s)-0.00005 }
 
-// giveUp ends the scan with the best final answer that is still honest, and at once.
-func (b *Broker) giveUp(s *scan) {
-	ran := slices.ContainsFunc(s.parts, func(p *part) bool { return p.firstRun() >= 0 })
+// finish ends the scan at once: with a partial answer, a rejection if it may be repeated, or a failure.
+func (b *Broker) finish(s *scan) {
+	ran := slices.ContainsFunc(s.parts, func(p *part) bool { return p.firstRunAt() >= 0 })
 	harmless := s.step == 1 && len(s.parts) > 0 && (b.types[s.typ].effect == "replayable" || !ran)
 	if b.enough(s) {
-		b.do(Action{Kind: Answer, ID: s.id})
+		b.emit(Action{Kind: Answer, ID: s.id})
 	} else if harmless {
-		b.do(Action{Kind: Throttle, ID: s.id, After: b.num("limit.maxRetryAfter")}) // unheard where not allowed
+		b.emit(Action{Kind: Throttle, ID: s.id, After: b.num("limit.maxRetryAfter")}) // ignored where not allowed
 	} else {
-		b.do(Action{Kind: Abandon, ID: s.id})
+		b.emit(Action{Kind: Abandon, ID: s.id})
 	}
-	b.end(s)
+	b.removeScan(s)
 }
--- a/logic/types.go
+++ b/logic/types.go
@@ -1,6 +1,6 @@
 package logic
 
-// EventKind says what happened.
+// EventKind is the kind of an event.
 type EventKind int
 
 const (
@@ -14,20 +14,20 @@
 	ProbeEnded
 	StreamBegan
 	PeerNote
-	VerdictHeard // what several brokers, or an operator, hold of a node: Node, Outcome, Age of the newest that it rests on
-	TermsChanged // Terms: the settings as they are now; table types keep their numbers, new ones follow
-	FurtherLeft  // Amount: further dispatches that the budget of all brokers leaves this one now
+	VerdictHeard // several brokers, or an operator, judge a node: Node, Outcome, Age of the newest observation behind it
+	TermsChanged // Settings: the new settings; table types keep their numbers, new ones follow
+	FurtherLeft  // Amount: further dispatches left for this broker in the fleet's budget
 )
 
-// Event is one thing that happened to this broker. Only the fields of its kind are filled.
+// Event is one thing that happened to this broker. Only the fields of its kind are set.
 type Event struct {
 	Kind EventKind
 
 	Seed  uint64
-	Terms map[string]any // what the site states at start: names to values, times in milliseconds
+	Terms map[string]any // the settings by name; times are in milliseconds
 
-	// Watched are the same names under other settings, whole; nil: nothing is watched. They decide nothing: where they would
-	// have decided otherwise, Differs is counted up by kind during Step.
+	// ShadowSettings is a complete second set of settings, or nil. They affect no decision: Step counts in ShadowDiffs, by
+	// kind, where they would have decided otherwise.
 	Watched map[string]any
 	Differs map[string]int
 
@@ -35,45 +35,45 @@
 	Entries []Entry
 
 	ID        int64 // of the scan or the part
-	Scan      int64 // number that a scan shares with its parts
+	Scan      int64 // the number that a scan shares with its parts
 	Shard     int   // of a part
 	Amount    float64
-	Budget    float64 // how long the client still waits
+	Budget    float64 // time until the client gives up
 	TableType int
 	Tenant    int
-	Hint      float64 // expected work; 0 when the site gives none
+	Hint      float64 // expected work; 0 if unknown
 	Flags     int64
-	Permitted map[int64]bool // of a scan: the nodes that its parts may go to, by id; nil: all. Nobody changes it
+	Permitted map[int64]bool // of a scan: the nodes that its parts may go to, by id; nil: all. Not modified
 
-	Prompt *Prompt // of a part: what it reads before it runs; nil: nothing is known of that
+	Prompt *Prompt // of a part: the prompt to prefill; nil: unknown
 
-	Dispatch int // number of the dispatch among those of its part
+	Dispatch int // index among the dispatches of its part
 	Node     int64
 	Outcome  Outcome
 	Elapsed  float64
 	Closed   bool
-	Load     map[string]float64 // load report, by the names told at start
-	Age      float64            // of a probe's end: how long ago it was, where another broker made it
+	Load     map[string]float64 // load report, by the column names in the settings
+	Age      float64            // of a probe by another broker, or a verdict: time since then
 
 	Timer int64
 
-	Note []byte // what another broker told; nil if it could not be read
+	Note []byte // a note of another broker; nil if it could not be decoded
 }
 
-// Prompt is what a request reads before it runs, and who keeps how much of that.
+// Prompt is the prompt that a request prefills, with the tokens of it that nodes and stores keep.
 type Prompt struct {
 	Tokens     float64           // of the whole prompt
-	Shared     float64           // leading tokens that other requests may have in common with it
-	Held       map[int64]float64 // by node or store: how many of the leading tokens it keeps
-	Home       []int64           // nodes in an order that is the same at all brokers: where a first copy belongs
-	Group      map[int64]int64   // by node or store: parts are fetched within one group only (one version of weights)
-	Stores     []int64           // what may be fetched from but runs nothing
+	Shared     float64           // leading tokens that other requests may share
+	Held       map[int64]float64 // by node or store: number of leading tokens that it keeps
+	Home       []int64           // preferred nodes for a first copy, in the same order at all brokers
+	Group      map[int64]int64   // by node or store: tokens are fetched only within a group (one version of weights)
+	Stores     []int64           // stores: sources for fetches that run no requests
 	FetchTime  float64           // of one token from a node of the same zone
 	AcrossTime float64           // of one token from another zone
 	Zones      map[int64]int     // of the stores
 }
 
-// ListKind says how a node list is to be read.
+// ListKind says how a node list is to be applied.
 type ListKind int
 
 const (
@@ -91,10 +91,10 @@
 	Cell      int
 	Readiness Readiness
 	Units     float64
-	Born      float64 // clock time of the latest start; 0 means long ago
+	Born      float64 // clock time of the latest start; 0: long ago
 }
 
-// Readiness is what the list says of a node.
+// Readiness is the state of a node in the list.
 type Readiness int
 
 const (
@@ -117,7 +117,7 @@
 	Superseded
 )
 
-// ActionKind says what is to be done.
+// ActionKind is the kind of an action.
 type ActionKind int
 
 const (
@@ -130,76 +130,76 @@
 	Probe
 	Subscribe
 	Note
-	Tell   // all other brokers
-	Short  // a further dispatch was barred by the budget of all brokers
-	Judged // an outcome counts for or against a node, by Whole, or came Late; only where verdicts are shared
+	Tell   // send Note to all other brokers
+	Short  // the fleet's budget denied a further dispatch
+	Judged // an outcome of a node: Whole if it succeeded, Late if it was late; only where verdicts are shared
 	Fatal
 )
 
-// Action is one thing to be done. Only the fields of its kind are filled.
+// Action is one thing for the caller to do. Only the fields of its kind are set.
 type Action struct {
 	Kind     ActionKind
 	ID       int64
 	Node     int64
 	Dispatch int
-	After    float64 // time-out of a dispatch, delay of a timer, or when a throttled client may return
+	After    float64 // timeout of a dispatch, delay of a timer, or time until a throttled client may retry
 	Timer    int64
-	Source   int64   // of a dispatch: the node or store to fetch kept prompt parts from; 0: none
-	Save     bool    // of a dispatch: a store is to keep what is read
-	Load     float64 // of a dispatch: the work taken to be outstanding at the node before it, in ms,
-	Work     float64 // and what it adds
+	Source   int64   // of a dispatch: the node or store to fetch prompt tokens from; 0: none
+	Save     bool    // of a dispatch: a store saves the prefilled tokens
+	Load     float64 // of a dispatch: the estimated open work at the node before it, in ms,
+	Work     float64 // and the work that it adds
 	Whole    bool
 	Late     bool
-	Wide     bool // of a Tell: it tells of work that all brokers should know of, also where others are told to some
+	Wide     bool // of a note: it must reach all brokers, even where other notes go to some
 	Text     string
 	Note     []byte
 }
 
-// What the module keeps of a scan, its parts and their dispatches, and of a table type.
+// The state of a scan, its parts and their dispatches, and of a table type.
 
 type dispatch struct {
-	node                         int
-	call                         *call
-	at, late, silent             float64 // when it is late, when silent
-	wait                         float64 // for how long its node may say nothing
-	load, read                   float64 // work outstanding at the node with it; tokens it reads
-	open, ran, fresh, began      bool    // ran: it may have run; began: its stream has
-	slowSeen, lostSeen, lateSeen bool    // its node has been held slow, or failing, for it
+	node                                      int
+	call                                      *call
+	sentAt, lateAt, silentAt                  float64 // sent, late and silent from these times on
+	grace                                     float64 // longest time without an answer of its node
+	load, tokens                              float64 // open work at the node including it; tokens to prefill
+	open, mayHaveRun, newConn, streaming      bool    // newConn: on a new connection; streaming: its stream has begun
+	slowCounted, silenceCounted, lateReported bool    // counted as slow, as silent; late reported to peers
 }
 
-// call is what goes to one node in one turn: its parts, and those that are still out.
+// call is what goes to one node in one turn: the number of its parts, and of those that are still open.
 type call struct {
-	node, parts, out int
-	work             float64
+	node, parts, open int
+	work              float64
 }
 
 type part struct {
-	id           int64
-	scan         *scan
-	shard, open  int
-	nodes        []int // holders that it may go to now
-	weight, work float64
-	read         float64 // tokens of its prompt that the node of the newest dispatch reads
-	prompt       *Prompt
-	done, began  bool     // began: of its stream something has arrived
-	differs      []string // kinds of difference to the watched terms that have been counted for it
-	tries        []dispatch
+	id              int64
+	scan            *scan
+	shard, open     int
+	candidates      []int // holders that it may go to now
+	weight, work    float64
+	tokens          float64 // prompt tokens that the node of the newest dispatch prefills
+	prompt          *Prompt
+	done, streaming bool     // streaming: its first event has arrived
+	countedDiffs    []string // kinds of shadow differences counted for it
+	tries           []dispatch
 }
 
 type scan struct {
-	id, num                      int64
-	typ, step                    int
-	parts                        []*part // of the present step
-	got, heard                   float64 // their weight that has completed; when the last of them did
-	placed, ended, dirty, spared bool
-	targetAt, endAt              float64 // the answer must leave by then: for the whole benefit, at all
-	look                         float64 // the timer set for it
-	permitted                    map[int64]bool
+	id, num                        int64
+	typ, step                      int
+	parts                          []*part // of the current step
+	received, lastAnswer           float64 // weight completed; time of the last completion
+	started, ended, dirty, trimmed bool
+	targetAt, endAt                float64 // deadlines of the answer: for the full benefit, and for any
+	timerAt                        float64 // when its timer fires
+	permitted                      map[int64]bool
 }
 
 type tableType struct {
 	target, timeout, benefit, lateBenefit, repeatWindow, need, floor, partial float64
 	effect                                                                    string
 	fetch, dispatches                                                         int
-	mean, dev, work                                                           float64 // as seen
+	mean, dev, work                                                           float64 // measured latencies, and least work
 }
--- a/logic/watch.go
+++ b/logic/watch.go
@@ -2,41 +2,41 @@
 
 import "slices"
 
-// What is watched beside the present terms: the module's gates are asked again under those, where something is sent
-// or given up, and what would have come out otherwise is counted by kind. It decides nothing.
+// Shadow evaluation: where a dispatch is sent or denied, the rules are evaluated again under a second set of settings, and
+// differing results are counted by kind. It affects no decision.
 
-// compare asks whether p's further dispatch, which is sent now or barred now, would be under the watched terms.
-func (b *Broker) compare(p *part, sent bool) {
-	if b.watch.stated == nil {
+// compareShadow counts it if p's further dispatch, sent or denied now, would be decided otherwise under the shadow settings.
+func (b *Broker) compareShadow(p *part, sent bool) {
+	if b.shadow.values == nil {
 		return
 	}
-	now, then := b.barred(p, &b.terms), b.barred(p, &b.watch)
+	now, then := b.blockedBy(p, &b.settings), b.blockedBy(p, &b.shadow)
 	if sent && then != "" {
-		b.count(p, then)
+		b.countDiff(p, then)
 	} else if !sent && now != "" && then == "" {
-		b.count(p, now)
+		b.countDiff(p, now)
 	}
 }
 
-// allows reads a yes or no that a decision about p hangs on now.
+// allows returns a boolean setting that a decision about p depends on now, and counts it if the shadow setting differs.
 func (b *Broker) allows(p *part, name string) bool {
-	if b.watch.stated != nil && b.watch.flag(name) != b.flag(name) {
-		b.count(p, name)
+	if b.shadow.values != nil && b.shadow.flag(name) != b.flag(name) {
+		b.countDiff(p, name)
 	}
 	return b.flag(name)
 }
 
-// count counts a kind of difference once for a part.
-func (b *Broker) count(p *part, kind string) {
-	if !slices.Contains(p.differs, kind) {
-		p.differs = append(p.differs, kind)
-		b.differs[kind]++
+// countDiff counts a kind of difference once per part.
+func (b *Broker) countDiff(p *part, kind string) {
+	if !slices.Contains(p.countedDiffs, kind) {
+		p.countedDiffs = append(p.countedDiffs, kind)
+		b.diffCounts[kind]++
 	}
 }
 
-// compareNotes counts turns in which the other brokers would have been told something, or not.
-func (b *Broker) compareNotes() {
-	if b.watch.stated != nil && len(b.news) > 0 && b.watch.flag("limit.peers") != b.flag("limit.peers") {
-		b.differs["limit.peers"]++
+// compareShadowNotes counts turns in which the shadow settings would send a note, or not.
+func (b *Broker) compareShadowNotes() {
+	if b.shadow.values != nil && len(b.records) > 0 && b.shadow.flag("limit.peers") != b.flag("limit.peers") {
+		b.diffCounts["limit.peers"]++
 	}
 }
