--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost plays the bench's brokers: it reads event batches from standard input and
-// writes one reply a batch to standard output, with one instance of the decision module for each broker.
+// Command simhost runs the brokers of the simulator: it reads batches of events from standard input and writes one reply
+// per batch to standard output, with one instance of the decision module per broker.
 package main
 
 import (
@@ -44,19 +44,19 @@
 				brk = &logic.Broker{}
 				brokers[turn.Broker] = brk
 			}
-			for _, act := range step(brk, batch.Now, turn.Events) {
+			for _, act := range safeStep(brk, batch.Now, turn.Events) {
 				simwire.WriteAction(w, turn.Broker, act)
 			}
 		}
 		simwire.WriteEnd(w)
 		if err := w.Flush(); err != nil {
-			return fmt.Errorf("writing a reply: %w", err)
+			return fmt.Errorf("write reply: %w", err)
 		}
 	}
 }
 
-// step turns a panic of one instance into its Fatal action: the others play on.
-func step(brk *logic.Broker, now float64, events []logic.Event) (acts []logic.Action) {
+// safeStep converts a panic of one instance to a Fatal action of it, so that the other brokers go on.
+func safeStep(brk *logic.Broker, now float64, events []logic.Event) (acts []logic.Action) {
 	defer func() {
 		if p := recover(); p != nil {
 			acts = []logic.Action{{Kind: logic.Fatal, Text: fmt.Sprint("panic: ", p)}}
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -13,9 +13,9 @@
 	for _, c := range []struct{ name, in, out, err string }{
 		{"empty batch", "BEGIN_BATCH time=1\nYOUR_TURN\n", "END\n", ""},
 		{"no input", "", "", ""},
-		{"impossible settings end the instance, not the process", "BEGIN_BATCH time=1\n" + launch + "YOUR_TURN\n",
+		{"invalid settings end the instance, not the process", "BEGIN_BATCH time=1\n" + launch + "YOUR_TURN\n",
 			"FATAL brokerId=1 bodyText=start setting turn is missing or impossible: <nil>\nEND\n", ""},
-		{"a stopped instance acts no more", "BEGIN_BATCH time=1\n" + launch + "STOP brokerId=1\nYOUR_TURN\n", "END\n", ""},
+		{"a stopped instance does nothing", "BEGIN_BATCH time=1\n" + launch + "STOP brokerId=1\nYOUR_TURN\n", "END\n", ""},
 		{"malformed", "BEGIN_BATCH time=1\nYOUR_TURN\n\nBEGIN_BATCH time=x\n", "END\n", "line 4"},
 	} {
 		var out bytes.Buffer
--- a/internal/simwire/notes_test.go
+++ b/internal/simwire/notes_test.go
@@ -12,8 +12,8 @@
 	"gullstair/logic"
 )
 
-// What another broker sent reaches the module byte by byte; what cannot be read reaches it as nothing, and the
-// batch goes on: a peer must not be able to stop this broker.
+// A peer's note reaches the module unchanged; a malformed one reaches it empty, and the batch goes on: a peer must not be
+// able to stop this broker.
 func TestNotesOnTheWire(t *testing.T) {
 	for contents, want := range map[string][]byte{" contents=68692037": []byte("hi 7"), " contents=6": nil,
 		" contents=zz": nil, "": nil, " contents=": {}} {
--- a/internal/simwire/read.go
+++ b/internal/simwire/read.go
@@ -1,5 +1,5 @@
-// Package simwire speaks the bench's line protocol: it turns wire lines into the decision
-// module's events and the module's actions into wire lines. It decides nothing.
+// Package simwire implements the line protocol of the simulator: it parses lines into events of the decision module and
+// formats the module's actions as lines. It reads from and writes to the streams that it is given.
 package simwire
 
 import (
@@ -15,31 +15,32 @@
 	"gullstair/logic"
 )
 
-// Batch is what happened at one moment, by broker, in the order in which the brokers were first named.
+// Batch holds the events of one moment by broker, in the order in which the brokers first occur.
 type Batch struct {
 	Now   float64
 	Turns []*Turn
 }
 
-// Turn holds one broker's events of a batch. Stopped says that what ran before them is gone.
+// Turn holds one broker's events of a batch. Stopped means that the broker's previous instance has ended.
 type Turn struct {
 	Broker  int64
 	Stopped bool
 	Events  []logic.Event
 }
 
-// Reader reads batches. Numbered node lists outlive the batch that brought them.
+// Reader reads batches. Numbered node lists stay defined for later batches.
 type Reader struct {
 	in    *bufio.Reader
 	line  int
 	lists map[int64][]logic.Entry
 }
 
+// NewReader returns a Reader of in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, 1<<20), lists: map[int64][]logic.Entry{}}
 }
 
-// Next returns the next batch, or io.EOF at the end of input between two batches.
+// Next returns the next batch, or io.EOF if the input ends between two batches.
 func (r *Reader) Next() (*Batch, error) {
 	var b *Batch
 	byBroker := map[int64]*Turn{}
@@ -57,16 +58,16 @@
 		if text == "" {
 			continue
 		}
-		word, rest, _ := strings.Cut(text, " ")
-		f := &fields{word: word, rest: rest}
+		lineType, rest, _ := strings.Cut(text, " ")
+		f := &fields{lineType: lineType, rest: rest}
 		switch {
-		case b == nil && word == "BEGIN_BATCH":
+		case b == nil && lineType == "BEGIN_BATCH":
 			b = &Batch{Now: f.ms("time", true)}
 		case b == nil:
-			f.fail("a batch must begin with BEGIN_BATCH")
-		case word == "YOUR_TURN":
+			f.setError("a batch must begin with BEGIN_BATCH")
+		case lineType == "YOUR_TURN":
 			return b, nil
-		case word == "DIRECTORY":
+		case lineType == "DIRECTORY":
 			r.readList(f)
 		default:
 			r.readEvent(f, b, byBroker)
@@ -89,7 +90,7 @@
 func (r *Reader) readList(f *fields) {
 	table, n := f.integer("table", true), f.integer("rowsIn", true)
 	if f.err == nil && n < 0 {
-		f.fail("a list cannot hold fewer than no rows")
+		f.setError("a list cannot have a negative number of rows")
 	}
 	var rows []logic.Entry
 	for i := int64(0); i < n && f.err == nil; i++ {
@@ -98,14 +99,14 @@
 			f.err = fmt.Errorf("list cut short after %d of %d rows: %w", i, n, err)
 			return
 		}
-		word, rest, _ := strings.Cut(text, " ")
-		row := &fields{word: word, rest: rest}
-		if word != "ROW" {
-			row.fail("a row of the list is missing")
+		lineType, rest, _ := strings.Cut(text, " ")
+		row := &fields{lineType: lineType, rest: rest}
+		if lineType != "ROW" {
+			row.setError("expected a ROW of the list")
 		}
 		e := logic.Entry{Node: row.integer("node", true), Zone: int(row.integer("rackZone", false)),
 			Kind: int(row.integer("kind", false)), Cell: int(row.integer("cell", false)),
-			Readiness: pick(row, "readiness", readiness), Units: row.number("units", false),
+			Readiness: enumValue(row, "readiness", readinessNames), Units: row.number("units", false),
 			Born: row.ms("bootTime", false)}
 		if row.err != nil {
 			f.err = fmt.Errorf("%w (row %.200q)", row.err, text)
@@ -125,7 +126,7 @@
 		b.Turns = append(b.Turns, turn)
 	}
 	var e logic.Event
-	switch f.word {
+	switch f.lineType {
 	case "STOP":
 		turn.Stopped, turn.Events = true, nil
 		return
@@ -133,12 +134,12 @@
 		turn.Stopped, turn.Events = true, nil
 		e.Kind, e.Seed, e.Terms = logic.Started, uint64(f.integer("prng", true)), f.terms("options")
 	case "ANNOUNCE":
-		e.Kind, e.List = logic.ListArrived, pick(f, "kind", listKinds)
+		e.Kind, e.List = logic.ListArrived, enumValue(f, "kind", listKindNames)
 		if f.err == nil && e.List != logic.ListFailed {
 			table := f.integer("table", true)
 			rows, known := r.lists[table]
 			if !known {
-				f.fail(fmt.Sprintf("no list has the number %d", table))
+				f.setError(fmt.Sprintf("unknown list number %d", table))
 			}
 			e.Entries = rows
 		}
@@ -152,10 +153,10 @@
 		}
 	case "CLOSED_ATTEMPT":
 		e.Kind, e.ID, e.Dispatch = logic.DispatchEnded, f.integer("msgId", true), int(f.integer("n", true))
-		e.Node, e.Outcome, e.Elapsed = f.integer("node", true), pick(f, "rc", outcomes), f.ms("elapsed", false)
+		e.Node, e.Outcome, e.Elapsed = f.integer("node", true), enumValue(f, "rc", outcomeNames), f.ms("elapsed", false)
 		e.Closed, e.Load = f.integer("complete", false) == 1, f.load("stats")
 	case "PROBE_RESULT":
-		e.Kind, e.Node, e.Outcome = logic.ProbeEnded, f.integer("node", true), pick(f, "rc", outcomes)
+		e.Kind, e.Node, e.Outcome = logic.ProbeEnded, f.integer("node", true), enumValue(f, "rc", outcomeNames)
 		e.Elapsed, e.Load = f.ms("elapsed", false), f.load("stats")
 	case "LEFT":
 		e.Kind, e.ID = logic.ClientLeft, f.integer("msgId", true)
@@ -164,43 +165,43 @@
 	case "FIRST_BYTE":
 		e.Kind, e.ID = logic.StreamBegan, f.integer("msgId", true)
 	case "NOTE_FROM":
-		// What a peer sent cannot stop this broker: the module is told of a note that cannot be read, as an empty one.
+		// A malformed note of a peer must not stop this broker: it is passed on as an empty one.
 		e.Kind = logic.PeerNote
 		text, _ := f.get("contents", false)
 		if note, err := hex.DecodeString(text); err == nil {
 			e.Note = note
 		}
 	default:
-		f.fail("unknown event")
+		f.setError("unknown event")
 	}
 	turn.Events = append(turn.Events, e)
 }
 
-// fields reads the name=value pairs of one line; the first thing wrong stays in err.
+// fields parses the name=value pairs of one line; err holds the first error.
 type fields struct {
-	word, rest string
-	err        error
+	lineType, rest string
+	err            error
 }
 
-func (f *fields) fail(why string) {
+func (f *fields) setError(why string) {
 	if f.err == nil {
-		f.err = fmt.Errorf("%s: %s", f.word, why)
+		f.err = fmt.Errorf("%s: %s", f.lineType, why)
 	}
 }
 
-// textual names the fields that run to the end of the line, spaces included.
-var textual = map[string]bool{"options": true, "bodyText": true}
+// textFields are the fields that extend to the end of the line, spaces included.
+var textFields = map[string]bool{"options": true, "bodyText": true}
 
 func (f *fields) get(name string, needed bool) (string, bool) {
-	textOpens := f.word == "LAUNCH"
+	hasText := f.lineType == "LAUNCH"
 	for rest := f.rest; rest != ""; {
 		pair, tail, _ := strings.Cut(rest, " ")
 		key, val, ok := strings.Cut(pair, "=")
 		if !ok {
-			f.fail(fmt.Sprintf("%q is no name=value pair", pair))
+			f.setError(fmt.Sprintf("%q is not a name=value pair", pair))
 			return "", false
 		}
-		if textOpens && textual[key] {
+		if hasText && textFields[key] {
 			_, val, _ = strings.Cut(rest, "=")
 			tail = ""
 		}
@@ -210,7 +211,7 @@
 		rest = tail
 	}
 	if needed {
-		f.fail("no " + name)
+		f.setError("missing field " + name)
 	}
 	return "", false
 }
@@ -222,7 +223,7 @@
 	}
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil {
-		f.fail(fmt.Sprintf("%s=%s is no whole number", name, s))
+		f.setError(fmt.Sprintf("%s=%s is not an integer", name, s))
 	}
 	return n
 }
@@ -234,7 +235,7 @@
 	}
 	x, err := parseNumber(s)
 	if err != nil {
-		f.fail(fmt.Sprintf("%s=%s is no number", name, s))
+		f.setError(fmt.Sprintf("%s=%s is not a finite number", name, s))
 	}
 	return x
 }
@@ -251,7 +252,7 @@
 		key, val, ok := strings.Cut(pair, ":")
 		x, err := parseNumber(val)
 		if !ok || err != nil {
-			f.fail(fmt.Sprintf("load report %q is no name:value", pair))
+			f.setError(fmt.Sprintf("load report %q is not a list of name:value pairs", pair))
 			return nil
 		}
 		if column, known := terms.Column(key); known {
@@ -261,11 +262,11 @@
 	return load
 }
 
-func pick[T any](f *fields, name string, words map[string]T) T {
+func enumValue[T any](f *fields, name string, values map[string]T) T {
 	s, _ := f.get(name, true)
-	v, ok := words[s]
+	v, ok := values[s]
 	if !ok {
-		f.fail(fmt.Sprintf("%s=%s is not known", name, s))
+		f.setError(fmt.Sprintf("%s=%s is not a known value", name, s))
 	}
 	return v
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -42,7 +42,7 @@
 			Closed: true, Load: map[string]float64{"waiting": 3}},
 	}, b.Turns[0].Events)
 	assert.True(t, b.Turns[1].Stopped)
-	require.Len(t, b.Turns[1].Events, 1, "what came before the stop is gone")
+	require.Len(t, b.Turns[1].Events, 1, "events before the stop are dropped")
 	assert.Equal(t, map[string]any{"tableType.count": 1.0, "tableType.0.target": 2000.0,
 		"tableType.0.effect": "keyed", "tableType.0.name": "a b=c"}, b.Turns[1].Events[0].Terms)
 	b, err = r.Next()
@@ -55,16 +55,16 @@
 func TestMalformed(t *testing.T) {
 	for line, why := range map[string]string{
 		"DANCE brokerId=1":            "unknown event",
-		"TIMER brokerId=1":            "no cookie",
-		"TIMER cookie=1":              "no brokerId",
-		"TIMER brokerId=one cookie=1": "no whole number",
-		"TIMER brokerId cookie=1":     "no name=value pair",
-		"QUERY brokerId=1 msgId=2 queryNo=1 slab=0 work=NaN":    "no number",
-		"CLOSED_ATTEMPT brokerId=1 msgId=2 n=0 node=1 rc=lucky": "not known",
-		"PROBE_RESULT brokerId=1 node=1 rc=errored stats=a":     "no name:value",
-		"ANNOUNCE brokerId=1 kind=full index=1 table=5":         "no list has the number 5",
-		"DIRECTORY table=1 rowsIn=1":                            "row of the list is missing",
-		"LAUNCH brokerId=1 prng=1 options={":                    "no JSON object",
+		"TIMER brokerId=1":            "missing field cookie",
+		"TIMER cookie=1":              "missing field brokerId",
+		"TIMER brokerId=one cookie=1": "not an integer",
+		"TIMER brokerId cookie=1":     "not a name=value pair",
+		"QUERY brokerId=1 msgId=2 queryNo=1 slab=0 work=NaN":    "not a finite number",
+		"CLOSED_ATTEMPT brokerId=1 msgId=2 n=0 node=1 rc=lucky": "not a known value",
+		"PROBE_RESULT brokerId=1 node=1 rc=errored stats=a":     "not a list of name:value pairs",
+		"ANNOUNCE brokerId=1 kind=full index=1 table=5":         "unknown list number 5",
+		"DIRECTORY table=1 rowsIn=1":                            "expected a ROW of the list",
+		"LAUNCH brokerId=1 prng=1 options={":                    "not a JSON object",
 	} {
 		_, err := NewReader(strings.NewReader("BEGIN_BATCH time=1\n" + line + "\nYOUR_TURN\n")).Next()
 		assert.ErrorContains(t, err, why, line)
--- a/internal/simwire/words.go
+++ b/internal/simwire/words.go
@@ -13,15 +13,15 @@
 )
 
 var (
-	readiness = map[string]logic.Readiness{"ready": logic.Ready, "draining": logic.Draining, "gone": logic.Gone}
-	listKinds = map[string]logic.ListKind{"delta": logic.ListChanges, "full": logic.ListWhole,
+	readinessNames = map[string]logic.Readiness{"ready": logic.Ready, "draining": logic.Draining, "gone": logic.Gone}
+	listKindNames  = map[string]logic.ListKind{"delta": logic.ListChanges, "full": logic.ListWhole,
 		"cached": logic.ListCached, "failed": logic.ListFailed}
-	outcomes = map[string]logic.Outcome{"completed": logic.Completed, "errored": logic.Errored,
+	outcomeNames = map[string]logic.Outcome{"completed": logic.Completed, "errored": logic.Errored,
 		"saturated": logic.Saturated, "overdue": logic.Overdue, "refused_conn": logic.ConnRefused,
 		"severed": logic.Severed, "recalled": logic.Recalled, "superseded": logic.Superseded}
 )
 
-// terms reads the start settings, a JSON object, as the module's map.
+// terms parses the start settings, a JSON object, into the module's map.
 func (f *fields) terms(name string) map[string]any {
 	text, ok := f.get(name, true)
 	if !ok {
@@ -29,7 +29,7 @@
 	}
 	var tree map[string]any
 	if err := json.Unmarshal([]byte(text), &tree); err != nil {
-		f.fail(fmt.Sprintf("%s is no JSON object: %v", name, err))
+		f.setError(fmt.Sprintf("%s is not a JSON object: %v", name, err))
 		return nil
 	}
 	return terms.Flatten(tree)
@@ -43,5 +43,5 @@
 	return x, err
 }
 
-// oneLine keeps a text from breaking the framing.
-func oneLine(s string) string { return strings.Join(strings.Fields(s), " ") }
+// singleLine joins a text into one line, as the line protocol requires.
+func singleLine(s string) string { return strings.Join(strings.Fields(s), " ") }
--- a/internal/simwire/write.go
+++ b/internal/simwire/write.go
@@ -8,7 +8,7 @@
 	"gullstair/logic"
 )
 
-// WriteAction writes one action of one broker. Write errors stay with w until it is flushed.
+// WriteAction writes one action of one broker. w keeps write errors until it is flushed.
 func WriteAction(w *bufio.Writer, broker int64, a logic.Action) {
 	num := func(name string, v int64) {
 		w.WriteString(" " + name + "=" + strconv.FormatInt(v, 10))
@@ -23,59 +23,59 @@
 		}
 		num(name, v)
 	}
-	head := func(word string) {
+	begin := func(word string) {
 		w.WriteString(word)
 		num("brokerId", broker)
 	}
 	switch a.Kind {
 	case logic.Dispatch:
-		head("ATTEMPT")
+		begin("ATTEMPT")
 		num("msgId", a.ID)
 		num("node", a.Node)
 		if a.After != 0 {
 			sec("cap", a.After)
 		}
 	case logic.Recall:
-		head("REVOKE")
+		begin("REVOKE")
 		num("msgId", a.ID)
 		num("n", int64(a.Dispatch))
 	case logic.Answer:
-		head("ANSWER")
+		begin("ANSWER")
 		num("msgId", a.ID)
 		flag("on", a.Whole)
 	case logic.Throttle:
-		head("BOUNCE")
+		begin("BOUNCE")
 		num("msgId", a.ID)
 		if a.After > 0 {
 			sec("stayAway", a.After)
 		}
 	case logic.Abandon:
-		head("END_FAILED")
+		begin("END_FAILED")
 		num("msgId", a.ID)
 	case logic.SetTimer:
-		head("DEFER")
+		begin("DEFER")
 		num("cookie", a.Timer)
 		sec("sleepFor", a.After)
 	case logic.Probe:
-		head("TOUCH")
+		begin("TOUCH")
 		num("node", a.Node)
 	case logic.Subscribe:
-		head("KEEP_INFORMED")
+		begin("KEEP_INFORMED")
 		flag("on", true)
 	case logic.Tell:
-		head("NOTIFY")
+		begin("NOTIFY")
 		w.WriteString(" peer=* contents=" + hex.EncodeToString(a.Note))
 	case logic.Note:
-		head("WRITE_LOG")
-		w.WriteString(" bodyText=" + oneLine(a.Text))
+		begin("WRITE_LOG")
+		w.WriteString(" bodyText=" + singleLine(a.Text))
 	case logic.Fatal:
-		head("FATAL")
-		w.WriteString(" bodyText=" + oneLine(a.Text))
+		begin("FATAL")
+		w.WriteString(" bodyText=" + singleLine(a.Text))
 	default:
 		return
 	}
 	w.WriteByte('\n')
 }
 
-// WriteEnd closes the reply to one batch.
+// WriteEnd ends the reply to one batch.
 func WriteEnd(w *bufio.Writer) { w.WriteString("END\n") }
--- a/internal/terms/site.go
+++ b/internal/terms/site.go
@@ -5,30 +5,30 @@
 	"math"
 )
 
-// Site is what the sockets need of the start settings: names that are indexes on the module's side, and the
-// limits that bind connections. Times are milliseconds.
+// Site holds the start settings that the sockets need: the indexes that the module uses in place of names, and the limits
+// on connections. Times are in milliseconds.
 type Site struct {
 	Types                      []TableType
 	TypeIndex                  map[string]int
 	Zones, Kinds, Tenants      map[string]int
 	Shards, Cells, Reach       int
-	Batch, PerConn             int // parts in one call; parts at the same time on one connection
-	Dispatches, OpenCap        int // dispatches for a part; scans and parts open at once, 0: not stated
+	Batch, PerConn             int // most parts in one call; most concurrent parts on one connection
+	Dispatches, OpenCap        int // most dispatches of a part; most open scans and parts, 0: not set
 	Turn                       float64
 	ConnIdle, ConnectTimeout   float64
-	RetryAfterAllowed, AskList bool // clients are told when to return; the list comes only when asked for
+	RetryAfterAllowed, AskList bool // answers may carry a retry time; the node list must be requested
 }
 
-// TableType is what the sockets need of one.
+// TableType holds the settings of a table type that the sockets need.
 type TableType struct {
 	Name         string
 	Keyed        bool
-	Fetch        int     // parts of the second step; 0: there is none
-	RepeatWindow float64 // for how long repeats of a keyed part are dropped
-	Timeout      float64 // the longest that a client waits
+	Fetch        int     // parts of the second step; 0: no second step
+	RepeatWindow float64 // how long repeats of a keyed part are dropped
+	Timeout      float64 // the longest time that a client waits
 }
 
-// Read picks a Site out of the module's map. It names the first value that is missing or impossible.
+// Read extracts a Site from the module's map. Its error names the first value that is missing or invalid.
 func Read(flat map[string]any) (Site, error) {
 	var fault error
 	num := func(name string, least, most, other float64) float64 {
@@ -58,12 +58,12 @@
 		PerConn: int(num("limit.multiplex", 1, 1e6, 1)), Dispatches: int(num("limit.dispatches", 1, 1e6, -1)),
 		OpenCap: int(num("limit.openCap", 0, 1e9, 0)), Turn: num("turn", 0, 1e4, -1),
 		ConnIdle: num("limit.connIdle", 1, 1e9, 15000), ConnectTimeout: num("limit.connectTimeout", 1, 1e6, 250)}
-	// What only the module reads is checked here too: a fault stops the start and not a scan.
+	// Settings that only the module reads are checked too, so that a fault prevents the start instead of failing scans.
 	for _, name := range []string{"rules.budgetWindow", "rules.spareDispatches", "rules.spareShare", "rules.askWithin",
 		"rules.stopSendingWithin", "prices.handshake", "limit.maxRetryAfter"} {
 		if v, there := flat[name]; there && fault == nil {
 			if x, ok := v.(float64); !ok || !(x >= 0 && x <= 1e9) {
-				fault = fmt.Errorf("start setting %s is no number from 0 to 1e9: %v", name, v)
+				fault = fmt.Errorf("start setting %s is not a number from 0 to 1e9: %v", name, v)
 			}
 		}
 	}
