--- a/logic/gossip.go
+++ b/logic/gossip.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// applyNote applies a note of another broker. Notes may be lost, late or malformed: each has a small effect.
+// applyNote applies a note of a peer. Notes may be lost, late or malformed: nothing relies on one alone.
 func (b *Broker) applyNote(note []byte) {
 	if !validNote(note) {
 		b.countMalformed()
@@ -29,7 +29,7 @@
 		case r[2] <= noteMaxWork:
 			b.peerWork[n], b.peerWorkAt[n] = b.load(n)-b.openWork[n]+float64(r[2])*noteWorkUnit, b.now
 			b.answers, b.lastSignal = b.answers+1, b.now
-			if b.unhealthy(n) { // on trial elsewhere; after latencyMaxAge, its recovery note was lost
+			if b.unhealthy(n) { // on trial elsewhere; latencyMaxAge after a failure, its recovery note was lost
 				b.ejectedUntil[n] = max(b.ejectedUntil[n], min(b.now+ejectionTime, b.failedAt[n]+latencyMaxAge))
 			}
 		case r[2] == noteLate:
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -313,9 +313,9 @@
 		r := startBroker(t, nil, c.list)
 		acts := r.step(0, scanEvents(1, c.typ, c.budget, c.shards...)...)
 		if c.wait > 0 {
-			looks := filterActions(acts, SetTimer)
-			require.NotEmpty(t, looks, c.name)
-			assert.LessOrEqual(t, looks[0].After, c.wait, c.name)
+			timers := filterActions(acts, SetTimer)
+			require.NotEmpty(t, timers, c.name)
+			assert.LessOrEqual(t, timers[0].After, c.wait, c.name)
 			r.step(c.wait, timerEvent(1))
 		}
 		if assert.Len(t, r.finalAnswers(1), 1, c.name) {
@@ -330,10 +330,10 @@
 func TestTimersOff(t *testing.T) { // a timer that fires early because of rounding must not be the scan's last (incident i9de3e3)
 	for _, off := range []float64{-0.001, 0, 5} {
 		r := startBroker(t, nil, nil)
-		looks := filterActions(r.step(0, scanEvents(1, 0, 1000, 0)...), SetTimer)
+		timers := filterActions(r.step(0, scanEvents(1, 0, 1000, 0)...), SetTimer)
 		for n := 0; n < 20 && len(r.finalAnswers(1)) == 0; n++ {
-			require.NotEmpty(t, looks, "off %v: no timer is left for the scan", off)
-			looks = filterActions(r.step(looks[0].After+off, timerEvent(1)), SetTimer)
+			require.NotEmpty(t, timers, "off %v: no timer is left for the scan", off)
+			timers = filterActions(r.step(timers[0].After+off, timerEvent(1)), SetTimer)
 		}
 		assert.Len(t, r.finalAnswers(1), 1, "off %v", off)
 		assert.Less(t, r.now, 51000.0, "off %v: in time", off)
--- a/logic/move_test.go
+++ b/logic/move_test.go
@@ -201,7 +201,7 @@
 // A failed request for the node list is repeated with backoff and jitter, but soon enough that this broker does not count as
 // informed of a list that it could not get.
 func TestListBackoff(t *testing.T) {
-	waits := func(seed uint64, changes map[string]any) (all []float64) {
+	backoffs := func(seed uint64, changes map[string]any) (all []float64) {
 		r := &testBroker{now: 50000}
 		changes["discovery"] = "subscribe"
 		acts := r.step(0, Event{Kind: Started, Seed: seed, Terms: testSettings(changes)})
@@ -217,11 +217,11 @@
 		assert.LessOrEqual(t, again[0].After, ejectionTime, "a list resets the backoff")
 		return all
 	}
-	one, other := waits(1, map[string]any{}), waits(2, map[string]any{})
-	assert.Greater(t, one[4], 1.5*one[0])
-	assert.LessOrEqual(t, slices.Max(one), listBackoffMax)
-	assert.NotEqual(t, one, other)
-	assert.LessOrEqual(t, slices.Max(waits(1, map[string]any{"rules.askWithin": 3000.0})), 1500.0)
+	first, second := backoffs(1, map[string]any{}), backoffs(2, map[string]any{})
+	assert.Greater(t, first[4], 1.5*first[0])
+	assert.LessOrEqual(t, slices.Max(first), listBackoffMax)
+	assert.NotEqual(t, first, second)
+	assert.LessOrEqual(t, slices.Max(backoffs(1, map[string]any{"rules.askWithin": 3000.0})), 1500.0)
 }
 
 // A broker that rejects scans gets few answers, and would keep rejecting on the measurements of an overload that is over
--- a/logic/slowstart_test.go
+++ b/logic/slowstart_test.go
@@ -100,12 +100,12 @@
 // more for chance. It returns the largest excess, and the share of N that was used over the whole time.
 func (f *fleetTest) worstExcess(began float64) (over, used float64) {
 	const window, multiple, from, warm = 3000.0, 2.0, 0.2, 10000.0 // as in testSettings
-	bears := func(at float64) float64 {
+	limit := func(at float64) float64 {
 		return multiple * (from + (1-from)*(at-began)/warm) * window / fleetWork
 	}
 	over = -1000
 	for i, at := range f.coldDispatches {
-		n, in := bears(at), 0.0
+		n, in := limit(at), 0.0
 		for _, x := range f.coldDispatches[:i+1] {
 			if x > at-window {
 				in++
@@ -113,7 +113,7 @@
 		}
 		over = max(over, in-n-2*math.Sqrt(n)-2)
 	}
-	return over, float64(len(f.coldDispatches)) / (bears(began+warm/2) * warm / window)
+	return over, float64(len(f.coldDispatches)) / (limit(began+warm/2) * warm / window)
 }
 
 // Brokers that share no state together keep within the limit of a node that has just started, however many they are and
@@ -131,7 +131,7 @@
 			}
 		},
 	}
-	days := map[string]func(f *fleetTest, rate func(int) float64){
+	patterns := map[string]func(f *fleetTest, rate func(int) float64){
 		"a burst, a pause, and a larger burst": func(f *fleetTest, rate func(int) float64) {
 			f.run(2000, rate)
 			f.run(2000, func(i int) float64 { return 3 * rate(i) })
@@ -149,14 +149,14 @@
 	for _, brokers := range []int{3, 8, 30, 100} {
 		for name, of := range rates {
 			for seed := range uint64(10) {
-				day := slices.Sorted(maps.Keys(days))[seed%2]
-				label := fmt.Sprintf("%d brokers, %s, %s, seed %d", brokers, name, day, seed)
+				pattern := slices.Sorted(maps.Keys(patterns))[seed%2]
+				label := fmt.Sprintf("%d brokers, %s, %s, seed %d", brokers, name, pattern, seed)
 				f := newFleetTest(t, brokers, seed)
 				rate := of(brokers)
 				f.run(10000, rate)
 				f.announceColdNode()
 				began := f.brokers[0].now
-				days[day](f, rate)
+				patterns[pattern](f, rate)
 				over, used := f.worstExcess(began)
 				assert.LessOrEqual(t, over, 0.0, label)
 				assert.Greater(t, used, least[brokers], label)
--- a/logic/throttle.go
+++ b/logic/throttle.go
@@ -11,7 +11,7 @@
 	value := b.types[s.typ].benefit // the value of a scan in every deployment
 	b.valueCount++
 	b.meanValue += (value - b.meanValue) / min(b.valueCount, 50)
-	predicted *= math.Exp(min(0, b.lastSignal+predictionMaxAge-b.now) / predictionMaxAge) // stale signal
+	predicted *= math.Exp(min(0, b.lastSignal+predictionMaxAge-b.now) / predictionMaxAge) // decays if stale
 	ramp := min(1, max(0, (predicted+saturationWeight*b.saturation[b.budgetKey(s.parts[0])]-throttleStart)/
 		(throttleFull-throttleStart)))
 	return ramp > 0 && b.float() < math.Pow(ramp, value/b.meanValue)
--- a/logic/watch_test.go
+++ b/logic/watch_test.go
@@ -20,7 +20,7 @@
 
 // runFailureMix sends scans of all table types whose dispatches fail, are refused, stay unanswered or complete, at random.
 func runFailureMix(r *testBroker) {
-	chance := newPCG(3)
+	rng := newPCG(3)
 	open, sent := []Event{}, map[int64]int{}
 	for i := int64(1); i <= 150; i++ {
 		acts := r.step(7, append(open, scanEvents(i, int(i)%5, 4000, int(i)%8, (int(i)+1)%8)...)...)
@@ -33,8 +33,8 @@
 				continue
 			}
 			sent[a.ID]++
-			if how := Outcome(1 + 9*chance.float()); how <= Severed && how != Overdue {
-				open = append(open, r.dispatchEnded(a.ID, n, how, 5+200*chance.float()))
+			if how := Outcome(1 + 9*rng.float()); how <= Severed && how != Overdue {
+				open = append(open, r.dispatchEnded(a.ID, n, how, 5+200*rng.float()))
 			}
 		}
 	}
