--- a/internal/terms/site.go
+++ b/internal/terms/site.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// Site holds the start settings that the sockets need: the indexes that the module uses in place of names, and the limits
-// on connections. Times are in milliseconds.
+// Settings holds the start settings that the sockets need: the indexes that the module uses in place of names, and the
+// limits on connections. Times are in milliseconds.
 type Site struct {
 	Types                      []TableType
 	TypeIndex                  map[string]int
@@ -28,7 +28,7 @@
 	Timeout      float64 // the longest time that a client waits
 }
 
-// Read extracts a Site from the module's map. Its error names the first value that is missing or invalid.
+// ReadSettings extracts Settings from the module's map. Its error names the first value that is missing or invalid.
 func Read(flat map[string]any) (Site, error) {
 	var fault error
 	num := func(name string, least, most, other float64) float64 {
