--- a/internal/lease/bidding.go
+++ b/internal/lease/bidding.go
@@ -4,106 +4,112 @@
 	"slices"
 )
 
-// granted counts a voter's grant; with a majority of them the lease is held, or held on.
-func (c *Core) granted(l *lease, from string, m Message) {
-	b := l.bid
+// handleGrant counts a voter's grant. With grants from a majority the lease is acquired or renewed.
+func (c *Core) handleGrant(l *lease, from string, m Message) {
+	b := l.round
 	if b == nil || b.seq != m.Seq || m.Boot != c.boot || m.Epoch != l.ballot {
 		return
 	}
-	b.grants[from] = grant{note: c.heard(m.Note), blank: c.moment(m.Blank)}
-	if b.over || len(b.grants) < c.majority() || c.now >= b.sent+b.term-leewayMs {
+	b.grants[from] = grant{note: c.noteFromMessage(m.Note), blank: c.timeOf(m.Blank)}
+	if b.finished || len(b.grants) < c.majority() || c.now >= b.sentAt+b.term-safetyMarginMs {
 		return
 	}
-	b.over = true
-	l.till = b.sent + b.term
+	b.finished = true
+	l.heldUntil = b.sentAt + b.term
 	if !l.held {
-		l.held, l.pending, l.tries = true, false, 0
+		l.held, l.notePending, l.attempts = true, false, 0
 		c.Counts.Held++
-		c.known(l, b)
-		l.nextAsk = c.now // at once again: the voters learn what the majority knew
-		c.out = append(c.out, Held{Lease: l.Name, Fence: l.fence, Until: l.till - leewayMs, Note: l.mine.data, NoteAt: l.mine.at, Blank: l.bound})
+		c.adoptNewestNote(l, b)
+		l.nextRequest = c.now // renews at once, so that the voters learn the newest note of the majority
+		c.outputs = append(c.outputs, Held{Lease: l.Name, Fence: l.fence, Until: l.heldUntil - safetyMarginMs, Note: l.newestNote.data, NoteAt: l.newestNote.at, Blank: l.blankUntil})
 		return
 	}
-	l.nextAsk = b.sent + renewShare*l.Term
-	if !l.pending {
-		c.out = append(c.out, Renewed{Lease: l.Name, Fence: l.fence, Until: l.till - leewayMs})
-	} else if b.nth == l.mine.nth {
-		l.pending = false
+	l.nextRequest = b.sentAt + renewFraction*l.Term
+	if !l.notePending {
+		c.outputs = append(c.outputs, Renewed{Lease: l.Name, Fence: l.fence, Until: l.heldUntil - safetyMarginMs})
+	} else if b.noteNth == l.newestNote.nth {
+		l.notePending = false
 		c.Counts.Noted++
-		c.out = append(c.out, Noted{Lease: l.Name, Fence: l.fence, Until: l.till - leewayMs})
+		c.outputs = append(c.outputs, Noted{Lease: l.Name, Fence: l.fence, Until: l.heldUntil - safetyMarginMs})
 	} else {
-		l.nextAsk = c.now
-		c.out = append(c.out, Renewed{Lease: l.Name, Fence: l.fence, Until: l.till - leewayMs})
+		l.nextRequest = c.now
+		c.outputs = append(c.outputs, Renewed{Lease: l.Name, Fence: l.fence, Until: l.heldUntil - safetyMarginMs})
 	}
 }
 
-// known takes the newest note that a majority knows of. A voter that has forgotten may have known of one up to its start; as many voters as
-// make a majority must be clear of it.
-func (c *Core) known(l *lease, b *bid) {
-	l.mine, l.bound = note{at: Never}, Never
+// adoptNewestNote takes the newest note that a majority knows of. A voter that restarted without its memory may
+// have known a note written before its start, so the bound for lost notes is the one that a majority of the
+// voters is clear of.
+func (c *Core) adoptNewestNote(l *lease, b *round) {
+	l.newestNote, l.blankUntil = note{at: Never}, Never
 	var bounds []float64
 	for _, name := range c.roster {
 		g, granted := b.grants[name]
 		if !granted {
 			continue
 		}
-		if g.note.newer(l.mine) {
-			l.mine = g.note
-		} else if g.note.nth > 0 && g.note.epoch == l.mine.epoch && g.note.nth == l.mine.nth {
-			l.mine.at = max(l.mine.at, g.note.at)
+		if g.note.newer(l.newestNote) {
+			l.newestNote = g.note
+		} else if g.note.nth > 0 && g.note.epoch == l.newestNote.epoch && g.note.nth == l.newestNote.nth {
+			l.newestNote.at = max(l.newestNote.at, g.note.at)
 		}
 		bounds = append(bounds, g.blank)
 	}
 	slices.Sort(bounds)
-	l.bound = bounds[c.majority()-1]
+	l.blankUntil = bounds[c.majority()-1]
 }
 
-func (c *Core) refused(l *lease, from string, m Message) {
-	b := l.bid
+func (c *Core) handleRefuse(l *lease, from string, m Message) {
+	b := l.round
 	if b == nil || b.seq != m.Seq || m.Boot != c.boot {
 		return
 	}
 	if l.held {
-		// A voter that has started since promises only above what it may have forgotten: it is asked with more, and counts again.
+		// A voter that restarted promises only epochs above those that it may have forgotten. The next request
+		// carries a higher epoch, so that its vote counts again.
 		if m.Epoch >= l.ballot && m.Wait <= 0 {
-			l.ballot, l.nextAsk = c.above(m.Epoch), c.now
+			l.ballot, l.nextRequest = c.nextEpoch(m.Epoch), c.now
 		}
 		return
 	}
-	if b.over {
+	if b.finished {
 		return
 	}
-	l.passed = max(l.passed, m.Epoch) // the next try is above whatever was promised
-	b.no[from] = c.now
-	if m.Wait > 0 && m.Wait < 10*c.kept(c.rules.Longest) {
-		b.no[from] += m.Wait
+	l.highestRefused = max(l.highestRefused, m.Epoch) // the next attempt uses an epoch above every promised one
+	b.refusals[from] = c.now
+	if m.Wait > 0 && m.Wait < 10*c.voterTerm(c.rules.Longest) {
+		b.refusals[from] += m.Wait
 	}
-	// With so many against it, it can't be held: whoever granted it is free again for another candidate.
-	if len(b.no) > len(c.roster)-c.majority() {
-		b.over = true
-		c.release(l)
-		l.nextAsk = c.free(b) + c.pause(l)
+	// A majority is no longer possible, so the voters that granted this attempt are released for another
+	// candidate.
+	if len(b.refusals) > len(c.roster)-c.majority() {
+		b.finished = true
+		c.sendRelease(l)
+		l.nextRequest = c.majorityFreeAt(b) + c.retryDelay(l)
 	}
 }
 
-// pause is how long a candidate whose try came to nothing waits for the next one: by chance, up to twice as long from try to try. Where a try takes
-// longer than candidates wait, by a slow disk or way, five of them would cut each other short for ever.
-func (c *Core) pause(l *lease) float64 {
-	return againShare * l.Term * c.chance() * float64(uint(1)<<min(max(l.tries-1, 0), 3))
+// retryDelay returns a random delay before a candidate's next attempt; its upper bound doubles with each failed
+// attempt, up to eight times the first. With a fixed bound, five candidates would interrupt each other for ever
+// where a slow disk or network makes an attempt take longer than the delay.
+func (c *Core) retryDelay(l *lease) float64 {
+	return retryFraction * l.Term * c.random() * float64(uint(1)<<min(max(l.attempts-1, 0), 3))
 }
 
-// above is this member's next epoch: no two members ask with the same one, so that of two tries that cross one is always the higher.
-func (c *Core) above(epoch uint64) uint64 {
+// nextEpoch returns this member's next epoch above the given one. No two members use the same epoch, so one of
+// two concurrent attempts always has the higher one.
+func (c *Core) nextEpoch(epoch uint64) uint64 {
 	n := uint64(len(c.roster))
 	mine, _ := slices.BinarySearch(c.roster, c.self)
 	return epoch + 1 + (uint64(mine)+n-(epoch+1)%n)%n
 }
 
-// free is when as many voters as make a majority may be free by what they answered; now where too few have answered.
-func (c *Core) free(b *bid) float64 {
+// majorityFreeAt returns when a majority of the voters may be free, by their replies. It returns the current
+// time if too few voters have replied.
+func (c *Core) majorityFreeAt(b *round) float64 {
 	var at []float64
 	for _, name := range c.roster {
-		if until, refused := b.no[name]; refused {
+		if until, refused := b.refusals[name]; refused {
 			at = append(at, until)
 		} else if _, granted := b.grants[name]; granted {
 			at = append(at, c.now)
@@ -117,43 +123,43 @@
 }
 
 func (c *Core) resign() {
-	if c.gone {
+	if c.resigned {
 		return
 	}
 	for _, name := range c.names {
 		if l := c.leases[name]; l.held {
-			c.lose(l)
+			c.endHold(l)
 		}
 	}
-	c.gone = true
+	c.resigned = true
 }
 
-// release frees the voters of what this member is not holding, or not any more.
-func (c *Core) release(l *lease) {
+// sendRelease tells the voters that this member does not hold the lease, or no longer holds it.
+func (c *Core) sendRelease(l *lease) {
 	if l.holder == c.self && l.boot == c.boot {
 		l.until = c.now
 	}
 	for _, to := range c.roster {
 		if to != c.self {
-			c.mail[to] = append(c.mail[to], Message{Kind: Release, Lease: l.Name, Epoch: l.ballot, Boot: c.boot, Blank: -1})
+			c.outbox[to] = append(c.outbox[to], Message{Kind: Release, Lease: l.Name, Epoch: l.ballot, Boot: c.boot, Blank: -1})
 		}
 	}
 }
 
-// forget lets go of leases that are not fixed and that nobody has held for long. Their epochs stay as a floor for all that come, and up to when
-// notes went with them.
-func (c *Core) forget() {
+// forgetIdle removes leases that are not fixed and that nobody has held for long. The highest of their epochs
+// becomes the floor of all later ones, and the time of their newest note bounds what may be lost.
+func (c *Core) forgetIdle() {
 	if len(c.names) == len(c.rules.Fixed) {
 		return
 	}
 	c.names = slices.DeleteFunc(c.names, func(name string) bool {
 		l := c.leases[name]
-		if l.fixed || l.held || l.want || l.until > c.now || c.now < l.idle+keptFor*l.Term || c.now < c.quiet(l) {
+		if l.fixed || l.held || l.wanted || l.until > c.now || c.now < l.idleSince+idleTermsKept*l.Term || c.now < c.graceUntil(l) {
 			return false
 		}
-		c.floor, c.lost = max(c.floor, l.epoch), max(c.lost, l.blank)
+		c.epochFloor, c.forgottenNoteAt = max(c.epochFloor, l.epoch), max(c.forgottenNoteAt, l.blank)
 		if l.note.nth > 0 {
-			c.lost = max(c.lost, l.note.at)
+			c.forgottenNoteAt = max(c.forgottenNoteAt, l.note.at)
 		}
 		delete(c.leases, name)
 		return true
--- a/internal/lease/copy.go
+++ b/internal/lease/copy.go
@@ -8,71 +8,73 @@
 	"slices"
 )
 
-// Clone is a copy that goes its own way, with a chance of its own. Explorers play a core in several ways from one state.
-func (c *Core) Clone(chance func() float64) *Core {
+// Clone returns an independent copy with its own source of randomness. A state explorer runs one state in
+// several ways from there.
+func (c *Core) Clone(random func() float64) *Core {
 	d := *c
-	d.out, d.chance = nil, chance
-	d.names, d.parked = slices.Clone(c.names), slices.Clone(c.parked)
-	d.leases, d.mail = make(map[string]*lease, len(c.leases)), map[string][]Message{}
+	d.outputs, d.random = nil, random
+	d.names, d.pendingReplies = slices.Clone(c.names), slices.Clone(c.pendingReplies)
+	d.leases, d.outbox = make(map[string]*lease, len(c.leases)), map[string][]Message{}
 	for name, l := range c.leases {
 		k := *l
-		if l.bid != nil {
-			b := *l.bid
-			b.grants, b.no = maps.Clone(l.bid.grants), maps.Clone(l.bid.no)
-			k.bid = &b
+		if l.round != nil {
+			b := *l.round
+			b.grants, b.refusals = maps.Clone(l.round.grants), maps.Clone(l.round.refusals)
+			k.round = &b
 		}
 		d.leases[name] = &k
 	}
 	return &d
 }
 
-// Digest adds to a hash all that decides what this core does from a moment by its clock on: two cores of one member whose
-// digests are alike behave alike. Names are as by alias, so that symmetric members can be folded.
+// Digest adds to a hash everything that decides the behaviour from the time now on: two machines of one member
+// with equal digests behave alike. Member names are replaced by their aliases, so that symmetric states have
+// one digest.
 func (c *Core) Digest(h hash.Hash64, now float64, alias func(string) byte) {
 	w := digest{h, now}
-	w.num(c.boot, c.seq, c.floor, c.number, c.stored, flag(c.begun), flag(c.disk), flag(c.sound), flag(c.failed), flag(c.gone))
-	w.moment(c.start+c.kept(c.rules.Longest), c.start, c.lost)
-	for _, p := range c.parked {
-		w.num(p.number, uint64(alias(p.to)))
+	w.numbers(c.boot, c.seq, c.epochFloor, c.lastRecord, c.storedUpTo, boolBit(c.started), boolBit(c.durable), boolBit(c.memoryComplete), boolBit(c.diskFailed), boolBit(c.resigned))
+	w.times(c.startedAt+c.voterTerm(c.rules.Longest), c.startedAt, c.forgottenNoteAt)
+	for _, p := range c.pendingReplies {
+		w.numbers(p.number, uint64(alias(p.to)))
 		w.message(p.reply)
 		w.note(p.note)
-		w.moment(p.blank)
+		w.times(p.blank)
 	}
 	for _, name := range c.names {
 		l := c.leases[name]
-		w.num(l.epoch, uint64(alias(l.holder)), l.boot, l.fence, l.ballot, max(l.epoch, l.passed), uint64(min(l.tries, 2)), flag(l.want), flag(l.held), flag(l.pending), flag(l.sure && l.until > now))
-		w.moment(l.until, max(l.nextAsk, now), max(l.barred, now), l.blank, l.bound)
-		w.num(math.Float64bits(l.term))
+		w.numbers(l.epoch, uint64(alias(l.holder)), l.boot, l.fence, l.ballot, max(l.epoch, l.highestRefused), uint64(min(l.attempts, 2)), boolBit(l.wanted), boolBit(l.held), boolBit(l.notePending), boolBit(l.confirmed && l.until > now))
+		w.times(l.until, max(l.nextRequest, now), max(l.barredUntil, now), l.blank, l.blankUntil)
+		w.numbers(math.Float64bits(l.term))
 		w.note(l.note)
-		w.note(l.mine)
+		w.note(l.newestNote)
 		if l.held {
-			w.moment(l.till)
+			w.times(l.heldUntil)
 		}
-		// Of a try that is over nothing counts any more; of a renewal, which one it was.
-		if b := l.bid; b != nil && b.over && l.held {
-			w.num(b.seq)
-		} else if b != nil && !b.over {
-			w.num(b.seq, b.nth)
-			w.moment(b.sent)
-			// In the order of the aliases, so that mirrored states are alike.
+		// A finished attempt has no effect any more; of a finished renewal only its sequence number matters.
+		if b := l.round; b != nil && b.finished && l.held {
+			w.numbers(b.seq)
+		} else if b != nil && !b.finished {
+			w.numbers(b.seq, b.noteNth)
+			w.times(b.sentAt)
+			// The order of the aliases makes mirrored states equal.
 			order := slices.SortedFunc(slices.Values(c.roster), func(a, b string) int { return int(alias(a)) - int(alias(b)) })
 			for _, other := range order {
 				g, granted := b.grants[other]
-				until, refused := b.no[other]
-				w.num(uint64(alias(other)), flag(granted), flag(refused))
+				until, refused := b.refusals[other]
+				w.numbers(uint64(alias(other)), boolBit(granted), boolBit(refused))
 				if refused {
-					w.moment(max(until, now))
+					w.times(max(until, now))
 				}
 				if granted {
 					w.note(g.note)
-					w.moment(g.blank)
+					w.times(g.blank)
 				}
 			}
 		}
 	}
 }
 
-// Digest adds a message that is under way.
+// Digest adds a message in flight to a hash.
 func (m Message) Digest(h hash.Hash64) { digest{h, 0}.message(m) }
 
 type digest struct {
@@ -80,14 +82,14 @@
 	now float64
 }
 
-func flag(b bool) uint64 {
+func boolBit(b bool) uint64 {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-func (w digest) num(all ...uint64) {
+func (w digest) numbers(all ...uint64) {
 	var b [8]byte
 	for _, n := range all {
 		binary.LittleEndian.PutUint64(b[:], n)
@@ -95,30 +97,31 @@
 	}
 }
 
-// moment adds moments as far as they are still to come, or not long past: sums in another order differ by less than a thousandth.
-func (w digest) moment(all ...float64) {
+// times adds times relative to now, rounded to a hundredth of a millisecond, because sums in another order
+// differ by less than a thousandth. Times long past are all equal.
+func (w digest) times(all ...float64) {
 	for _, at := range all {
-		w.num(uint64(int64(math.Round(max(at-w.now, -1e6) * 100))))
+		w.numbers(uint64(int64(math.Round(max(at-w.now, -1e6) * 100))))
 	}
 }
 
 func (w digest) note(n note) {
-	w.num(n.epoch, n.nth)
+	w.numbers(n.epoch, n.nth)
 	if n.nth > 0 {
-		w.moment(n.at)
+		w.times(n.at)
 	}
 }
 
 func (w digest) message(m Message) {
-	w.num(uint64(m.Kind), m.Epoch, m.Boot, m.Seq, flag(m.Sure), math.Float64bits(m.Term), math.Float64bits(math.Round(m.Wait*100)),
+	w.numbers(uint64(m.Kind), m.Epoch, m.Boot, m.Seq, boolBit(m.Sure), math.Float64bits(m.Term), math.Float64bits(math.Round(m.Wait*100)),
 		math.Float64bits(math.Round(m.Blank*100)))
 	if n := m.Note; n != nil {
-		w.num(n.Epoch, n.Nth, math.Float64bits(math.Round(n.Age*100)))
+		w.numbers(n.Epoch, n.Nth, math.Float64bits(math.Round(n.Age*100)))
 	}
 }
 
-// Asking says whether a try for a lease is under way here.
+// Campaigning reports whether this member has an attempt to acquire the lease under way.
 func (c *Core) Asking(name string) bool {
 	l := c.leases[name]
-	return l != nil && !l.held && l.bid != nil
+	return l != nil && !l.held && l.round != nil
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,15 +1,18 @@
-// Package lease decides who of a configured set of members may do what nobody may do twice. A lease is granted by a
-// majority of that set, holds for a term by elapsed time alone, and carries a fencing number that grows from one
-// holder to the next. It has no I/O and no clock: messages and the time go in, messages and orders come out.
+// Package lease implements leases that a majority of a fixed set of voters grants. At most one member holds a
+// lease at a time, for a term that is measured as elapsed time alone, and every holder gets a fencing token
+// (its epoch) that is higher than those of all earlier holders. The package does no I/O and reads no clock:
+// messages and the time go in, messages and events come out.
 //
-// The rule is that of Gray and Cheriton's leases (1989) with a majority of voters in the place of one server: a holder
-// counts its term from the moment it asked, a voter from the moment it granted, and longer by what two clocks can
-// drift apart. A voter without a disk that has just started has forgotten what it granted, so it grants nothing for
-// as long as a term can last, and says up to when it may have forgotten a note. One with a disk stores a vote before it
-// tells it, and after a restart keeps to every vote as if it had just been given.
+// The protocol follows the leases of Gray and Cheriton (1989), with a majority of voters in place of one
+// server. A holder counts its term from the moment of its request, a voter from the moment of its grant and
+// longer by the possible drift between two clocks. A voter without a disk forgets its grants in a restart. So
+// it grants nothing during a grace period of the longest possible term, and reports up to which time it may
+// have forgotten a note. A voter with a disk stores each vote before it sends it, and after a restart honours
+// every stored vote as if it had just been granted.
 //
-// A holder leaves notes with its lease, which go along with its renewals: what a majority of voters has taken down is known
-// to every later holder. That is a register by quorums (Attiya, Bar-Noy, Dolev 1995) that the holder alone may write.
+// A holder can attach a note to its lease, which its renewals carry to the voters: every later holder learns a
+// note that a majority has stored. This is a quorum register (Attiya, Bar-Noy, Dolev 1995) that only the holder
+// may write.
 package lease
 
 import (
@@ -23,28 +26,28 @@
 	data       []byte
 }
 
-// newer says whether a was written after b.
+// newer reports whether a was written after b.
 func (a note) newer(b note) bool { return a.epoch > b.epoch || a.epoch == b.epoch && a.nth > b.nth }
 
 type vote struct {
-	epoch  uint64
-	holder string
-	boot   uint64
-	term   float64 // that was granted
-	until  float64
-	sure   bool // it was a holder's, not a candidate's try
-	note   note
-	blank  float64 // up to when notes may have been forgotten here
+	epoch     uint64
+	holder    string
+	boot      uint64
+	term      float64 // the granted term
+	until     float64
+	confirmed bool // granted to a holder's renewal, not to a candidate's attempt
+	note      note
+	blank     float64 // notes written before this time may have been forgotten here
 }
 
-type bid struct {
-	seq    uint64
-	sent   float64
-	term   float64
-	nth    uint64 // of the note that went along
-	grants map[string]grant
-	no     map[string]float64 // who refused, and up to when as it said
-	over   bool
+type round struct {
+	seq      uint64
+	sentAt   float64
+	term     float64
+	noteNth  uint64 // of the note that the request carried
+	grants   map[string]grant
+	refusals map[string]float64 // the time until which each refusing voter says it is bound
+	finished bool
 }
 
 type grant struct {
@@ -55,25 +58,25 @@
 type lease struct {
 	Terms
 	vote
-	fixed   bool
-	want    bool
-	nextAsk float64
-	held    bool
-	fence   uint64
-	ballot  uint64  // the epoch that is asked with: the fence, or above it where a voter has promised more since
-	till    float64 // as the holder counts it
-	bid     *bid
-	mine    note    // the holder's: the newest of all
-	bound   float64 // the holder's: up to when notes may be lost
-	pending bool    // the newest is not known to be with a majority
-	idle    float64 // since when nobody has held it
-	passed  uint64  // the highest epoch that a refusal named
-	tries   int     // in a row without a majority
-	barred  float64 // up to when this member may not ask: what it left to run out may go on
+	fixed          bool
+	wanted         bool
+	nextRequest    float64
+	held           bool
+	fence          uint64
+	ballot         uint64  // the epoch of the requests: the fencing token, or a higher one where a voter has promised more since
+	heldUntil      float64 // end of the term by the holder's count
+	round          *round
+	newestNote     note    // the newest note that the holder knows of
+	blankUntil     float64 // the holder's bound: notes written before this time may be lost
+	notePending    bool    // the newest note is not yet confirmed by a majority
+	idleSince      float64 // the time since which nobody has held it
+	highestRefused uint64  // the highest epoch that a refusal reported
+	attempts       int     // attempts in a row without a majority
+	barredUntil    float64 // this member sends no requests before this time, because work may go on under a lease that it left to expire
 }
 
-// parked is a vote that must last before it is told.
-type parked struct {
+// pendingReply is a vote that must be durable before it is sent.
+type pendingReply struct {
 	number uint64
 	to     string
 	reply  Message
@@ -81,60 +84,63 @@
 	blank  float64
 }
 
-// Core is one member's part: voter in all leases, and candidate or holder in some. Only one goroutine may call it.
+// Machine is one member's state machine: voter for all leases, candidate or holder for some. It is not safe for
+// concurrent use.
 type Core struct {
 	Counts Counts
 
-	self   string
-	boot   uint64
-	roster []string
-	rules  Rules
-	floor  uint64
-	lost   float64 // when the newest note may have been written that went with a forgotten lease
-	disk   bool
-	sound  bool // nothing was forgotten: no quiet time
-	failed bool // the disk
-	start  float64
-	now    float64
-	begun  bool
-	seq    uint64
-	number uint64
-	stored uint64
-	parked []parked
-	leases map[string]*lease
-	names  []string
-	mail   map[string][]Message
-	out    []Output
-	chance func() float64
-	gone   bool
+	self            string
+	boot            uint64
+	roster          []string
+	rules           Rules
+	epochFloor      uint64
+	forgottenNoteAt float64 // the latest time at which a note of a forgotten lease may have been written
+	durable         bool
+	memoryComplete  bool // the stored votes are complete, so no grace period is needed
+	diskFailed      bool // the disk failed, so this voter grants nothing
+	startedAt       float64
+	now             float64
+	started         bool
+	seq             uint64
+	lastRecord      uint64
+	storedUpTo      uint64
+	pendingReplies  []pendingReply
+	leases          map[string]*lease
+	names           []string
+	outbox          map[string][]Message
+	outputs         []Output
+	random          func() float64
+	resigned        bool
 }
 
-// New makes a member's part, for a voter without a disk. The roster names all voters, this one among them; it is the same at all of
-// them. The floor is a fencing number that no earlier holder can have passed, such as the wall clock's milliseconds: this
-// voter may have forgotten what it granted, so it grants only above that. Chance gives numbers from 0 to 1.
-func New(self string, boot uint64, roster []string, rules Rules, floor uint64, chance func() float64) *Core {
-	c := &Core{self: self, boot: boot, roster: slices.Clone(roster), rules: rules, floor: floor,
-		lost: Never, leases: map[string]*lease{}, mail: map[string][]Message{}, chance: chance}
+// New returns the state machine of a member without a disk. The roster names all voters, this member among
+// them, and is the same at all of them. The epoch floor is a fencing token that no earlier holder can have
+// exceeded, such as the wall clock in milliseconds: this voter may have forgotten its grants, so it grants only
+// higher epochs. The function random returns numbers in [0, 1).
+func New(self string, boot uint64, roster []string, rules Rules, epochFloor uint64, random func() float64) *Core {
+	c := &Core{self: self, boot: boot, roster: slices.Clone(roster), rules: rules, epochFloor: epochFloor,
+		forgottenNoteAt: Never, leases: map[string]*lease{}, outbox: map[string][]Message{}, random: random}
 	slices.Sort(c.roster)
 	c.roster = slices.Compact(c.roster)
 	for _, t := range rules.Fixed {
-		c.add(t).fixed = true
+		c.addLease(t).fixed = true
 	}
 	return c
 }
 
-// Restore has votes stored before they are told, and begins with those that were. Sound says that they are all there are: then there
-// is no quiet time. It goes before the first Step. Records of one lease may come in any number, in their order.
+// Restore makes the votes durable: each is stored before it is sent, and the machine starts from the given
+// records. If sound is true the records are complete, and no grace period is needed. Restore must be called
+// before the first Step. A lease may have several records, in the order in which they were stored.
 func (c *Core) Restore(records []Record, sound bool) {
-	c.disk, c.sound = true, sound
+	c.durable, c.memoryComplete = true, sound
 	for _, r := range records {
 		l := c.leases[r.Lease]
 		if r.Lease == "" {
-			c.floor, c.lost = max(c.floor, r.Epoch), max(c.lost, r.Blank)
+			c.epochFloor, c.forgottenNoteAt = max(c.epochFloor, r.Epoch), max(c.forgottenNoteAt, r.Blank)
 			continue
 		}
 		if l == nil {
-			l = c.add(Terms{Name: r.Lease, Term: r.Term})
+			l = c.addLease(Terms{Name: r.Lease, Term: r.Term})
 		}
 		if !sound {
 			r.Epoch = max(r.Epoch, l.epoch)
@@ -145,9 +151,9 @@
 	}
 }
 
-// Records are all votes as they would be stored, to take the place of those so far, and the floor.
+// Records returns all votes and the epoch floor as records, which can replace all records stored so far.
 func (c *Core) Records() []Record {
-	all := []Record{{Epoch: c.floor, Blank: c.lost}}
+	all := []Record{{Epoch: c.epochFloor, Blank: c.forgottenNoteAt}}
 	for _, name := range c.names {
 		if l := c.leases[name]; l.holder != "" {
 			all = append(all, l.record())
@@ -161,73 +167,77 @@
 		NoteNth: l.note.nth, NoteAt: l.note.at, Data: l.note.data, Blank: l.blank}
 }
 
-func (c *Core) add(t Terms) *lease {
-	l := &lease{Terms: t, vote: vote{epoch: c.floor, until: Never, blank: Never, note: note{at: Never}}, mine: note{at: Never}, bound: Never, idle: c.now, barred: Never}
-	if !c.sound && c.begun {
-		l.blank = c.start
+func (c *Core) addLease(t Terms) *lease {
+	l := &lease{Terms: t, vote: vote{epoch: c.epochFloor, until: Never, blank: Never, note: note{at: Never}}, newestNote: note{at: Never}, blankUntil: Never, idleSince: c.now, barredUntil: Never}
+	if !c.memoryComplete && c.started {
+		l.blank = c.startedAt
 	}
-	// Of this name a lease with a note may have been forgotten: to its next holder nobody may say that none was lost.
-	l.blank = max(l.blank, c.lost)
+	// A lease of this name with a note may have been forgotten, so its next holder must not conclude that no
+	// note was lost.
+	l.blank = max(l.blank, c.forgottenNoteAt)
 	c.leases[t.Name] = l
 	at, _ := slices.BinarySearch(c.names, t.Name)
 	c.names = slices.Insert(c.names, at, t.Name)
 	return l
 }
 
-func (c *Core) voter(name string) bool {
+func (c *Core) isVoter(name string) bool {
 	_, is := slices.BinarySearch(c.roster, name)
 	return is
 }
 
 func (c *Core) majority() int { return len(c.roster)/2 + 1 }
 
-// kept is how long a voter keeps to its grant of a term: the holder's clock may be slow and its own fast.
-func (c *Core) kept(term float64) float64 { return term * (1 + c.rules.Drift) / (1 - c.rules.Drift) }
+// voterTerm returns how long a voter honours its grant: the holder's clock may be slow and the voter's fast.
+func (c *Core) voterTerm(term float64) float64 {
+	return term * (1 + c.rules.Drift) / (1 - c.rules.Drift)
+}
 
-// quiet is up to when this voter grants nothing and asks for nothing: what it, or an earlier process of this member, was told may still run.
-func (c *Core) quiet(l *lease) float64 {
-	if c.sound {
-		return c.start
+// graceUntil returns the time until which this voter neither grants nor requests the lease, because a grant of
+// an earlier process of this member may still be valid.
+func (c *Core) graceUntil(l *lease) float64 {
+	if c.memoryComplete {
+		return c.startedAt
 	}
 	term := l.Term
 	if !l.fixed {
 		term = c.rules.Longest
 	}
-	return c.start + c.kept(term)
+	return c.startedAt + c.voterTerm(term)
 }
 
-// Due is when Step is wanted next though nothing comes in.
+// Due returns the time at which the next Step is needed if no input arrives.
 func (c *Core) Due() float64 {
-	if !c.begun {
+	if !c.started {
 		return math.Inf(-1)
 	}
 	at := math.Inf(1)
-	if c.gone || !c.voter(c.self) {
+	if c.resigned || !c.isVoter(c.self) {
 		return at
 	}
 	for _, l := range c.leases {
 		if l.held {
-			at = min(at, l.till-leewayMs)
+			at = min(at, l.heldUntil-safetyMarginMs)
 		}
-		if l.held || l.want {
-			at = min(at, max(l.nextAsk, c.quiet(l), l.barred))
+		if l.held || l.wanted {
+			at = min(at, max(l.nextRequest, c.graceUntil(l), l.barredUntil))
 		}
 	}
 	return at
 }
 
-// Step takes what came in by now and does what is due. What has run out is over before anything that came in is looked
-// at: a member that stood still holds nothing any more, whatever it believed.
+// Step handles the inputs and does what is due. Terms that have run out end before any input is handled, so a
+// member that was suspended holds nothing any more.
 func (c *Core) Step(now float64, in []Input) []Output {
-	c.out = nil
+	c.outputs = nil
 	c.now = max(c.now, now)
-	if !c.begun {
+	if !c.started {
 		c.begin(now)
 	}
 	for _, name := range c.names {
-		if l := c.leases[name]; l.held && c.now >= l.till-leewayMs {
+		if l := c.leases[name]; l.held && c.now >= l.heldUntil-safetyMarginMs {
 			c.Counts.Lost++
-			c.lose(l)
+			c.endHold(l)
 		}
 	}
 	for _, x := range in {
@@ -235,169 +245,173 @@
 		case Received:
 			c.receive(v)
 		case Want:
-			c.want(v)
+			c.setWanted(v)
 		case Write:
 			if l := c.leases[v.Lease]; l != nil && l.held && l.fence == v.Fence && len(v.Data) <= NoteMost {
-				// What is written now takes the place of whatever earlier note may be lost.
-				l.mine = note{l.fence, l.mine.nth + 1, c.now, slices.Clone(v.Data)}
-				l.bound, l.pending, l.nextAsk = Never, true, c.now
+				// The new note replaces any earlier note that may be lost.
+				l.newestNote = note{l.fence, l.newestNote.nth + 1, c.now, slices.Clone(v.Data)}
+				l.blankUntil, l.notePending, l.nextRequest = Never, true, c.now
 			}
 		case Drop:
 			if l := c.leases[v.Lease]; l != nil && l.held && l.fence == v.Fence {
-				c.lose(l)
+				c.endHold(l)
 				if !v.Silent {
-					c.release(l)
+					c.sendRelease(l)
 				} else {
-					// Voters would let this very process on at once: it alone knows that something may go on under the old number.
-					l.barred = l.till
+					// The voters would grant it to this same process again at once; only this process knows
+					// that work may go on under the old fencing token.
+					l.barredUntil = l.heldUntil
 				}
-				l.nextAsk = c.now + againShare*l.Term // somebody else's turn first
+				l.nextRequest = c.now + retryFraction*l.Term // gives another candidate precedence
 			}
 		case Resign:
 			c.resign()
 		case Stored:
-			c.tell(v.Upto)
+			c.handleStored(v.Upto)
 		case DiskLost:
-			c.failed, c.parked = true, nil
+			c.diskFailed, c.pendingReplies = true, nil
 		}
 	}
-	if !c.gone && c.voter(c.self) {
-		c.turns()
+	if !c.resigned && c.isVoter(c.self) {
+		c.sendDueRequests()
 	}
-	c.forget()
+	c.forgetIdle()
 	for _, to := range c.roster {
-		if m := c.mail[to]; len(m) > 0 {
-			c.out = append(c.out, Send{To: to, Messages: m})
-			delete(c.mail, to)
+		if m := c.outbox[to]; len(m) > 0 {
+			c.outputs = append(c.outputs, Send{To: to, Messages: m})
+			delete(c.outbox, to)
 		}
 	}
-	return c.out
+	return c.outputs
 }
 
 func (c *Core) begin(now float64) {
-	c.begun, c.start, c.now, c.lost = true, now, now, min(c.lost, now)
+	c.started, c.startedAt, c.now, c.forgottenNoteAt = true, now, now, min(c.forgottenNoteAt, now)
 	for _, l := range c.leases {
-		l.idle = now
-		if !c.sound {
+		l.idleSince = now
+		if !c.memoryComplete {
 			l.blank, l.until = now, Never
-			l.epoch = max(l.epoch, c.floor)
+			l.epoch = max(l.epoch, c.epochFloor)
 		} else if l.holder != "" {
-			// It may have been given a moment before the process ended.
-			l.until = now + c.kept(l.term)
+			// The vote may have been granted just before the process ended.
+			l.until = now + c.voterTerm(l.term)
 		}
 		l.note.at = min(l.note.at, now)
 		l.blank = min(l.blank, now)
 	}
 }
 
-func (c *Core) want(v Want) {
+func (c *Core) setWanted(v Want) {
 	l := c.leases[v.Lease]
 	if l == nil {
 		if !v.On || len(c.names) >= c.rules.Most || v.Term <= 0 || v.Term > c.rules.Longest || len(v.Lease) > NameMost {
 			return
 		}
-		l = c.add(Terms{Name: v.Lease, Term: v.Term})
+		l = c.addLease(Terms{Name: v.Lease, Term: v.Term})
 	} else if !l.fixed && v.On && v.Term > 0 && v.Term <= c.rules.Longest && !l.held {
 		l.Term = v.Term
 	}
-	if v.On && !l.want && !l.held {
-		l.nextAsk = max(l.nextAsk, c.now)
+	if v.On && !l.wanted && !l.held {
+		l.nextRequest = max(l.nextRequest, c.now)
 	}
-	l.want = v.On
-	if !v.On && !l.held && l.bid != nil {
-		// Whoever granted the try is free again for another candidate; what still comes in for it no longer counts.
-		l.bid = nil
-		c.release(l)
+	l.wanted = v.On
+	if !v.On && !l.held && l.round != nil {
+		// Releases the voters that granted the attempt; later replies to it no longer count.
+		l.round = nil
+		c.sendRelease(l)
 	}
 }
 
-// lose ends holding here.
-func (c *Core) lose(l *lease) {
-	c.out = append(c.out, Lost{Lease: l.Name, Fence: l.fence})
-	l.held, l.pending, l.bid = false, false, nil
+// endHold ends this member's hold of the lease.
+func (c *Core) endHold(l *lease) {
+	c.outputs = append(c.outputs, Lost{Lease: l.Name, Fence: l.fence})
+	l.held, l.notePending, l.round = false, false, nil
 }
 
-// turns asks where it is time: to renew, or for a lease that nobody holds.
-func (c *Core) turns() {
-	any := false
+// sendDueRequests sends the renewals that are due, and requests for wanted leases that nobody holds.
+func (c *Core) sendDueRequests() {
+	renewalDue := false
 	for _, name := range c.names {
 		l := c.leases[name]
-		any = any || l.held && c.now >= l.nextAsk
+		renewalDue = renewalDue || l.held && c.now >= l.nextRequest
 	}
 	for _, name := range c.names {
 		l := c.leases[name]
-		// Renewals travel together: one that is due soon goes along with one that is due.
+		// Batches renewals: one that is due soon is sent with one that is due now.
 		early := 0.0
-		if any && l.held {
-			early = earlyShare * l.Term
+		if renewalDue && l.held {
+			early = earlyRenewFraction * l.Term
 		}
-		if (l.held || l.want) && c.now >= l.nextAsk-early && c.now >= c.quiet(l) && c.now >= l.barred {
-			c.turn(l)
+		if (l.held || l.wanted) && c.now >= l.nextRequest-early && c.now >= c.graceUntil(l) && c.now >= l.barredUntil {
+			c.sendRequest(l)
 		}
 	}
 }
 
-func (c *Core) turn(l *lease) {
+func (c *Core) sendRequest(l *lease) {
 	if !l.held {
 		if l.until > c.now && (l.holder != c.self || l.boot != c.boot) {
-			// This voter itself would refuse. All voters see a dead holder's term run out within moments of each other: candidates who asked at
-			// once would each have their own vote and refuse each other.
-			l.nextAsk = l.until + freeShare*l.Term*c.chance()
+			// This voter itself would refuse. All voters see a dead holder's term end at about the same time:
+			// candidates that sent their requests then would each have their own vote and refuse each other.
+			// The random delay prevents that.
+			l.nextRequest = l.until + jitterFraction*l.Term*c.random()
 			return
 		}
-		if l.bid != nil && !l.bid.over {
-			// No majority in time: what it has of the votes is free for another one's try for a while. Two who each keep their own, with a third
-			// voter dead, would refuse each other for ever.
-			l.bid.over = true
-			c.release(l)
-			l.nextAsk = c.free(l.bid) + c.pause(l)
+		if l.round != nil && !l.round.finished {
+			// There was no majority in time, so the voters are released for another candidate for a while. Two
+			// candidates that each keep their own vote, with the third voter dead, would refuse each other for
+			// ever.
+			l.round.finished = true
+			c.sendRelease(l)
+			l.nextRequest = c.majorityFreeAt(l.round) + c.retryDelay(l)
 			return
 		}
-		// Never by this member's clock, to be above the floor of whoever has started by now: a fast one would run days ahead of the wall clocks that
-		// floors come from, and after the loss of all memory numbers would go back.
-		l.ballot = c.above(max(l.epoch, l.passed))
+		// The epoch never follows this member's clock to get above the floor of voters that have restarted: a
+		// fast clock would run days ahead of the wall clocks that floors come from, and after a loss of all
+		// memory the fencing tokens would go back.
+		l.ballot = c.nextEpoch(max(l.epoch, l.highestRefused))
 		l.fence = l.ballot
 	}
 	c.seq++
-	l.bid = &bid{seq: c.seq, sent: c.now, term: l.Term, nth: l.mine.nth, grants: map[string]grant{}, no: map[string]float64{}}
+	l.round = &round{seq: c.seq, sentAt: c.now, term: l.Term, noteNth: l.newestNote.nth, grants: map[string]grant{}, refusals: map[string]float64{}}
 	ask := Message{Kind: Ask, Lease: l.Name, Epoch: l.ballot, Boot: c.boot, Seq: c.seq, Term: l.Term, Blank: -1, Sure: l.held}
 	if l.held {
-		l.nextAsk = c.now + againShare*l.Term
-		ask.Note, ask.Blank = c.told(l.mine), c.age(l.bound)
+		l.nextRequest = c.now + retryFraction*l.Term
+		ask.Note, ask.Blank = c.noteToMessage(l.newestNote), c.ageOf(l.blankUntil)
 	} else {
-		l.nextAsk = c.now + tryShare*l.Term*float64(uint(1)<<min(l.tries, 2)) // a slow disk or way needs longer
-		l.tries++
+		l.nextRequest = c.now + attemptFraction*l.Term*float64(uint(1)<<min(l.attempts, 2)) // a slow disk or network needs longer
+		l.attempts++
 	}
 	for _, name := range c.roster {
 		if name != c.self {
-			c.mail[name] = append(c.mail[name], ask)
+			c.outbox[name] = append(c.outbox[name], ask)
 		}
 	}
 	c.receive(Received{From: c.self, Message: ask})
 }
 
-func (c *Core) told(n note) *Note {
+func (c *Core) noteToMessage(n note) *Note {
 	if n.nth == 0 {
 		return nil
 	}
 	return &Note{Epoch: n.epoch, Nth: n.nth, Age: max(0, c.now-n.at), Data: n.data}
 }
 
-func (c *Core) heard(n *Note) note {
+func (c *Core) noteFromMessage(n *Note) note {
 	if n == nil || len(n.Data) > NoteMost {
 		return note{at: Never}
 	}
-	return note{epoch: n.Epoch, nth: n.Nth, at: c.moment(n.Age), data: n.Data}
+	return note{epoch: n.Epoch, nth: n.Nth, at: c.timeOf(n.Age), data: n.Data}
 }
 
-func (c *Core) age(at float64) float64 {
+func (c *Core) ageOf(at float64) float64 {
 	if at <= Never/2 {
 		return -1
 	}
 	return max(0, c.now-at)
 }
 
-func (c *Core) moment(age float64) float64 {
+func (c *Core) timeOf(age float64) float64 {
 	if age < 0 || math.IsNaN(age) || age > -Never {
 		return Never
 	}
@@ -406,7 +420,7 @@
 
 func (c *Core) receive(r Received) {
 	m := r.Message
-	if !c.voter(r.From) || !c.voter(c.self) || c.gone {
+	if !c.isVoter(r.From) || !c.isVoter(c.self) || c.resigned {
 		c.Counts.Odd++
 		return
 	}
@@ -423,22 +437,22 @@
 			c.send(r.From, Message{Kind: Refuse, Lease: m.Lease, Boot: m.Boot, Seq: m.Seq, Blank: -1})
 			return
 		}
-		l = c.add(Terms{Name: m.Lease, Term: m.Term})
+		l = c.addLease(Terms{Name: m.Lease, Term: m.Term})
 	}
 	switch m.Kind {
 	case Ask:
-		c.vote(l, r.From, m)
+		c.handleRequest(l, r.From, m)
 	case Grant:
-		c.granted(l, r.From, m)
+		c.handleGrant(l, r.From, m)
 	case Refuse:
-		c.refused(l, r.From, m)
+		c.handleRefuse(l, r.From, m)
 	case Release:
 		if l.holder == r.From && l.boot == m.Boot && l.epoch == m.Epoch {
 			l.until = c.now
-			if l.want && !l.held && (l.bid == nil || l.bid.over) {
-				// Not all who wait at one moment: they would split the votes.
-				if l.nextAsk = c.now + freeShare*l.Term*c.chance(); !l.sure {
-					l.nextAsk = c.now + c.pause(l)
+			if l.wanted && !l.held && (l.round == nil || l.round.finished) {
+				// A random delay, so that waiting candidates do not split the votes.
+				if l.nextRequest = c.now + jitterFraction*l.Term*c.random(); !l.confirmed {
+					l.nextRequest = c.now + c.retryDelay(l)
 				}
 			}
 		}
@@ -451,6 +465,6 @@
 	if to == c.self {
 		c.receive(Received{From: c.self, Message: m})
 	} else {
-		c.mail[to] = append(c.mail[to], m)
+		c.outbox[to] = append(c.outbox[to], m)
 	}
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -9,55 +9,56 @@
 	"github.com/stretchr/testify/require"
 )
 
-func half() float64 { return 0.5 }
+func alwaysHalf() float64 { return 0.5 }
 
-// voters are three members that share their messages at once; lost ones are cut off. Disks keep what is stored, at once or once flushed.
-type voters struct {
-	t     *testing.T
-	now   float64
-	cores map[string]*Core
-	lost  map[string]bool
-	out   []Output // but for messages and records
-	disks map[string][]Record
-	slow  bool // disks store nothing until flush
-	todo  map[string]uint64
+// testCluster is three members whose messages arrive at once. Partitioned members are cut off. Disks store
+// records at once, or only when the test flushes them.
+type testCluster struct {
+	t           *testing.T
+	now         float64
+	cores       map[string]*Core
+	partitioned map[string]bool
+	out         []Output // all outputs but messages and records
+	disks       map[string][]Record
+	slowDisks   bool // disks confirm nothing until the test does
+	unflushed   map[string]uint64
 }
 
 var trio = []string{"a", "b", "c"}
 
-// won is a's first epoch among three: each has every third one.
-const won = 3
+// firstEpoch is the first epoch of member a: each of the three members uses every third one.
+const firstEpoch = 3
 
 func rules() Rules { return Rules{Drift: 0.01, Longest: 2000, Most: 4, Fixed: []Terms{{"x", 1000}}} }
 
-func newVoters(t *testing.T, withDisks bool) *voters {
-	v := &voters{t: t, now: 1000, cores: map[string]*Core{}, lost: map[string]bool{}, disks: map[string][]Record{}, todo: map[string]uint64{}}
+func newTestCluster(t *testing.T, withDisks bool) *testCluster {
+	v := &testCluster{t: t, now: 1000, cores: map[string]*Core{}, partitioned: map[string]bool{}, disks: map[string][]Record{}, unflushed: map[string]uint64{}}
 	for i, name := range trio {
 		v.start(name, uint64(i+1), 0, withDisks, true)
 	}
 	return v
 }
 
-func (v *voters) start(name string, boot, floor uint64, withDisk, sound bool) {
-	v.cores[name] = New(name, boot, trio, rules(), floor, half)
+func (v *testCluster) start(name string, boot, floor uint64, withDisk, sound bool) {
+	v.cores[name] = New(name, boot, trio, rules(), floor, alwaysHalf)
 	if withDisk {
 		v.cores[name].Restore(v.disks[name], sound)
 	}
 }
 
-func (v *voters) step(name string, in ...Input) {
+func (v *testCluster) step(name string, in ...Input) {
 	for _, o := range v.cores[name].Step(v.now, in) {
 		switch m := o.(type) {
 		case Send:
 			for _, x := range m.Messages {
-				if !v.lost[name] && !v.lost[m.To] {
+				if !v.partitioned[name] && !v.partitioned[m.To] {
 					v.step(m.To, Received{From: name, Message: x})
 				}
 			}
 		case Store:
 			v.disks[name] = append(v.disks[name], m.Record)
-			v.todo[name] = m.Number
-			if !v.slow {
+			v.unflushed[name] = m.Number
+			if !v.slowDisks {
 				v.step(name, Stored{m.Number})
 			}
 		default:
@@ -66,7 +67,7 @@
 	}
 }
 
-func (v *voters) run(forMs float64) {
+func (v *testCluster) run(forMs float64) {
 	for end := v.now + forMs; v.now < end; v.now += 10 {
 		for _, name := range trio {
 			if c := v.cores[name]; c != nil && c.Due() <= v.now {
@@ -76,10 +77,10 @@
 	}
 }
 
-func (v *voters) view(name string) View { return v.cores[name].Views()[0] }
+func (v *testCluster) view(name string) View { return v.cores[name].Views()[0] }
 
-// last is the newest output of a type.
-func last[T any](v *voters) (x T) {
+// last returns the newest output of a type.
+func last[T any](v *testCluster) (x T) {
 	for _, o := range v.out {
 		if y, is := o.(T); is {
 			x = y
@@ -88,119 +89,123 @@
 	return x
 }
 
-func TestHeldByOneAndHandedOn(t *testing.T) {
-	v := newVoters(t, false)
+func TestHeldAndHandedOver(t *testing.T) {
+	v := newTestCluster(t, false)
 	v.step("a", Want{Lease: "x", On: true})
 	v.run(900)
-	assert.False(t, v.view("a").Held, "nobody grants while an earlier process's term may run")
+	assert.False(t, v.view("a").Held, "no voter grants while an earlier process's term may run")
 	v.run(300)
 	require.True(t, v.view("a").Held)
-	assert.Equal(t, uint64(won), v.view("a").Epoch)
+	assert.Equal(t, uint64(firstEpoch), v.view("a").Epoch)
 	held := last[Held](v)
 	assert.Empty(t, held.Note)
-	assert.Equal(t, 1000.0, held.Blank, "up to their start the voters may have forgotten")
-	v.step("a", Write{"x", won, []byte("first")})
-	assert.Equal(t, uint64(won), last[Noted](v).Fence)
-	assert.True(t, v.cores["a"].Valid("x", won, v.now))
+	assert.Equal(t, 1000.0, held.Blank, "the voters may have forgotten notes from before their start")
+	v.step("a", Write{"x", firstEpoch, []byte("first")})
+	assert.Equal(t, uint64(firstEpoch), last[Noted](v).Fence)
+	assert.True(t, v.cores["a"].Valid("x", firstEpoch, v.now))
 	assert.False(t, v.cores["a"].Valid("x", 0, v.now))
 	written := v.now
 	v.run(3000)
-	require.True(t, v.view("a").Held, "it is renewed")
-	v.lost["a"] = true
+	require.True(t, v.view("a").Held, "the holder renews it")
+	v.partitioned["a"] = true
 	v.step("b", Want{Lease: "x", On: true})
 	v.run(650)
-	assert.False(t, v.view("b").Held, "it may still act")
+	assert.False(t, v.view("b").Held, "the old holder's term may still run")
 	v.run(750)
-	assert.Equal(t, Lost{"x", won}, last[Lost](v), "it could not renew")
+	assert.Equal(t, Lost{"x", firstEpoch}, last[Lost](v), "a partitioned holder cannot renew")
 	require.True(t, v.view("b").Held)
 	held = last[Held](v)
-	assert.Greater(t, held.Fence, uint64(won))
+	assert.Greater(t, held.Fence, uint64(firstEpoch))
 	assert.Equal(t, "first", string(held.Note))
 	assert.InDelta(t, written, held.NoteAt, 1)
-	assert.Equal(t, float64(Never), held.Blank, "nothing is forgotten any more")
+	assert.Equal(t, float64(Never), held.Blank, "no note may be lost any more")
 	v.step("a", Want{Lease: "x"})
-	v.lost["a"] = false
-	v.run(400) // a hears of the new epoch
+	v.partitioned["a"] = false
+	v.run(400) // a learns the new epoch
 	v.step("b", Drop{Lease: "x", Fence: held.Fence})
 	v.step("c", Want{Lease: "x", On: true})
 	v.run(50)
-	assert.True(t, v.view("c").Held, "it is free at once")
+	assert.True(t, v.view("c").Held, "a released lease is free at once")
 	fence := v.view("c").Epoch
 	assert.Greater(t, fence, held.Fence)
-	v.step("c", Drop{Lease: "x", Fence: fence, Silent: true}) // it goes on asking
+	v.step("c", Drop{Lease: "x", Fence: fence, Silent: true}) // c keeps requesting it
 	v.step("b", Want{Lease: "x", On: true})
 	v.run(600)
-	assert.False(t, v.view("c").Held, "nor is it for the very process that left it")
+	assert.False(t, v.view("c").Held, "a lease left to expire is not free for the process that left it either")
 	v.step("c", Want{Lease: "x"})
-	assert.False(t, v.view("b").Held, "what was left to run out is not free before that")
+	assert.False(t, v.view("b").Held, "a lease left to expire is not free before its term ends")
 	v.run(800)
 	assert.True(t, v.view("b").Held)
 }
 
-// A voter that has restarted grants nothing for a term, and then says up to when it may have forgotten, until the holder has told it.
+// A voter without a disk that restarts grants nothing for a term, and then reports which notes it may have
+// forgotten until a holder's renewal updates it.
 func TestForgetfulVoters(t *testing.T) {
-	v := newVoters(t, false)
+	v := newTestCluster(t, false)
 	v.step("a", Want{Lease: "x", On: true})
 	v.run(1200)
-	v.step("a", Write{"x", won, []byte("n")})
+	v.step("a", Write{"x", firstEpoch, []byte("n")})
 	written := v.now
 	v.start("b", 9, 0, false, false)
 	v.step("b")
 	assert.True(t, v.view("b").Blank)
 	v.run(500)
-	assert.True(t, v.view("a").Held, "a and c are enough")
+	assert.True(t, v.view("a").Held, "a and c are a majority")
 	v.run(1200)
-	assert.False(t, v.view("b").Blank, "the holder has told it what a majority knew")
+	assert.False(t, v.view("b").Blank, "the holder's renewal carries what a majority knew")
 	assert.InDelta(t, written, v.view("b").NoteAt, 1)
-	v.lost["a"] = true
+	v.partitioned["a"] = true
 	v.step("b", Want{Lease: "x", On: true})
 	v.run(1400)
 	require.True(t, v.view("b").Held)
-	assert.Equal(t, "n", string(last[Held](v).Note), "though b was not there")
-	// What a holder does not know of is passed on too: all forget, one holds, another one after it.
-	v = newVoters(t, false)
+	assert.Equal(t, "n", string(last[Held](v).Note), "though b forgot it")
+	// A holder passes on which notes may be lost: all voters forget, one member holds the lease, then another
+	// one does.
+	v = newTestCluster(t, false)
 	v.step("a", Want{Lease: "x", On: true})
 	v.run(1200)
-	v.lost["a"] = true
+	v.partitioned["a"] = true
 	v.step("b", Want{Lease: "x", On: true})
 	v.run(1500)
 	require.True(t, v.view("b").Held)
 	assert.InDelta(t, 1000, last[Held](v).Blank, 1)
 }
 
-// A voter that starts again promises only above its floor: the holder asks with more, keeps its fencing number, and has the voter's vote again.
+// A restarted voter promises only epochs above its floor. The holder raises the epoch of its requests, keeps
+// its fencing token, and gets the voter's vote again.
 func TestRestartedVoterVotesAgain(t *testing.T) {
-	v := newVoters(t, false)
+	v := newTestCluster(t, false)
 	v.step("a", Want{Lease: "x", On: true})
 	v.run(1200)
 	require.True(t, v.view("a").Held)
 	v.start("b", 9, 7000, false, false)
 	v.step("b")
 	v.run(1500)
-	v.lost["c"] = true // with b's vote alone
+	v.partitioned["c"] = true // with b's vote alone
 	v.run(3000)
 	assert.True(t, v.view("a").Held)
-	assert.Equal(t, uint64(won), v.view("a").Epoch)
+	assert.Equal(t, uint64(firstEpoch), v.view("a").Epoch)
 	holder, _ := v.cores["b"].Holder("x")
 	assert.Equal(t, "a", holder)
-	v.step("a", Drop{Lease: "x", Fence: won})
+	v.step("a", Drop{Lease: "x", Fence: firstEpoch})
 	v.step("b", Want{Lease: "x", On: true})
 	v.run(1500)
 	assert.Greater(t, last[Held](v).Fence, uint64(7000))
 }
 
-// Voters that have all forgotten grant nothing at or below what one of them may have granted before it started.
+// Voters that have lost their memory grant nothing at or below any epoch that one of them may have granted
+// before.
 func TestFenceGrowsThoughAllForget(t *testing.T) {
-	v := newVoters(t, false)
+	v := newTestCluster(t, false)
 	v.step("a", Want{Lease: "x", On: true})
 	v.run(1100)
 	require.True(t, v.view("a").Held)
 	before := v.view("a").Epoch
-	for i, name := range []string{"a", "b"} { // c remembers, but c alone is no majority
+	for i, name := range []string{"a", "b"} { // c keeps its memory, but alone it is no majority
 		v.start(name, uint64(20+i), 5000, false, false)
 		v.step(name)
 	}
-	v.lost["c"] = true
+	v.partitioned["c"] = true
 	v.step("b", Want{Lease: "x", On: true})
 	v.run(2000)
 	require.True(t, v.view("b").Held)
@@ -208,38 +213,38 @@
 	assert.Greater(t, v.view("b").Epoch, uint64(5000))
 }
 
-// Voters with disks have no quiet time, forget nothing over a restart of all, and keep to what they granted.
+// Voters with disks need no grace period, forget nothing when all of them restart, and honour their grants.
 func TestDisks(t *testing.T) {
-	v := newVoters(t, true)
+	v := newTestCluster(t, true)
 	v.step("a", Want{Lease: "x", On: true})
 	v.run(20)
-	require.True(t, v.view("a").Held, "at once")
-	v.step("a", Write{"x", won, []byte("n")})
-	require.Equal(t, uint64(won), last[Noted](v).Fence)
+	require.True(t, v.view("a").Held, "no grace period")
+	v.step("a", Write{"x", firstEpoch, []byte("n")})
+	require.Equal(t, uint64(firstEpoch), last[Noted](v).Fence)
 	n := len(v.disks["b"])
 	v.run(2000)
-	assert.Len(t, v.disks["b"], n, "a renewal is as it is stored")
+	assert.Len(t, v.disks["b"], n, "a renewal that changes nothing is not stored")
 	restarted := v.now
 	for i, name := range trio {
-		v.start(name, uint64(10+i), 0, true, true) // a wall clock that went back: the floor counts for nothing
+		v.start(name, uint64(10+i), 0, true, true) // a wall clock that was set back: the epoch floor has no effect
 		v.step(name)
 	}
 	v.step("b", Want{Lease: "x", On: true})
 	v.run(1000)
-	assert.False(t, v.view("b").Held, "what was granted may still run")
+	assert.False(t, v.view("b").Held, "the grants from before the restart may still be valid")
 	v.run(300)
 	require.True(t, v.view("b").Held)
 	held := last[Held](v)
 	assert.Equal(t, "n", string(held.Note))
 	assert.Equal(t, float64(Never), held.Blank)
-	assert.Greater(t, held.Fence, uint64(won))
+	assert.Greater(t, held.Fence, uint64(firstEpoch))
 	assert.Less(t, held.NoteAt, restarted)
-	// A snapshot is as good as the records.
+	// A snapshot restores the same state as the records.
 	v.disks["b"] = v.cores["b"].Records()
 	v.start("b", 20, 0, true, true)
 	v.step("b")
 	assert.Equal(t, held.Fence, v.view("b").Epoch)
-	// Records that are not all there are: the quiet time, as if there were none, above the floor.
+	// Incomplete records cause the grace period, as if there were none, and epochs above the floor.
 	v.start("c", 30, 9000, true, false)
 	v.step("c")
 	assert.True(t, v.view("c").Blank)
@@ -247,30 +252,31 @@
 	assert.GreaterOrEqual(t, v.view("c").Epoch, uint64(9000))
 }
 
-// A vote is told once it lasts, and never by a disk that has failed.
-func TestStoredBeforeTold(t *testing.T) {
-	v := newVoters(t, true)
-	v.slow = true
+// A vote is sent only once it is durable, and never after its disk has failed.
+func TestVoteIsStoredBeforeItIsSent(t *testing.T) {
+	v := newTestCluster(t, true)
+	v.slowDisks = true
 	v.step("a", Want{Lease: "x", On: true})
 	v.run(50)
 	require.False(t, v.view("a").Held)
 	require.Len(t, v.disks["b"], 1)
-	v.step("a", Stored{v.todo["a"]})
-	v.step("b", Stored{v.todo["b"]})
-	assert.True(t, v.view("a").Held, "two of three have it stored")
+	v.step("a", Stored{v.unflushed["a"]})
+	v.step("b", Stored{v.unflushed["b"]})
+	assert.True(t, v.view("a").Held, "two of three have stored the vote")
 	v.step("c", DiskLost{})
 	v.step("b", DiskLost{})
 	v.run(1100)
-	assert.Equal(t, Lost{"x", won}, last[Lost](v), "it can't be renewed with one voter")
+	assert.Equal(t, Lost{"x", firstEpoch}, last[Lost](v), "one voter is no majority for a renewal")
 }
 
-// Leases that are not fixed come and go: a voter keeps so many, and forgets none of their epochs.
+// Leases that are not fixed are created and forgotten: a voter limits their number and forgets none of their
+// epochs.
 func TestLeasesByName(t *testing.T) {
-	v := newVoters(t, true)
+	v := newTestCluster(t, true)
 	v.step("a", Want{Lease: "m1", Term: 500, On: true}, Want{Lease: "m2", Term: 2000, On: true}, Want{Lease: "m3", Term: 2001, On: true},
 		Want{Lease: "x", On: true})
 	v.run(20)
-	assert.Len(t, v.cores["b"].Views(), 3, "m3 asks for too long a term")
+	assert.Len(t, v.cores["b"].Views(), 3, "the term of m3 is too long")
 	holder, until := v.cores["b"].Holder("m2")
 	assert.Equal(t, "a", holder)
 	assert.Greater(t, until, v.now+1900)
@@ -296,48 +302,49 @@
 	v.run(25000)
 	for _, name := range trio {
 		v.step(name)
-		assert.Len(t, v.cores[name].Views(), 1, "what nobody holds is forgotten, the fixed one is not")
+		assert.Len(t, v.cores[name].Views(), 1, "idle leases are forgotten, the fixed one is not")
 	}
 	v.step("b", Want{Lease: "m1", Term: 500, On: true})
 	v.run(20)
 	assert.Greater(t, last[Held](v).Fence, epoch)
-	assert.Greater(t, last[Held](v).Blank, float64(Never), "a note went with it")
+	assert.Greater(t, last[Held](v).Blank, float64(Never), "a note of the forgotten lease may be lost")
 }
 
-// Two ask at one moment while the third voter is dead: neither may keep its own vote for ever.
-func TestTwoAskAndOneIsDead(t *testing.T) {
-	v := newVoters(t, true)
-	v.lost["a"], v.lost["b"], v.lost["c"] = true, true, true
+// Two candidates send requests at the same time while the third voter is dead: neither may keep its own vote
+// for ever.
+func TestTwoCandidatesAndOneDeadVoter(t *testing.T) {
+	v := newTestCluster(t, true)
+	v.partitioned["a"], v.partitioned["b"], v.partitioned["c"] = true, true, true
 	v.step("a", Want{Lease: "x", On: true})
 	v.step("b", Want{Lease: "x", On: true})
-	v.lost["a"], v.lost["b"] = false, false
+	v.partitioned["a"], v.partitioned["b"] = false, false
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for _, name := range trio {
-		v.cores[name].chance = rnd.Float64
+		v.cores[name].random = rnd.Float64
 	}
 	v.run(1500)
-	assert.True(t, v.view("a").Held != v.view("b").Held, "one of them holds it")
+	assert.True(t, v.view("a").Held != v.view("b").Held, "exactly one of them holds it")
 }
 
-// A split vote is freed again, and a message that comes twice, late or from nobody changes nothing.
-func TestOdd(t *testing.T) {
-	v := newVoters(t, false)
+// A message that is duplicated, late or from an unknown member changes nothing, and a split vote is released.
+func TestUnexpectedMessages(t *testing.T) {
+	v := newTestCluster(t, false)
 	v.run(1100)
-	v.lost["c"] = true
+	v.partitioned["c"] = true
 	v.step("a", Want{Lease: "x", On: true})
 	v.run(20)
 	require.True(t, v.view("a").Held)
 	c := v.cores["b"]
 	for name, r := range map[string]Received{
-		"a stranger":           {"z", Message{Kind: Ask, Lease: "x", Epoch: 1e6, Term: 1000}},
-		"no such kind":         {"a", Message{Kind: 9, Lease: "x"}},
-		"a grant unasked":      {"a", Message{Kind: Grant, Lease: "x", Epoch: 1, Seq: 3}},
-		"a grant of no lease":  {"a", Message{Kind: Grant, Lease: "y", Epoch: 1, Seq: 3}},
-		"too long a term":      {"c", Message{Kind: Ask, Lease: "x", Epoch: 1e6, Term: 1e9}},
-		"no term":              {"c", Message{Kind: Ask, Lease: "y", Epoch: 1e6}},
-		"another's":            {"c", Message{Kind: Ask, Lease: "x", Epoch: 1e6, Term: 1000}},
-		"a free by others":     {"c", Message{Kind: Release, Lease: "x", Epoch: 1, Boot: 3}},
-		"an earlier process's": {"a", Message{Kind: Ask, Lease: "x", Epoch: 1, Boot: 99, Term: 1000}},
+		"an unknown member":                            {"z", Message{Kind: Ask, Lease: "x", Epoch: 1e6, Term: 1000}},
+		"an unknown kind":                              {"a", Message{Kind: 9, Lease: "x"}},
+		"a grant without a request":                    {"a", Message{Kind: Grant, Lease: "x", Epoch: 1, Seq: 3}},
+		"a grant of an unknown lease":                  {"a", Message{Kind: Grant, Lease: "y", Epoch: 1, Seq: 3}},
+		"too long a term":                              {"c", Message{Kind: Ask, Lease: "x", Epoch: 1e6, Term: 1e9}},
+		"no term":                                      {"c", Message{Kind: Ask, Lease: "y", Epoch: 1e6}},
+		"held by another member":                       {"c", Message{Kind: Ask, Lease: "x", Epoch: 1e6, Term: 1000}},
+		"a release by a member that is not the holder": {"c", Message{Kind: Release, Lease: "x", Epoch: 1, Boot: 3}},
+		"an earlier process":                           {"a", Message{Kind: Ask, Lease: "x", Epoch: 1, Boot: 99, Term: 1000}},
 	} {
 		before := c.Views()
 		for _, o := range c.Step(v.now, []Input{r}) {
@@ -345,26 +352,27 @@
 		}
 		assert.Equal(t, before, c.Views(), name)
 	}
-	w := newVoters(t, false)
+	w := newTestCluster(t, false)
 	w.run(1100)
-	w.lost["b"] = true // c's votes alone: b is out of reach, and c has voted for itself
+	w.partitioned["b"] = true // b is unreachable, so c needs the vote of a
 	w.step("c", Want{Lease: "x", On: true})
 	require.True(t, w.view("c").Held, "a and c")
-	// A grant for an earlier process of the same name counts for nothing.
+	// A grant for an earlier process of the same member has no effect.
 	a := w.cores["a"]
 	a.Step(w.now, []Input{Want{Lease: "x", On: true}})
 	l := a.leases["x"]
-	l.bid, l.ballot, l.fence = &bid{seq: 5, sent: w.now, term: 1000, grants: map[string]grant{"a": {}}, no: map[string]float64{}}, 500, 500
+	l.round, l.ballot, l.fence = &round{seq: 5, sentAt: w.now, term: 1000, grants: map[string]grant{"a": {}}, refusals: map[string]float64{}}, 500, 500
 	a.Step(w.now, []Input{Received{"b", Message{Kind: Grant, Lease: "x", Epoch: 500, Seq: 5, Boot: 99, Blank: -1}}})
 	assert.False(t, l.held)
 	a.Step(w.now, []Input{Received{"b", Message{Kind: Grant, Lease: "x", Epoch: 500, Seq: 5, Boot: 1, Blank: -1}}})
 	assert.True(t, l.held)
 }
 
-// Of two candidates who ask at one moment the higher one wins with the very first messages, though each has its own vote already.
-func TestTriesCross(t *testing.T) {
-	v := newVoters(t, true)
-	v.lost["c"] = true
+// Of two candidates that send requests at the same time the one with the higher epoch wins with the first
+// messages, though each already has its own vote.
+func TestConcurrentCandidates(t *testing.T) {
+	v := newTestCluster(t, true)
+	v.partitioned["c"] = true
 	asks := map[string][]Output{}
 	for _, name := range []string{"b", "a"} {
 		asks[name] = v.cores[name].Step(v.now, []Input{Want{Lease: "x", On: true}})
@@ -384,6 +392,6 @@
 		}
 	}
 	assert.True(t, v.view("a").Held)
-	assert.Equal(t, "a", v.view("b").Holder, "b gave its own try up")
+	assert.Equal(t, "a", v.view("b").Holder, "b abandoned its own attempt")
 	assert.False(t, v.view("b").Held)
 }
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -1,84 +1,89 @@
 package lease
 
-// Kind is a message's.
+// Kind is the kind of a message.
 type Kind uint8
 
 const (
-	Ask     Kind = iota + 1 // grant me, or let me go on
-	Grant                   // I do
-	Refuse                  // I don't: another one's term runs for Wait more, or Epoch is passed
-	Release                 // I hold it no longer
+	Ask     Kind = iota + 1 // requests a grant or a renewal
+	Grant                   // grants the request
+	Refuse                  // refuses the request: another member's term runs for Wait more, or a higher Epoch is promised
+	Release                 // the sender no longer holds or requests the lease
 )
 
-// Message goes from one member to another. Times in it are ages in ms, since clocks differ; below 0: none.
+// Message is sent from one member to another. Its times are ages in ms, since clocks differ; a value below 0
+// means none.
 type Message struct {
 	Kind  Kind
 	Lease string
 	Epoch uint64
-	Boot  uint64 // of the asking process
-	Seq   uint64 // of the Ask
+	Boot  uint64 // process number of the requester
+	Seq   uint64 // of the request
 	Term  float64
-	Note  *Note   // the newest that the sender knows of
-	Sure  bool    // Ask: the holder's, who has from a majority what Note and Blank say
-	Blank float64 // how long ago a note may have been written that the sender does not know of
+	Note  *Note   // the newest note that the sender knows of
+	Sure  bool    // in a request: it is a holder's renewal, and Note and Blank come from a majority
+	Blank float64 // age before which notes may exist that the sender does not know of
 	Wait  float64
 }
 
-// Note is what a holder leaves for those after it. Of two the one of the later epoch is newer, then the one of the higher count.
+// Note is data that a holder leaves for later holders. The newer of two notes has the later epoch, or the
+// higher count in the same epoch.
 type Note struct {
 	Epoch, Nth uint64
-	Age        float64 // ms since it was written
+	Age        float64 // ms since the write
 	Data       []byte
 }
 
-// Rules are the same at all members.
+// Rules are the parameters of the protocol, the same at all members.
 type Rules struct {
-	Drift   float64 // a clock may run faster or slower than true time by this share
-	Longest float64 // ms; no lease has a longer term
-	Most    int     // leases that a voter keeps; more are refused
-	Fixed   []Terms // leases that are known from the start and never forgotten
+	Drift   float64 // maximum rate error of a clock, as a fraction
+	Longest float64 // the longest term of any lease, in ms
+	Most    int     // number of leases that a voter keeps; it refuses more
+	Fixed   []Terms // leases that exist from the start and are never forgotten
 }
 
-// Terms are of one lease.
+// Spec names a lease and its term.
 type Terms struct {
 	Name string
-	Term float64 // ms that a grant holds
+	Term float64 // in ms
 }
 
-// Received is a message from a member.
+// Received is an input: a message from a member.
 type Received struct {
 	From    string
 	Message Message
 }
 
-// Want says that this member asks for a lease, or does so no more. A lease that is held stays held until Drop.
+// Want is an input that starts or stops this member's attempts to acquire a lease. A held lease stays held
+// until Drop.
 type Want struct {
 	Lease string
-	Term  float64 // ms; 0: as it is fixed
+	Term  float64 // in ms; 0 for the term of a fixed lease
 	On    bool
 }
 
-// Write leaves a note with a lease that is held; Noted follows when a majority has it.
+// Write is an input that attaches a note to a held lease. Noted follows when a majority has the note.
 type Write struct {
 	Lease string
 	Fence uint64
 	Data  []byte
 }
 
-// Drop gives a lease up. Nothing may go on under it, since others may hold it at once; where something may, Silent leaves it to run out.
+// Drop is an input that gives up a lease. Others may acquire it at once, so nothing may run under it any more.
+// Where something may still run, LetExpire keeps it from others until its term ends.
 type Drop struct {
 	Lease  string
 	Fence  uint64
 	Silent bool
 }
 
-// Resign ends this member's part. What is held is not given up, since something may go on under it: its term runs out.
+// Resign is an input that ends this member's participation. Held leases are not released, since work may go on
+// under them: their terms run out.
 type Resign struct{}
 
-// Stored says that all records up to a number last.
+// Stored is an input: all records up to a number are durable.
 type Stored struct{ Upto uint64 }
 
-// DiskLost says that nothing can be stored any more: this voter grants nothing more.
+// DiskLost is an input: the disk failed, so this voter grants nothing any more.
 type DiskLost struct{}
 
 // Input is a Received, Want, Write, Drop, Resign, Stored or DiskLost.
@@ -87,14 +92,14 @@
 // Output is a Store, Send, Held, Renewed, Noted or Lost.
 type Output any
 
-// Store is a record that has to last before Stored tells its number.
+// Store is an output: a record that must be durable before a Stored input confirms its number.
 type Store struct {
 	Number uint64
 	Record Record
 }
 
-// Record is a vote as it lasts. Moments are by the clock of the process that wrote it, which is to go on where that
-// of the one before stopped, as near as a wall clock can.
+// Record is a stored vote. Its times are by the clock of the process that wrote it. The clock of the next
+// process must continue from there, as closely as a wall clock allows.
 type Record struct {
 	Lease, Holder string
 	Epoch, Boot   uint64
@@ -106,15 +111,16 @@
 	Blank         float64
 }
 
-// Send is messages for a member.
+// Send is an output: messages for a member.
 type Send struct {
 	To       string
 	Messages []Message
 }
 
-// Held says that this member holds a lease. What is done under it may go on until Until by this member's clock and is to be over then,
-// unless a Renewed comes with a later moment. Fence goes along to whatever it changes. Note is the newest of earlier holders, if there is
-// any, and NoteAt when it was written; of other notes none was lost that was written after Blank.
+// Held is an output: this member holds a lease. Work under the lease must end by Until, by this member's clock,
+// unless a Renewed extends it. Every change made under the lease carries the fencing token Fence. Note is the
+// newest note of earlier holders, if there is one, and NoteAt the time of its write. No other note written
+// after Blank was lost.
 type Held struct {
 	Lease  string
 	Fence  uint64
@@ -124,43 +130,43 @@
 	Blank  float64
 }
 
-// Renewed says that a lease is held on.
+// Renewed is an output: the lease is extended.
 type Renewed struct {
 	Lease string
 	Fence uint64
 	Until float64
 }
 
-// Noted says that a majority has the last note that was written.
+// Noted is an output: a majority has the note that was last written.
 type Noted struct {
 	Lease string
 	Fence uint64
 	Until float64
 }
 
-// Lost says that a lease is held no longer.
+// Lost is an output: this member no longer holds a lease.
 type Lost struct {
 	Lease string
 	Fence uint64
 }
 
 const (
-	renewShare = 0.3  // of a term: so often it is renewed
-	againShare = 0.2  // of a term: so long a renewal without a majority's answers waits for the next try; a candidate by chance up to that, then more
-	tryShare   = 0.1  // of a term: so long a candidate's first try waits for a majority's answers, the next ones twice and four times that
-	freeShare  = 0.05 // of a term: within so long, by chance, those who wait ask for a lease that was given up or has run out
-	earlyShare = 0.1  // of a term: renewals that are due so soon go along with one that is due
-	leewayMs   = 5.0  // before its end a lease counts as over
-	keptFor    = 10.0 // terms: so long a lease that nobody holds is remembered, if it is not fixed
-	// Never is a moment before all others, in ms.
+	renewFraction      = 0.3  // of a term: interval between renewals
+	retryFraction      = 0.2  // of a term: delay before a renewal without a majority is repeated, and upper bound of a candidate's first random retry delay
+	attemptFraction    = 0.1  // of a term: timeout of a candidate's first attempt; the next ones take two and four times that
+	jitterFraction     = 0.05 // of a term: range of the random delay before requests for a lease that was released or has expired
+	earlyRenewFraction = 0.1  // of a term: a renewal due within this time is sent along with one that is due
+	safetyMarginMs     = 5.0  // a lease counts as over this long before its end
+	idleTermsKept      = 10.0 // in terms: an idle lease that is not fixed is forgotten after this time
+	// Never is a time before all others, in ms.
 	Never = -1e15
-	// NoteMost is the size of the largest note's data in bytes.
+	// MaxNoteBytes limits the data of a note.
 	NoteMost = 512
-	// NameMost is the size of the longest lease's name in bytes.
+	// MaxNameBytes limits the length of a lease's name.
 	NameMost = 120
 )
 
-// Counts are kept for the operators.
+// Counts are the counters shown to operators.
 type Counts struct {
 	Granted int `json:"granted"`
 	Refused int `json:"refused"`
@@ -168,22 +174,22 @@
 	Lost    int `json:"lost"`
 	Noted   int `json:"noted"`
 	Stored  int `json:"stored"`
-	Full    int `json:"full"` // asks refused since too many leases are kept
+	Full    int `json:"full"` // requests refused because the voter keeps too many leases
 	Odd     int `json:"odd"`
 }
 
-// View is what is seen of a lease.
+// View is a member's view of a lease.
 type View struct {
 	Lease    string  `json:"lease"`
-	Holder   string  `json:"holder"` // as this voter granted it to who holds it; "" when none runs
+	Holder   string  `json:"holder"` // by this voter's grant to a holder; "" if no term runs
 	Epoch    uint64  `json:"epoch"`
-	Until    float64 `json:"until"` // by this member's clock: of the grant, or as the holder counts it
-	Held     bool    `json:"held"`  // by this member
+	Until    float64 `json:"until"` // by this member's clock: end of the grant, or the holder's own end of term
+	Held     bool    `json:"held"`  // held by this member
 	Wanted   bool    `json:"wanted"`
 	Note     []byte  `json:"note,omitempty"`
 	NoteAt   float64 `json:"note_at"`
-	Blank    bool    `json:"blank"` // this voter may have forgotten
-	Quiet    float64 `json:"quiet"` // up to when it grants nothing
+	Blank    bool    `json:"blank"` // this voter may have forgotten notes
+	Quiet    float64 `json:"quiet"` // end of the grace period, in which it grants nothing
 	Majority int     `json:"majority"`
 	Voters   int     `json:"voters"`
 }
--- a/internal/lease/views.go
+++ b/internal/lease/views.go
@@ -4,51 +4,53 @@
 	"math"
 )
 
-// SureAt is when this voter has kept quiet for as long as anything that it may have forgotten could bind it: what it has stored is all that counts
-// from then on. Before the first Step it is never.
+// GraceEndsAt returns when the grace period ends for all leases: from then on nothing that this voter may have
+// forgotten can still bind it, and its stored votes are complete. Before the first Step it returns positive
+// infinity.
 func (c *Core) SureAt() float64 {
-	if !c.begun {
+	if !c.started {
 		return math.Inf(1)
 	}
-	if c.sound {
-		return c.start
+	if c.memoryComplete {
+		return c.startedAt
 	}
 	term := c.rules.Longest
 	for _, t := range c.rules.Fixed {
 		term = max(term, t.Term)
 	}
-	return c.start + c.kept(term)
+	return c.startedAt + c.voterTerm(term)
 }
 
-// Views lists what is seen of all leases, by name.
+// Views returns this member's view of each lease, ordered by name.
 func (c *Core) Views() []View {
 	var all []View
 	for _, name := range c.names {
 		l := c.leases[name]
-		v := View{Lease: name, Epoch: l.epoch, Held: l.held, Wanted: l.want, Note: l.note.data, NoteAt: l.note.at, Blank: l.blank > Never,
-			Quiet: c.quiet(l), Majority: c.majority(), Voters: len(c.roster)}
-		if l.until > c.now && l.sure { // a candidate's try may come to nothing
+		v := View{Lease: name, Epoch: l.epoch, Held: l.held, Wanted: l.wanted, Note: l.note.data, NoteAt: l.note.at, Blank: l.blank > Never,
+			Quiet: c.graceUntil(l), Majority: c.majority(), Voters: len(c.roster)}
+		if l.until > c.now && l.confirmed { // a candidate's attempt may fail
 			v.Holder, v.Until = l.holder, l.until
 		}
 		if l.held {
-			v.Holder, v.Until, v.Epoch, v.Note, v.NoteAt = c.self, l.till, l.fence, l.mine.data, l.mine.at
+			v.Holder, v.Until, v.Epoch, v.Note, v.NoteAt = c.self, l.heldUntil, l.fence, l.newestNote.data, l.newestNote.at
 		}
 		all = append(all, v)
 	}
 	return all
 }
 
-// Holder is who holds a lease as far as this voter knows, and until when by its clock; "": nobody.
+// Holder returns the holder of a lease as far as this voter knows, and until when by its clock. It returns ""
+// if nobody holds it.
 func (c *Core) Holder(name string) (holder string, until float64) {
 	if l := c.leases[name]; l != nil && l.held {
-		return c.self, l.till
+		return c.self, l.heldUntil
 	} else if l != nil && l.until > c.now {
 		return l.holder, l.until
 	}
 	return "", 0
 }
 
-// Note is the newest note of a lease that this voter knows of; nil: none.
+// Note returns the newest note of a lease that this voter knows of, or nil.
 func (c *Core) Note(name string) []byte {
 	if l := c.leases[name]; l != nil {
 		return l.note.data
@@ -56,8 +58,8 @@
 	return nil
 }
 
-// Valid says whether work under a fencing number may go on at a moment by this member's clock.
+// Valid reports whether work under a fencing token is still allowed at a time by this member's clock.
 func (c *Core) Valid(name string, fence uint64, now float64) bool {
 	l := c.leases[name]
-	return l != nil && l.held && l.fence == fence && now < l.till-leewayMs
+	return l != nil && l.held && l.fence == fence && now < l.heldUntil-safetyMarginMs
 }
