--- a/internal/fence/fence.go
+++ b/internal/fence/fence.go
@@ -1,6 +1,6 @@
-// Package fence is the far side of fencing numbers: where effects land, it remembers the highest number seen and refuses anything lower. It
-// covers what no lease can promise, such as a machine that stood still with a write on its way (Kleppmann, "How to do distributed
-// locking", 2016).
+// Package fence checks fencing tokens where the effects of a lease land: it stores the highest token seen in a
+// file and rejects lower ones. This covers what no lease can guarantee, such as a machine that was suspended
+// with a write under way (Kleppmann, "How to do distributed locking", 2016).
 package fence
 
 import (
@@ -15,23 +15,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrLower: a higher number has been seen, so whoever brings this one holds its lease no more.
+// ErrStale means that a higher token has been seen, so the lease of the caller's token is no longer held.
 var ErrLower = errors.New("a higher fencing number has been seen")
 
-// Guard remembers the highest number in a file. Several processes may use one file at once.
+// Guard stores the highest token in a file. Several processes may use one file at once.
 type Guard struct{ path string }
 
-// At is the guard of a file; it is made by the first Pass.
+// New returns the guard of a file, which the first Pass creates.
 func At(path string) *Guard { return &Guard{path} }
 
-// Pass takes a number that is as high as any before it, and has it last before it returns; a lower one is an ErrLower.
-// What it guards must be changed while nobody else passes: do is called, if it is not nil, before another Pass of any process can go on.
+// Pass accepts a token that is at least as high as all before it, and makes it durable before it returns. For a
+// lower one it returns ErrStale. The guarded change must be made in the function do, if any: it runs before a
+// Pass of any other caller or process can continue.
 func (g *Guard) Pass(number uint64, do func() error) error {
 	lock, err := os.OpenFile(g.path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return fmt.Errorf("fence: %w", err)
 	}
-	defer lock.Close() // which unlocks it
+	defer lock.Close() // also releases the lock
 	for err = unix.EINTR; err == unix.EINTR; {
 		err = unix.Flock(int(lock.Fd()), unix.LOCK_EX)
 	}
@@ -46,7 +47,7 @@
 		return fmt.Errorf("fence: %d: %w: %d", number, ErrLower, seen)
 	}
 	if number > seen {
-		if err := g.keep(number); err != nil {
+		if err := g.writeFile(number); err != nil {
 			return err
 		}
 	}
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// Seen is the highest number so far; 0: none. A file that can't be read is an error, not a 0.
+// Seen returns the highest token so far, or 0 if there is none. An unreadable file is an error, not 0.
 func (g *Guard) Seen() (uint64, error) {
 	text, err := os.ReadFile(g.path)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -72,8 +73,8 @@
 	return n, nil
 }
 
-// keep replaces the file whole, so that a crash leaves the old number or the new one.
-func (g *Guard) keep(number uint64) error {
+// writeFile replaces the file atomically, so that a crash leaves either the old number or the new one.
+func (g *Guard) writeFile(number uint64) error {
 	f, err := os.CreateTemp(filepath.Dir(g.path), filepath.Base(g.path)+".*")
 	if err != nil {
 		return fmt.Errorf("fence: %w", err)
--- a/internal/fence/fence_test.go
+++ b/internal/fence/fence_test.go
@@ -24,14 +24,15 @@
 	}
 	assert.EqualError(t, At(path).Pass(1<<60, func() error { return os.ErrClosed }), os.ErrClosed.Error())
 	require.NoError(t, os.WriteFile(path, []byte("seven"), 0o600))
-	assert.ErrorContains(t, At(path).Pass(1<<61, nil), "holds no number", "what is spoilt lets nothing pass")
+	assert.ErrorContains(t, At(path).Pass(1<<61, nil), "holds no number", "a corrupt file lets nothing pass")
 	assert.Error(t, At(filepath.Join(path, "x")).Pass(1, nil))
 }
 
-// Many at once: what is done under a number is done before anybody passes with a higher one, and never after.
+// With many concurrent callers, the change under a token is finished before a higher one passes, and never made
+// after.
 func TestPassTogether(t *testing.T) {
 	g := At(filepath.Join(t.TempDir(), "fence"))
-	var mu sync.Mutex // the lock is a file's, which the race detector does not know of
+	var mu sync.Mutex // the race detector does not know of the file lock
 	var done []uint64
 	var wg sync.WaitGroup
 	for n := range uint64(40) {
--- a/internal/planted/faults.go
+++ b/internal/planted/faults.go
@@ -43,7 +43,7 @@
 	{"note forgotten with a lease, unsaid", leaseFile, "			c.forgottenNoteAt = max(c.forgottenNoteAt, l.note.at)\n", "", "", ""},
 	{"try counts after it gave way", leaseFile, "		b.finished = true\n		c.sendRelease(l)\n	}\n	switch", "		c.sendRelease(l)\n	}\n	switch", "", ""},
 	{"epochs by the asker's clock", leaseFile, "l.ballot = c.nextEpoch(max(l.epoch, l.highestRefused))", "l.ballot = c.nextEpoch(max(l.epoch, l.highestRefused, uint64(c.now)))", "", ""},
-	{"begins before it is noted", tasksFile, "	s.log.Ended, s.log.Took, s.log.Code, s.log.Why = false, 0, 0, \"\"\n	c.write(s)", "	s.log.Ended, s.log.Took, s.log.Code, s.log.Why = false, 0, 0, \"\"\n	c.noted(lease.Noted{Lease: s.lease, Fence: s.fence})", "", ""},
+	{"begins before it is noted", tasksFile, "	s.log.Ended, s.log.Took, s.log.Code, s.log.Why = false, 0, 0, \"\"\n	c.writeLog(s)", "	s.log.Ended, s.log.Took, s.log.Code, s.log.Why = false, 0, 0, \"\"\n	c.handleNoted(lease.Noted{Lease: s.lease, Fence: s.fence})", "", ""},
 	{"handed on while it runs", tasksFile, "if s.state == idle && !s.dirty {", "if true {", "", ""},
 	{"limits: drift left out", shareFile, "return l.Term * (1 + c.rules.Drift) / (1 - c.rules.Drift)", "return l.Term", "", ""},
 	{"limits: fast clock's pace", shareFile, "a.limit.Size / (1 + c.rules.Drift)", "a.limit.Size", "", ""},
--- a/internal/tasks/holds.go
+++ b/internal/tasks/holds.go
@@ -11,22 +11,23 @@
 	"gullstair/internal/lease"
 )
 
-// Hold is a lease that somebody at this member asks for by hand: one of so many slots of a name.
+// Hold is an input: a request by hand at this member for a lease on one of Holders slots of a name.
 type Hold struct {
-	ID      uint64 // of this member's
+	ID      uint64 // unique at this member
 	Name    string
 	Holders int
 	Term    float64 // ms
-	By      string  // who, and what for: shown to operators
+	By      string  // who holds it and what for, shown to operators
 }
 
-// Close ends a hold. Clean says that nothing goes on under it; else the lease is left to run out.
+// Close is an input that ends a hold. Clean means that nothing runs under it any more; otherwise the lease is
+// left to expire.
 type Close struct {
 	ID    uint64
 	Clean bool
 }
 
-// Granted says that a hold has its slot.
+// Granted is an output: a hold has acquired its slot.
 type Granted struct {
 	ID    uint64
 	Lease string
@@ -35,76 +36,77 @@
 	Until float64
 }
 
-// Extended says that it may go on for longer.
+// Extended is an output: a hold may go on for longer.
 type Extended struct {
 	ID    uint64
 	Until float64
 }
 
-// Revoked says that it has to end now; Close is to follow.
+// Revoked is an output: a hold has to end now. A Close must follow.
 type Revoked struct {
 	ID  uint64
 	Why string
 }
 
-// Holder is a hold's note.
+// Holder is the note of a hold's lease.
 type Holder struct {
 	Member string  `json:"member"`
 	By     string  `json:"by"`
-	Begun  float64 `json:"begun"` // wall clock in ms
+	Begun  float64 `json:"begun"` // wall clock, in ms
 }
 
-// ReadHolder reads a hold's note.
+// ReadHolder decodes the note of a hold's lease.
 func ReadHolder(note []byte) (h Holder, err error) {
 	return h, msgpack.Unmarshal(note, &h)
 }
 
-const holdsMost = 256 // of one member
+const maxHolds = 256 // per member
 
 type hold struct {
 	Hold
-	slot  int // asked for or held; -1: none yet
-	held  bool
-	fence uint64
-	next  float64 // when another slot is looked for
+	slot       int // the requested or held slot; -1 if there is none yet
+	held       bool
+	fence      uint64
+	nextSearch float64 // time of the next search for a free slot
 }
 
-// Holds are the leases that are held by hand at one member. Only one goroutine may call it.
+// Holds manages the leases that are held by hand at one member. It is not safe for concurrent use.
 type Holds struct {
-	self string
-	free func(lease string) (holder string, until float64)
-	all  []*hold
-	now  float64
-	wall float64
-	out  []Output
+	self     string
+	holderOf func(lease string) (holder string, until float64)
+	all      []*hold
+	now      float64
+	wall     float64
+	outputs  []Output
 }
 
-// ByHand says whether a lease is one that is held by hand.
+// IsManual reports whether a lease is one that is held by hand.
 func ByHand(lease string) bool { return strings.HasPrefix(lease, "hold/") }
 
-// HoldSlot is the name of a hold's lease.
+// HoldLease returns the name of the lease for a slot of a hold.
 func HoldSlot(name string, nth int) string { return fmt.Sprintf("hold/%s/%d", name, nth) }
 
-// NewHolds makes a member's part. Free tells who holds a lease as far as this member's voter knows, "" for nobody.
-func NewHolds(self string, free func(lease string) (string, float64)) *Holds {
-	return &Holds{self: self, free: free}
+// NewHolds returns the holds of a member. The function holderOf returns the holder of a lease as far as this
+// member's voter knows, "" for nobody.
+func NewHolds(self string, holderOf func(lease string) (string, float64)) *Holds {
+	return &Holds{self: self, holderOf: holderOf}
 }
 
-// Open counts the holds that are asked for or held.
+// Open returns the number of holds that are requested or held.
 func (h *Holds) Open() int { return len(h.all) }
 
-// Due is when Step is wanted next though nothing comes in.
+// Due returns the time at which the next Step is needed if no input arrives.
 func (h *Holds) Due() float64 {
 	at := math.Inf(1)
 	for _, x := range h.all {
 		if !x.held {
-			at = min(at, x.next)
+			at = min(at, x.nextSearch)
 		}
 	}
 	return at
 }
 
-func (h *Holds) at(name string) *hold {
+func (h *Holds) findByLease(name string) *hold {
 	for _, x := range h.all {
 		if x.slot >= 0 && HoldSlot(x.Name, x.slot) == name {
 			return x
@@ -113,64 +115,65 @@
 	return nil
 }
 
-// Step takes Hold, Close, Order, Leave and what the leases say; Granted, Extended, Revoked, Answer and orders for the leases come out.
+// Step handles Hold, Close, Order, Leave and the events of the leases. It returns Granted, Extended, Revoked,
+// Answer and inputs for the leases.
 func (h *Holds) Step(now, wall float64, in []Input) []Output {
-	h.out, h.now, h.wall = nil, max(h.now, now), wall
+	h.outputs, h.now, h.wall = nil, max(h.now, now), wall
 	for _, x := range in {
 		switch v := x.(type) {
 		case Hold:
-			if len(h.all) >= holdsMost {
-				h.out = append(h.out, Revoked{v.ID, "too many leases are held by hand at this broker"})
+			if len(h.all) >= maxHolds {
+				h.outputs = append(h.outputs, Revoked{v.ID, "too many leases are held by hand at this broker"})
 				continue
 			}
 			v.Holders = max(1, v.Holders)
-			h.all = append(h.all, &hold{Hold: v, slot: -1, next: h.now})
+			h.all = append(h.all, &hold{Hold: v, slot: -1, nextSearch: h.now})
 		case Close:
 			h.close(v)
 		case lease.Held:
-			if x := h.at(v.Lease); x != nil && !x.held {
+			if x := h.findByLease(v.Lease); x != nil && !x.held {
 				x.held, x.fence = true, v.Fence
-				if data, err := msgpack.Marshal(&Holder{h.self, clip(x.By), h.wall}); err == nil {
-					h.out = append(h.out, lease.Write{Lease: v.Lease, Fence: v.Fence, Data: data})
+				if data, err := msgpack.Marshal(&Holder{h.self, truncate(x.By), h.wall}); err == nil {
+					h.outputs = append(h.outputs, lease.Write{Lease: v.Lease, Fence: v.Fence, Data: data})
 				}
-				h.out = append(h.out, Granted{x.ID, v.Lease, x.slot, v.Fence, v.Until})
+				h.outputs = append(h.outputs, Granted{x.ID, v.Lease, x.slot, v.Fence, v.Until})
 			}
 		case lease.Renewed:
 			h.extend(v.Lease, v.Fence, v.Until)
 		case lease.Noted:
 			h.extend(v.Lease, v.Fence, v.Until)
 		case lease.Lost:
-			if x := h.at(v.Lease); x != nil && x.held && x.fence == v.Fence {
-				h.out = append(h.out, lease.Want{Lease: v.Lease}, Revoked{x.ID, "its lease was lost"})
-				h.drop(x)
+			if x := h.findByLease(v.Lease); x != nil && x.held && x.fence == v.Fence {
+				h.outputs = append(h.outputs, lease.Want{Lease: v.Lease}, Revoked{x.ID, "its lease was lost"})
+				h.remove(x)
 			}
 		case Order:
-			if x := h.at(v.Lease); x != nil && x.held && v.Do == Release {
-				h.out = append(h.out, Revoked{x.ID, "an operator has it released"}, Answer{v.ID, true, ""})
+			if x := h.findByLease(v.Lease); x != nil && x.held && v.Do == Release {
+				h.outputs = append(h.outputs, Revoked{x.ID, "an operator has it released"}, Answer{v.ID, true, ""})
 			} else if x != nil && x.held {
-				h.out = append(h.out, Answer{v.ID, false, "a lease that is held by hand can only be released"})
+				h.outputs = append(h.outputs, Answer{v.ID, false, "a lease that is held by hand can only be released"})
 			} else {
-				h.out = append(h.out, Answer{v.ID, false, "this broker does not hold that lease"})
+				h.outputs = append(h.outputs, Answer{v.ID, false, "this broker does not hold that lease"})
 			}
 		case Leave:
 			for _, x := range h.all {
-				h.out = append(h.out, Revoked{x.ID, "this broker ends"})
+				h.outputs = append(h.outputs, Revoked{x.ID, "this broker ends"})
 			}
 		}
 	}
 	for _, x := range h.all {
-		h.seek(x)
+		h.requestSlot(x)
 	}
-	return h.out
+	return h.outputs
 }
 
 func (h *Holds) extend(name string, fence uint64, until float64) {
-	if x := h.at(name); x != nil && x.held && x.fence == fence {
-		h.out = append(h.out, Extended{x.ID, until})
+	if x := h.findByLease(name); x != nil && x.held && x.fence == fence {
+		h.outputs = append(h.outputs, Extended{x.ID, until})
 	}
 }
 
-func (h *Holds) drop(x *hold) {
+func (h *Holds) remove(x *hold) {
 	h.all = slices.DeleteFunc(h.all, func(o *hold) bool { return o == x })
 }
 
@@ -182,28 +185,28 @@
 	x := h.all[i]
 	if x.slot >= 0 {
 		name := HoldSlot(x.Name, x.slot)
-		h.out = append(h.out, lease.Want{Lease: name})
+		h.outputs = append(h.outputs, lease.Want{Lease: name})
 		if x.held {
-			h.out = append(h.out, lease.Drop{Lease: name, Fence: x.fence, Silent: !v.Clean})
+			h.outputs = append(h.outputs, lease.Drop{Lease: name, Fence: x.fence, Silent: !v.Clean})
 		}
 	}
-	h.drop(x)
+	h.remove(x)
 }
 
-// seek asks for a slot that nobody holds, or else for the one that is the next to run out; one at a time, and none that another hold of
-// this member has.
-func (h *Holds) seek(x *hold) {
-	if x.held || h.now < x.next {
+// requestSlot requests a slot that nobody holds, or else the one that expires next. It requests one slot at a
+// time, and none that another hold of this member has.
+func (h *Holds) requestSlot(x *hold) {
+	if x.held || h.now < x.nextSearch {
 		return
 	}
-	x.next = h.now + x.Term/2
+	x.nextSearch = h.now + x.Term/2
 	best, soonest := -1, math.Inf(1)
 	for n := range x.Holders {
 		name := HoldSlot(x.Name, n)
-		if o := h.at(name); o != nil && o != x {
+		if o := h.findByLease(name); o != nil && o != x {
 			continue
 		}
-		holder, until := h.free(name)
+		holder, until := h.holderOf(name)
 		if holder == "" || holder == h.self {
 			until = 0
 		}
@@ -215,9 +218,9 @@
 		return
 	}
 	if x.slot >= 0 {
-		h.out = append(h.out, lease.Want{Lease: HoldSlot(x.Name, x.slot)})
+		h.outputs = append(h.outputs, lease.Want{Lease: HoldSlot(x.Name, x.slot)})
 	}
 	if x.slot = best; best >= 0 {
-		h.out = append(h.out, lease.Want{Lease: HoldSlot(x.Name, best), Term: x.Term, On: true})
+		h.outputs = append(h.outputs, lease.Want{Lease: HoldSlot(x.Name, best), Term: x.Term, On: true})
 	}
 }
--- a/internal/tasks/tasks.go
+++ b/internal/tasks/tasks.go
@@ -1,10 +1,12 @@
-// Package tasks decides which member begins an occurrence of a fleet-wide task, and when: rather never than twice. Each slot of
-// a task is a lease; whoever holds it notes an occurrence at a majority of the voters before it begins, and every later holder
-// knows of it. It has no I/O and no clock: what the leases say and the time go in, orders for the leases and for the work come out.
+// Package tasks schedules fleet-wide tasks: it decides which member begins an occurrence of a task, and when,
+// with at-most-once semantics. Each slot of a task is a lease. Its holder stores an occurrence as the lease's
+// note at a majority of the voters before it begins it, so every later holder knows of it. The package does no
+// I/O and reads no clock: events of the leases and the time go in, inputs for the leases and for the work come
+// out.
 //
-// The plan is that of Google's published distributed cron (Davidovic and Guliani, "Reliable Cron across the Planet", 2015), with a lease
-// and its note in the place of a Paxos group: a launch is written down before it is made, and a launch whose outcome is unknown counts
-// as made.
+// The design follows Google's distributed cron (Davidovic and Guliani, "Reliable Cron across the Planet",
+// 2015), with a lease and its note in place of a Paxos group: a launch is recorded before it is made, and a
+// launch whose outcome is unknown counts as made.
 package tasks
 
 import (
@@ -20,48 +22,51 @@
 	"gullstair/internal/lease"
 )
 
-// Schedule names the first occurrence after a moment; robfig/cron/v3's schedules are such.
+// Schedule returns the first occurrence after a time, as the schedules of robfig/cron/v3 do.
 type Schedule interface {
 	Next(time.Time) time.Time
 }
 
-// Task is one that the fleet has. Times are ms.
+// Task is a task of the fleet. Its times are in ms.
 type Task struct {
 	Name    string
-	Every   float64  // between two begins; 0: At says when
+	Every   float64  // interval between two begins; 0 means that At is used
 	At      Schedule // by the wall clock
-	Term    float64  // of its leases
-	Holders int      // slots: so many members may run it at once, each with occurrences of its own
-	Once    bool     // occurrences that nobody could begin are made up for by one; else they are left out
-	Timeout float64  // that an occurrence may take; 0: as long as its lease is held
-	Prefer  []string // members that should run it if they live, the first one first
+	Term    float64  // term of its leases
+	Holders int      // number of slots: members that may run it at once, each with occurrences of its own
+	Once    bool     // missed occurrences are made up for by a single one; otherwise they are skipped
+	Timeout float64  // longest run of an occurrence; 0 means as long as the lease is held
+	Prefer  []string // members that run it while they live, in order of preference
 }
 
-// Log is what a slot's lease has as its note.
+// Log is the note of a slot's lease.
 type Log struct {
-	Occurrence float64 `json:"occurrence"` // wall clock in ms for which the newest occurrence of a Schedule was due
-	BegunAgo   float64 `json:"begun_ago"`  // ms before this note was written that the newest occurrence began
-	Begun      float64 `json:"begun"`      // when, by the runner's wall clock; 0: none has
+	Occurrence float64 `json:"occurrence"` // wall clock, in ms, at which the newest occurrence of a Schedule was due
+	BegunAgo   float64 `json:"begun_ago"`  // ms from the begin of the newest occurrence to the write of this note
+	Begun      float64 `json:"begun"`      // begin by the wall clock of the member that ran it; 0 if none has begun
 	Fence      uint64  `json:"fence"`
 	By         string  `json:"by"`
 	Ended      bool    `json:"ended"`
 	Took       float64 `json:"took"`
-	Code       int     `json:"code"` // its exit code
-	Why        string  `json:"why"`  // it ended otherwise than by itself
+	Code       int     `json:"code"` // exit code of the command
+	Why        string  `json:"why"`  // why it was ended; "" if it ended by itself
 	Paused     bool    `json:"paused"`
-	Order      uint64  `json:"order"` // the newest order that was carried out
+	Order      uint64  `json:"order"` // ID of the newest executed order
 }
 
-// Input is a Crew, Ended, Order, Leave, or what the leases say: lease.Held, lease.Renewed, lease.Noted and lease.Lost.
+// Input is a Membership, Ended, Order, Leave, or an event of the leases: lease.Held, lease.Renewed, lease.Noted
+// and lease.Lost.
 type Input any
 
-// Crew names the members of the roster that live, ranked is their order for each lease; Majority says that they are one.
+// Membership is an input that describes the live members of the roster: Rank returns them in their order of
+// precedence for a lease, and Majority reports whether they are a majority.
 type Crew struct {
 	Rank     func(lease string) []string
 	Majority bool
 }
 
-// Ended says that what was begun under a fencing number is over, and nothing of it goes on.
+// Ended is an input: the occurrence that was begun under a fencing token is over, and nothing of it runs any
+// more.
 type Ended struct {
 	Lease string
 	Fence uint64
@@ -69,30 +74,33 @@
 	Why   string
 }
 
-// Do is what an Order wants.
+// Action is the operation that an Order requests.
 type Do string
 
 const (
 	Pause   Do = "pause"
 	Resume  Do = "resume"
 	Trigger Do = "trigger"
-	Release Do = "release" // hand the lease on
+	Release Do = "release" // hand the lease over to another member
 )
 
-// Order is an operator's, for the holder of a lease. The same ID may come again.
+// Order is an operator's order for the holder of a lease. An order with the same ID may be received again.
 type Order struct {
 	ID    uint64
 	Lease string
 	Do    Do
 }
 
-// Leave ends this member's part: what runs is ended, and its leases are given up then.
+// Leave is an input that ends this member's participation: running occurrences are cancelled, and then the
+// leases are given up.
 type Leave struct{}
 
-// Output is a Begin, Extend, Cancel or Answer, or an order for the leases: lease.Want, lease.Write and lease.Drop.
+// Output is a Begin, Extend, Cancel or Answer, or an input for the leases: lease.Want, lease.Write and
+// lease.Drop.
 type Output any
 
-// Begin says that an occurrence is to begin. It has to be over at Until by this member's clock, unless an Extend comes.
+// Begin is an output: an occurrence has to begin. It must be over at Until by this member's clock, unless an
+// Extend arrives.
 type Begin struct {
 	Lease   string
 	Task    string
@@ -100,104 +108,104 @@
 	Fence   uint64
 	Until   float64
 	Timeout float64
-	Due     float64 // wall clock in ms for which it was due
+	Due     float64 // wall clock, in ms, at which it was due
 }
 
-// Extend says that it may go on for longer.
+// Extend is an output: an occurrence may go on for longer.
 type Extend struct {
 	Lease string
 	Fence uint64
 	Until float64
 }
 
-// Cancel says that it has to end now.
+// Cancel is an output: an occurrence has to end now.
 type Cancel struct {
 	Lease string
 	Fence uint64
 	Why   string
 }
 
-// Answer is to an Order.
+// Answer is an output: the result of an Order.
 type Answer struct {
 	ID   uint64
 	Done bool
 	Why  string
 }
 
-// View is what is seen of a slot by whoever holds it or has its note.
+// View is a slot as its holder, or a voter that has its note, sees it.
 type View struct {
 	Task  string  `json:"task"`
 	Slot  int     `json:"slot"`
 	Lease string  `json:"lease"`
-	Next  float64 `json:"next"` // wall clock in ms, as the holder reckons; 0: not the holder
+	Next  float64 `json:"next"` // wall clock, in ms, as the holder computes it; 0 at other members
 	Log   Log     `json:"log"`
 }
 
 const (
-	lateTerms   = 3.0 // so many terms after its time an occurrence still counts as on time: a takeover takes less
-	awayTerms   = 3.0 // after a Release order this member asks no more for so many
-	recheckMost = 10000.0
-	ordersKept  = 64
+	onTimeTerms      = 3.0 // an occurrence counts as on time for this many terms after it is due: a takeover takes less
+	releaseTerms     = 3.0 // terms for which this member does not request the lease again after a Release order
+	maxRecheckMs     = 10000.0
+	maxRecentAnswers = 64
 )
 
 type state uint8
 
 const (
-	idle    state = iota
-	noting        // the occurrence's begin is being noted
-	running       // it runs
-	closing       // it is to end
+	idle     state = iota
+	noting         // the begin of the occurrence is being stored as a note
+	running        // the occurrence runs
+	stopping       // the occurrence was cancelled and has not ended yet
 )
 
 type slot struct {
 	*Task
-	lease  string
-	nth    int
-	held   bool
-	fence  uint64
-	until  float64
-	log    Log
-	begun  float64 // by this member's clock: when the newest occurrence began, or the schedule's starting point
-	state  state
-	began  float64 // what runs
-	due    float64
-	away   float64 // up to when this member asks for it no more
-	wanted bool
-	dirty  bool     // the log is not known to be with a majority
-	leave  bool     // it is handed on once nothing runs and that is noted
-	answer []uint64 // orders that wait for the note
-	recent [][2]any // results of orders
-}
-
-// Core is one member's. Only one goroutine may call it.
+	lease         string
+	index         int
+	held          bool
+	fence         uint64
+	until         float64
+	log           Log
+	lastBegin     float64 // by this member's clock: begin of the newest occurrence, or the schedule's starting point
+	state         state
+	runStart      float64 // begin of the running occurrence
+	due           float64
+	releasedUntil float64 // this member does not request the lease before this time
+	wanted        bool
+	dirty         bool     // the log is not yet confirmed by a majority
+	handingOver   bool     // the lease is handed over once nothing runs and that is confirmed
+	pendingOrders []uint64 // IDs of orders that wait for the note to be confirmed
+	recentAnswers [][2]any // IDs and answers of recent orders
+}
+
+// Scheduler is one member's part of the scheduling. It is not safe for concurrent use.
 type Core struct {
-	self  string
-	slots []*slot
-	by    map[string]*slot
-	crew  Crew
-	now   float64
-	wall  float64
-	gone  bool
-	out   []Output
+	self    string
+	slots   []*slot
+	byLease map[string]*slot
+	members Crew
+	now     float64
+	wall    float64
+	leaving bool
+	outputs []Output
 }
 
-// Slot is the name of a task's lease.
+// SlotLease returns the name of the lease for a slot of a task.
 func Slot(task string, nth int) string { return fmt.Sprintf("task/%s/%d", task, nth) }
 
-// New makes a member's part in tasks, the same at all members.
+// New returns a member's scheduler. The tasks are the same at all members.
 func New(self string, all []Task) *Core {
-	c := &Core{self: self, by: map[string]*slot{}, crew: Crew{Rank: func(string) []string { return nil }}}
+	c := &Core{self: self, byLease: map[string]*slot{}, members: Crew{Rank: func(string) []string { return nil }}}
 	for i := range all {
 		t := all[i]
 		for n := range max(1, t.Holders) {
-			s := &slot{Task: &t, lease: Slot(t.Name, n), nth: n, begun: lease.Never, away: lease.Never}
-			c.slots, c.by[s.lease] = append(c.slots, s), s
+			s := &slot{Task: &t, lease: Slot(t.Name, n), index: n, lastBegin: lease.Never, releasedUntil: lease.Never}
+			c.slots, c.byLease[s.lease] = append(c.slots, s), s
 		}
 	}
 	return c
 }
 
-// Leases are those that the tasks stand on.
+// Leases returns the leases of all slots.
 func (c *Core) Leases() (all []lease.Terms) {
 	for _, s := range c.slots {
 		all = append(all, lease.Terms{Name: s.lease, Term: s.Term})
@@ -205,7 +213,7 @@
 	return all
 }
 
-// Read is a note's Log.
+// ReadLog decodes a note.
 func Read(note []byte) (l Log, err error) {
 	if len(note) == 0 {
 		return l, nil
@@ -213,12 +221,12 @@
 	return l, msgpack.Unmarshal(note, &l)
 }
 
-// Views lists the slots; notes are as this member's voter has them.
+// Views returns all slots. For slots held by others, the notes are those that this member's voter has.
 func (c *Core) Views(note func(lease string) []byte) (all []View) {
 	for _, s := range c.slots {
-		v := View{Task: s.Name, Slot: s.nth, Lease: s.lease}
+		v := View{Task: s.Name, Slot: s.index, Lease: s.lease}
 		if s.held {
-			v.Log, v.Next = s.log, c.wall+c.next(s)-c.now
+			v.Log, v.Next = s.log, c.wall+c.nextDue(s)-c.now
 			if s.log.Paused {
 				v.Next = 0
 			}
@@ -230,167 +238,170 @@
 	return all
 }
 
-// Busy says whether a lease of a task is held here.
+// HoldsAny reports whether this member holds a lease of any task.
 func (c *Core) Busy() bool {
 	return slices.ContainsFunc(c.slots, func(s *slot) bool { return s.held })
 }
 
-// Due is when Step is wanted next though nothing comes in.
+// Due returns the time at which the next Step is needed if no input arrives.
 func (c *Core) Due() float64 {
 	at := math.Inf(1)
 	for _, s := range c.slots {
-		if s.held && s.state == idle && !s.log.Paused && !c.gone {
-			// A wall clock may be set: it is looked at again before long.
-			at = min(at, max(c.next(s), c.now+1), c.now+recheckMost)
+		if s.held && s.state == idle && !s.log.Paused && !c.leaving {
+			// The wall clock may be set, so it is read again before long.
+			at = min(at, max(c.nextDue(s), c.now+1), c.now+maxRecheckMs)
 		}
-		if s.away > c.now {
-			at = min(at, s.away)
+		if s.releasedUntil > c.now {
+			at = min(at, s.releasedUntil)
 		}
 	}
 	return at
 }
 
-// Step takes what came in by now, by this member's clock and by its wall clock in ms, and does what is due.
+// Step handles the inputs and does what is due. The argument now is this member's clock, wall its wall clock,
+// both in ms.
 func (c *Core) Step(now, wall float64, in []Input) []Output {
-	c.out, c.now, c.wall = nil, max(c.now, now), wall
+	c.outputs, c.now, c.wall = nil, max(c.now, now), wall
 	for _, x := range in {
 		switch v := x.(type) {
 		case Crew:
-			c.crew = v
+			c.members = v
 		case lease.Held:
-			c.hold(v)
+			c.handleHeld(v)
 		case lease.Renewed:
 			c.extend(v.Lease, v.Fence, v.Until)
 		case lease.Noted:
 			c.extend(v.Lease, v.Fence, v.Until)
-			c.noted(v)
+			c.handleNoted(v)
 		case lease.Lost:
-			if s := c.by[v.Lease]; s != nil && s.held && s.fence == v.Fence {
-				c.lost(s)
+			if s := c.byLease[v.Lease]; s != nil && s.held && s.fence == v.Fence {
+				c.handleLost(s)
 			}
 		case Ended:
-			c.ended(v)
+			c.handleEnded(v)
 		case Order:
-			c.order(v)
+			c.handleOrder(v)
 		case Leave:
-			c.gone = true
+			c.leaving = true
 			for _, s := range c.slots {
-				c.handOn(s, "this broker ends")
+				c.handOver(s, "this broker ends")
 			}
 		}
 	}
 	for _, s := range c.slots {
-		c.turn(s)
+		c.update(s)
 	}
-	return c.out
+	return c.outputs
 }
 
-func (c *Core) hold(v lease.Held) {
-	s := c.by[v.Lease]
+func (c *Core) handleHeld(v lease.Held) {
+	s := c.byLease[v.Lease]
 	if s == nil {
 		return
 	}
-	s.held, s.fence, s.until, s.state, s.leave, s.dirty = true, v.Fence, v.Until, idle, false, false
+	s.held, s.fence, s.until, s.state, s.handingOver, s.dirty = true, v.Fence, v.Until, idle, false, false
 	log, err := Read(v.Note)
 	if err != nil {
 		log = Log{}
 	}
-	s.log, s.begun = log, lease.Never
+	s.log, s.lastBegin = log, lease.Never
 	if len(v.Note) > 0 && err == nil {
-		s.begun = v.NoteAt - log.BegunAgo
+		s.lastBegin = v.NoteAt - log.BegunAgo
 	}
 	if v.Blank > lease.Never {
-		// Something that nobody remembers may have begun up to then, and counts as begun.
-		s.begun = max(s.begun, v.Blank)
+		// An occurrence that no voter remembers may have begun up to that time, so it counts as begun.
+		s.lastBegin = max(s.lastBegin, v.Blank)
 		s.log.Occurrence = max(s.log.Occurrence, c.wall-(c.now-v.Blank))
 	}
 	if len(v.Note) == 0 || err != nil {
-		// The schedule's starting point is noted: what falls due from here on is known to be missed if nobody begins it.
-		s.begun = max(s.begun, c.now)
+		// Stores the schedule's starting point: an occurrence that is due from here on and that nobody begins
+		// is known to be missed.
+		s.lastBegin = max(s.lastBegin, c.now)
 		s.log.Occurrence = max(s.log.Occurrence, c.wall)
-		c.write(s)
+		c.writeLog(s)
 	}
 }
 
 func (c *Core) extend(name string, fence uint64, until float64) {
-	if s := c.by[name]; s != nil && s.held && s.fence == fence {
+	if s := c.byLease[name]; s != nil && s.held && s.fence == fence {
 		s.until = until
 		if s.state == running {
-			c.out = append(c.out, Extend{name, fence, until})
+			c.outputs = append(c.outputs, Extend{name, fence, until})
 		}
 	}
 }
 
-func (c *Core) lost(s *slot) {
+func (c *Core) handleLost(s *slot) {
 	if s.state == running {
-		c.out = append(c.out, Cancel{s.lease, s.fence, "its lease was lost"})
+		c.outputs = append(c.outputs, Cancel{s.lease, s.fence, "its lease was lost"})
 	}
 	s.held, s.state = false, idle
-	for _, id := range s.answer {
+	for _, id := range s.pendingOrders {
 		c.reply(s, id, false, "the lease was lost before the order was noted")
 	}
-	s.answer = nil
+	s.pendingOrders = nil
 }
 
-// write notes a slot's log.
-func (c *Core) write(s *slot) {
-	s.log.BegunAgo, s.dirty = max(0, c.now-s.begun), true
+// writeLog writes a slot's log as the note of its lease.
+func (c *Core) writeLog(s *slot) {
+	s.log.BegunAgo, s.dirty = max(0, c.now-s.lastBegin), true
 	data, err := msgpack.Marshal(&s.log)
 	if err == nil {
-		c.out = append(c.out, lease.Write{Lease: s.lease, Fence: s.fence, Data: data})
+		c.outputs = append(c.outputs, lease.Write{Lease: s.lease, Fence: s.fence, Data: data})
 	}
 }
 
-// noted is what waited for a majority: the occurrence begins, orders are answered.
-func (c *Core) noted(v lease.Noted) {
-	s := c.by[v.Lease]
+// handleNoted continues what waited for a majority to have the note: the occurrence begins, and orders are
+// answered.
+func (c *Core) handleNoted(v lease.Noted) {
+	s := c.byLease[v.Lease]
 	if s == nil || !s.held || s.fence != v.Fence {
 		return
 	}
-	for _, id := range s.answer {
+	for _, id := range s.pendingOrders {
 		c.reply(s, id, true, "")
 	}
-	s.answer, s.dirty = nil, false
-	if s.state == noting && s.leave {
-		s.state = idle // it counts as begun; whoever is next goes on from there
+	s.pendingOrders, s.dirty = nil, false
+	if s.state == noting && s.handingOver {
+		s.state = idle // the occurrence counts as begun; the next holder continues after it
 	} else if s.state == noting && c.now < s.until {
-		s.state, s.began, s.begun = running, c.now, c.now
-		c.out = append(c.out, Begin{Lease: s.lease, Task: s.Name, Slot: s.nth, Fence: s.fence, Until: s.until, Timeout: s.Timeout, Due: s.due})
+		s.state, s.runStart, s.lastBegin = running, c.now, c.now
+		c.outputs = append(c.outputs, Begin{Lease: s.lease, Task: s.Name, Slot: s.index, Fence: s.fence, Until: s.until, Timeout: s.Timeout, Due: s.due})
 	}
 }
 
-func (c *Core) ended(v Ended) {
-	s := c.by[v.Lease]
-	if s == nil || s.state != running && s.state != closing || s.fence != v.Fence {
+func (c *Core) handleEnded(v Ended) {
+	s := c.byLease[v.Lease]
+	if s == nil || s.state != running && s.state != stopping || s.fence != v.Fence {
 		return
 	}
 	s.state = idle
 	if !s.held {
 		return
 	}
-	s.log.Ended, s.log.Took, s.log.Code, s.log.Why = true, c.now-s.began, v.Code, clip(v.Why)
-	c.write(s)
+	s.log.Ended, s.log.Took, s.log.Code, s.log.Why = true, c.now-s.runStart, v.Code, truncate(v.Why)
+	c.writeLog(s)
 }
 
-func clip(why string) string {
+func truncate(why string) string {
 	if len(why) > 100 {
 		why = strings.ToValidUTF8(why[:100], "")
 	}
 	return why
 }
 
-func (c *Core) order(o Order) {
-	s := c.by[o.Lease]
+func (c *Core) handleOrder(o Order) {
+	s := c.byLease[o.Lease]
 	if s == nil || !s.held {
-		c.out = append(c.out, Answer{o.ID, false, "this broker does not hold that lease"})
+		c.outputs = append(c.outputs, Answer{o.ID, false, "this broker does not hold that lease"})
 		return
 	}
-	if i := slices.IndexFunc(s.recent, func(r [2]any) bool { return r[0] == o.ID }); i >= 0 {
-		c.out = append(c.out, s.recent[i][1].(Answer))
+	if i := slices.IndexFunc(s.recentAnswers, func(r [2]any) bool { return r[0] == o.ID }); i >= 0 {
+		c.outputs = append(c.outputs, s.recentAnswers[i][1].(Answer))
 		return
 	}
-	if slices.Contains(s.answer, o.ID) {
-		return // it is being noted
+	if slices.Contains(s.pendingOrders, o.ID) {
+		return // its note is being stored
 	}
 	switch {
 	case s.log.Order == o.ID:
@@ -406,12 +417,12 @@
 		return
 	case o.Do == Trigger:
 		s.log.Order = o.ID
-		s.answer = append(s.answer, o.ID)
+		s.pendingOrders = append(s.pendingOrders, o.ID)
 		c.begin(s, c.wall, s.log.Occurrence)
 		return
 	case o.Do == Release:
-		s.away = c.now + awayTerms*s.Term
-		c.handOn(s, "an operator has it handed on")
+		s.releasedUntil = c.now + releaseTerms*s.Term
+		c.handOver(s, "an operator has it handed on")
 		c.reply(s, o.ID, true, "")
 		return
 	default:
@@ -419,94 +430,95 @@
 		return
 	}
 	s.log.Order = o.ID
-	s.answer = append(s.answer, o.ID)
-	c.write(s)
+	s.pendingOrders = append(s.pendingOrders, o.ID)
+	c.writeLog(s)
 }
 
 func (c *Core) reply(s *slot, id uint64, done bool, why string) {
 	a := Answer{id, done, why}
-	c.out = append(c.out, a)
-	if s.recent = append(s.recent, [2]any{id, a}); len(s.recent) > ordersKept {
-		s.recent = slices.Delete(s.recent, 0, 1)
+	c.outputs = append(c.outputs, a)
+	if s.recentAnswers = append(s.recentAnswers, [2]any{id, a}); len(s.recentAnswers) > maxRecentAnswers {
+		s.recentAnswers = slices.Delete(s.recentAnswers, 0, 1)
 	}
 }
 
-// handOn gives a slot's lease up once nothing runs under it.
-func (c *Core) handOn(s *slot, why string) {
+// handOver gives up a slot's lease once nothing runs under it.
+func (c *Core) handOver(s *slot, why string) {
 	if !s.held {
 		return
 	}
-	s.leave = true
+	s.handingOver = true
 	if s.state == running {
-		s.state = closing
-		c.out = append(c.out, Cancel{s.lease, s.fence, why})
+		s.state = stopping
+		c.outputs = append(c.outputs, Cancel{s.lease, s.fence, why})
 	}
 }
 
-// turn does what is due for a slot: ask for its lease, begin its next occurrence, hand it on.
-func (c *Core) turn(s *slot) {
-	want := !c.gone && c.crew.Majority && c.now >= s.away && c.mine(s)
+// update does what is due for a slot: it requests the lease, begins the next occurrence, or hands the lease
+// over.
+func (c *Core) update(s *slot) {
+	want := !c.leaving && c.members.Majority && c.now >= s.releasedUntil && c.shouldHold(s)
 	if want != s.wanted {
 		s.wanted = want
-		c.out = append(c.out, lease.Want{Lease: s.lease, On: want})
+		c.outputs = append(c.outputs, lease.Want{Lease: s.lease, On: want})
 	}
 	if !s.held {
 		return
 	}
-	// Whoever is preferred and lives again gets it, once nothing runs.
-	if s.leave || !want && s.state == idle && c.crew.Majority {
+	// A preferred member that is alive again gets the lease once nothing runs.
+	if s.handingOver || !want && s.state == idle && c.members.Majority {
 		if s.state == idle && !s.dirty {
-			s.held, s.leave = false, false
-			c.out = append(c.out, lease.Drop{Lease: s.lease, Fence: s.fence})
+			s.held, s.handingOver = false, false
+			c.outputs = append(c.outputs, lease.Drop{Lease: s.lease, Fence: s.fence})
 		}
 		return
 	}
 	if s.state != idle || s.log.Paused {
 		return
 	}
-	at := c.next(s)
+	at := c.nextDue(s)
 	if c.now < at {
 		return
 	}
 	occurrence := c.wall - (c.now - at)
-	if late := c.now - at; late > lateTerms*s.Term && !s.Once {
+	if late := c.now - at; late > onTimeTerms*s.Term && !s.Once {
 		c.skip(s)
 		return
-	} else if late > lateTerms*s.Term {
+	} else if late > onTimeTerms*s.Term {
 		occurrence = c.wall
 	}
 	c.begin(s, occurrence, occurrence)
 }
 
-// begin has an occurrence noted; it begins when that is done.
+// begin stores an occurrence in the log; it starts once a majority has the note.
 func (c *Core) begin(s *slot, due, occurrence float64) {
-	s.state, s.began, s.begun, s.due = noting, c.now, c.now, due
+	s.state, s.runStart, s.lastBegin, s.due = noting, c.now, c.now, due
 	s.log.Occurrence, s.log.Begun, s.log.Fence, s.log.By = occurrence, c.wall, s.fence, c.self
 	s.log.Ended, s.log.Took, s.log.Code, s.log.Why = false, 0, 0, ""
-	c.write(s)
+	c.writeLog(s)
 }
 
-// skip leaves out what nobody could begin in time.
+// skip drops the occurrences that nobody could begin in time.
 func (c *Core) skip(s *slot) {
 	if s.Every > 0 {
-		s.begun += s.Every * math.Floor((c.now-s.begun)/s.Every)
+		s.lastBegin += s.Every * math.Floor((c.now-s.lastBegin)/s.Every)
 	} else {
 		s.log.Occurrence = max(s.log.Occurrence, c.wall)
 	}
 }
 
-// next is when a slot's next occurrence is due, by this member's clock.
-func (c *Core) next(s *slot) float64 {
+// nextDue returns when a slot's next occurrence is due, by this member's clock.
+func (c *Core) nextDue(s *slot) float64 {
 	if s.Every > 0 {
-		return s.begun + s.Every
+		return s.lastBegin + s.Every
 	}
 	return c.now + float64(s.At.Next(time.UnixMilli(int64(s.log.Occurrence)).UTC()).UnixMilli()) - c.wall
 }
 
-// mine says whether this member should hold a slot: of those that live the preferred one, else the best by rank; the slots of one task
-// go to different members as far as there are enough.
-func (c *Core) mine(s *slot) bool {
-	rank := slices.Clone(c.crew.Rank(Slot(s.Name, 0)))
+// shouldHold reports whether this member should hold a slot. The first preferred live member comes first, then
+// the order of Rank. The slots of one task go to different members as far as there are enough.
+func (c *Core) shouldHold(s *slot) bool {
+	rank := slices.Clone(c.members.Rank(Slot(s.Name, 0)))
 	if len(rank) == 0 {
 		return false
 	}
@@ -517,5 +529,5 @@
 		return len(s.Prefer)
 	}
 	slices.SortStableFunc(rank, func(a, b string) int { return cmp.Compare(place(a), place(b)) })
-	return rank[s.nth%len(rank)] == c.self
+	return rank[s.index%len(rank)] == c.self
 }
