--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -1,10 +1,11 @@
-// Package duties decides which member does which item of a periodic duty, and when. It is for duties that are rather
-// done twice than never, such as probing; what must rather never happen than twice goes by internal/lease. It has no
-// I/O and no clock: who lives, what is done and the time go in, turns and news come out.
+// Package duties assigns the items of periodic duties to members and schedules their turns. It is for duties
+// with at-least-once semantics, such as probing; what must happen at most once uses internal/lease. The package
+// does no I/O and reads no clock: the live members, finished turns and the time go in, turns and messages come
+// out.
 //
-// Items are divided by weighted rendezvous hashing (Thaler and Ravishankar 1998): the death of a member moves its own
-// items and no others. Each item is due one period after it was last done by anybody, so turns stay spread as they
-// were, and whoever takes an item over goes on where the last one stopped. docs/duties.md has the reasons.
+// Items are assigned by weighted rendezvous hashing (Thaler and Ravishankar 1998): the death of a member moves
+// its own items and no others. Each item is due one period after any member last did it, so turns stay spread
+// out, and a new owner continues where the last one stopped. docs/duties.md has the reasons.
 package duties
 
 import (
@@ -18,72 +19,73 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Duty is one periodic duty.
+// Duty is a periodic duty.
 type Duty struct {
 	Name   string  `json:"name"`
 	Period float64 `json:"period"` // ms
 }
 
-// Weighted is a living member with its share against others.
+// Member is a live member with its weight.
 type Weighted struct {
 	Name    string
 	Weight  float64
-	Doubted bool // it has not answered of late: it keeps its items, but may be on another side by now
+	Doubted bool // it has not answered recently: it keeps its items, but may be on another side of a partition
 }
 
 // Input is a View, Items, Finished, Received or Quit.
 type Input any
 
-// View names the members that live, this one among them.
+// View is an input that lists the live members, this one among them.
 type View struct{ Living []Weighted }
 
-// Items names all items of a duty.
+// Items is an input that lists all items of a duty.
 type Items struct {
 	Duty  string
 	Items []string
 }
 
-// Finished tells how a turn ended that Turn began: with a report, or with none.
+// Finished is an input: a turn that Turn began has ended, with a report or without.
 type Finished struct {
 	Duty, Item string
 	Report     []byte
 }
 
-// Received is a page of records that a member sent, or its wish for them.
+// Received is an input: a page of records, or a request for them, from a member.
 type Received struct {
 	From string
 	Page Page
 }
 
-// Quit ends this member's turns.
+// Quit is an input that ends this member's turns.
 type Quit struct{}
 
-// Output is a Turn, Heard or Send.
+// Output is a Turn, Reported or Send.
 type Output any
 
-// Turn says that an item is to be done now. A Finished must follow, or the turn counts as ended after a period.
+// Turn is an output: an item has to be done now. A Finished must follow; without one the turn counts as ended
+// after a period.
 type Turn struct{ Duty, Item string }
 
-// Heard brings what another member found, so long ago.
+// Reported is an output: the report of another member, and its age.
 type Heard struct {
 	Duty, Item, By string
 	Age            float64
 	Report         []byte
 }
 
-// Send is a page for a member.
+// Send is an output: a page for a member.
 type Send struct {
 	To   string
 	Page Page
 }
 
-// Page holds records for one member. Want asks for all that the other has.
+// Page is a message with records for one member. Want requests all records that the receiver has.
 type Page struct {
 	Want    bool
 	Records []Record
 }
 
-// Record says when an item was last done. Names travel as their hashes, times as ages.
+// Record is the time at which an item was last done. Names are sent as their hashes, times as ages.
 type Record struct {
 	Duty, Item uint64
 	Age        float64
@@ -92,22 +94,22 @@
 }
 
 const (
-	paceMost    = 2.0  // times the usual rate of a member's turns: so fast what is overdue is caught up with
-	joinWait    = 0.25 // of a period: a new member waits so long for what the others know
-	slotShare   = 0.25 // of a period: the slot of a side without a majority
-	early       = 0.95 // of a period: what was done less long ago waits, whatever the slot
-	settling    = 0.5  // of a period: so long a side without a majority must have been the same
-	reportMost  = 96   // bytes
-	recordBytes = 56   // of a record in a message, beside its report
-	resync      = 30.0 // periods between two wishes for everything
-	wantLeast   = 1000 // ms between any two
-	earlyMost   = 4096 // records of items that no list has named yet
-	pageBytes   = 1100
-	pagesMost   = 64 // for one wish
-	longAgo     = -1e15
+	maxCatchUpRate    = 2.0  // of the usual rate of a member's turns: limit while it catches up with overdue items
+	joinDelay         = 0.25 // of a period: a new member waits this long for the records of the others
+	slotFraction      = 0.25 // of a period: length of a turn slot on a side without a majority
+	early             = 0.95 // of a period: an item that was done more recently waits, even in its slot
+	settleFraction    = 0.5  // of a period: a side without a majority must have been unchanged this long
+	maxReportBytes    = 96   // bytes
+	recordBytes       = 56   // size of a record in a message without its report
+	syncPeriods       = 30.0 // in periods: interval between two requests for all records
+	minSyncIntervalMs = 1000 // shortest interval between two requests for all records
+	maxEarly          = 4096 // number of records kept for items that no list has named yet
+	pageBytes         = 1100
+	maxPages          = 64 // per request
+	never             = -1e15
 )
 
-// Counts are kept for the operators.
+// Counts are the counters shown to operators.
 type Counts struct {
 	Turns   int `json:"turns"`
 	Ended   int `json:"ended"`
@@ -116,49 +118,49 @@
 	Stale   int `json:"stale"`
 	Moved   int `json:"moved"`
 	Odd     int `json:"odd"`
-	Overdue int `json:"overdue"` // turns begun later than a tenth of a period after they were due
+	Overdue int `json:"overdue"` // turns begun more than a tenth of a period late
 }
 
-// Item is what is seen of one.
+// Item is the state of an item as this member sees it.
 type Item struct {
 	Name  string  `json:"name"`
 	Owner string  `json:"owner"`
-	Last  float64 `json:"last"` // by this member's clock; far below 0: not known
+	Last  float64 `json:"last"` // by this member's clock; far below 0 if unknown
 	By    string  `json:"by"`
 	Due   float64 `json:"due"`
 }
 
-// Share is what is seen of a duty.
+// Share is the state of a duty as this member sees it.
 type Share struct {
 	Duty   Duty   `json:"duty"`
 	Items  []Item `json:"items"`
 	Mine   int    `json:"mine"`
-	Side   int    `json:"side"` // members of the roster that live and are not doubted
+	Side   int    `json:"side"` // live members of the roster that are not doubted
 	Roster int    `json:"roster"`
 }
 
 type item struct {
-	name  string
-	hash  uint64
-	duty  *duty
-	owner string
-	score float64
-	last  float64
-	by    uint64
-	phase float64 // of the period
-	due   float64
-	place int // in the heap of this member's items; -1: not its own
-	begun float64
-	open  bool
+	name      string
+	hash      uint64
+	duty      *duty
+	owner     string
+	score     float64
+	lastDone  float64
+	by        uint64
+	phase     float64 // as a fraction of the period
+	due       float64
+	heapIndex int // in the heap of this member's items; -1 if another member owns it
+	begunAt   float64
+	open      bool
 }
 
 type duty struct {
 	Duty
-	hash  uint64
-	items map[uint64]*item
-	order []*item
-	mine  itemHeap
-	pace  float64 // no turn before this moment
+	hash       uint64
+	items      map[uint64]*item
+	order      []*item
+	own        itemHeap
+	nextTurnAt float64 // no turn begins before this time
 }
 
 type itemHeap []*item
@@ -169,11 +171,11 @@
 }
 func (h itemHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 func (h *itemHeap) Push(x any) {
 	it := x.(*item)
-	it.place = len(*h)
+	it.heapIndex = len(*h)
 	*h = append(*h, it)
 }
 func (h *itemHeap) Pop() any {
@@ -181,57 +183,57 @@
 	it := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	it.place = -1
+	it.heapIndex = -1
 	return it
 }
 
-// Core is one member's part. Only one goroutine may call it.
+// Scheduler is one member's part of all duties. It is not safe for concurrent use.
 type Core struct {
 	Counts Counts
 
-	self   string
-	roster []string
-	rnd    *rand.Rand
-	now    float64
-	start  float64
-	begun  bool
-	ahead  float64 // the members' common time less this one's clock
-	duties map[uint64]*duty
-	list   []*duty
-	living []Weighted
-	seen   map[string]bool   // that live and are not doubted
-	onSide int               // of them on the roster
-	same   float64           // since when those are the same
-	names  map[uint64]string // of members, by hash
-	news   teller
-	early  map[[2]uint64]Record
-	earlyA map[[2]uint64]float64
-	wantAt float64
-	wanted float64
-	out    []Output
-	quit   bool
-}
-
-// New makes a member's part. The roster names the configured members; where it is empty a member that sees few others
-// cannot know that it is cut off, and does its items as if it saw all.
+	self        string
+	roster      []string
+	rnd         *rand.Rand
+	now         float64
+	startedAt   float64
+	started     bool
+	clockOffset float64 // the members' common time minus this member's clock
+	duties      map[uint64]*duty
+	dutyList    []*duty
+	living      []Weighted
+	sideMembers map[string]bool   // live members that are not doubted
+	sideSize    int               // number of them on the roster
+	sideSince   float64           // the time since which sideMembers is unchanged
+	names       map[uint64]string // names of members by their hash
+	updates     gossipQueue
+	early       map[[2]uint64]Record  // records of items that no list has named yet
+	earlyAt     map[[2]uint64]float64 // when those items were last done
+	nextSyncAt  float64
+	lastSyncAt  float64
+	outputs     []Output
+	quit        bool
+}
+
+// New returns a member's scheduler. The roster names the configured members. With an empty roster, a member
+// that sees few others cannot detect that it is partitioned, and does its items as if it saw all.
 func New(self string, roster []string, list []Duty, seed uint64) *Core {
 	c := &Core{self: self, roster: slices.Clone(roster), rnd: rand.New(rand.NewPCG(seed, hash(self))),
-		duties: map[uint64]*duty{}, names: map[uint64]string{}, news: newTeller(),
-		early: map[[2]uint64]Record{}, earlyA: map[[2]uint64]float64{}, living: []Weighted{{Name: self, Weight: 1}}}
+		duties: map[uint64]*duty{}, names: map[uint64]string{}, updates: newGossipQueue(),
+		early: map[[2]uint64]Record{}, earlyAt: map[[2]uint64]float64{}, living: []Weighted{{Name: self, Weight: 1}}}
 	slices.Sort(c.roster)
 	c.roster = slices.Compact(c.roster)
 	c.names[hash(self)] = self
-	c.count()
+	c.countSide()
 	for _, d := range list {
 		n := &duty{Duty: d, hash: hash(d.Name), items: map[uint64]*item{}}
-		c.duties[n.hash], c.list = n, append(c.list, n)
+		c.duties[n.hash], c.dutyList = n, append(c.dutyList, n)
 	}
 	return c
 }
 
 func hash(s string) uint64 { return xxhash.Sum64String(s) }
 
-// mix gives 64 well-spread bits of two.
+// mix hashes two numbers to 64 well-distributed bits.
 func mix(a, b uint64) uint64 {
 	x := a ^ (b*0x9e3779b97f4a7c15 + 0x632be59bd9b4e019)
 	x ^= x >> 30
@@ -241,25 +243,26 @@
 	return x ^ x>>31
 }
 
-func unit(x uint64) float64 { return (float64(x>>11) + 0.5) / (1 << 53) }
+func unitInterval(x uint64) float64 { return (float64(x>>11) + 0.5) / (1 << 53) }
 
-// Score is a member's claim on an item: the highest of the living has it. With weights w the chance of having an item
-// is in proportion to w, and a member's score does not depend on who else there is.
+// Score returns a member's rendezvous score for an item: the live member with the highest score owns the item.
+// The probability of owning an item is proportional to the weight, and a member's score does not depend on the
+// other members.
 func Score(duty, item, member string, weight float64) float64 {
-	return score(mix(hash(duty), hash(item)), hash(member), weight)
+	return rendezvousScore(mix(hash(duty), hash(item)), hash(member), weight)
 }
 
-func score(of, member uint64, weight float64) float64 {
-	return -max(weight, 1e-9) / math.Log(unit(mix(of, member)))
+func rendezvousScore(of, member uint64, weight float64) float64 {
+	return -max(weight, 1e-9) / math.Log(unitInterval(mix(of, member)))
 }
 
-// Shares lists what is seen of all duties.
+// Shares returns the state of all duties.
 func (c *Core) Shares() []Share {
 	var all []Share
-	for _, d := range c.list {
-		s := Share{Duty: d.Duty, Side: c.side(), Roster: len(c.roster), Mine: len(d.mine)}
+	for _, d := range c.dutyList {
+		s := Share{Duty: d.Duty, Side: c.side(), Roster: len(c.roster), Mine: len(d.own)}
 		for _, it := range d.order {
-			s.Items = append(s.Items, Item{Name: it.name, Owner: it.owner, Last: it.last, By: c.names[it.by], Due: c.dueOf(it)})
+			s.Items = append(s.Items, Item{Name: it.name, Owner: it.owner, Last: it.lastDone, By: c.names[it.by], Due: c.dueOf(it)})
 		}
 		slices.SortFunc(s.Items, func(a, b Item) int { return cmp.Compare(a.Name, b.Name) })
 		all = append(all, s)
@@ -267,90 +270,91 @@
 	return all
 }
 
-// Held counts what is kept beside the items: records that wait to be told on, those of items not yet listed, names.
+// KeptRecords returns the number of entries kept beside the items: queued updates, records of items that are
+// not listed yet, and names.
 func (c *Core) Held() int {
 	n := len(c.early) + len(c.names)
-	for _, s := range c.news.stacks {
+	for _, s := range c.updates.bySends {
 		n += len(s)
 	}
 	return n
 }
 
-// Common is the members' common time at a moment by this one's clock: the clock that is furthest ahead of all that have
-// been heard of.
-func (c *Core) Common(now float64) float64 { return now + c.ahead }
+// Common returns the members' common time at a time by this member's clock. It is the clock that is furthest
+// ahead of all known ones.
+func (c *Core) Common(now float64) float64 { return now + c.clockOffset }
 
-// Heed takes the common time that a member told. It never steps back, so members agree within a message's way and what
-// clocks drift in between.
+// ObserveCommonTime takes the common time that another member reports. The common time never goes back, so
+// members agree on it up to a message's delay and the drift of their clocks in between.
 func (c *Core) Heed(now, common float64) {
 	if !math.IsNaN(common) && common < 1e18 {
-		c.ahead = max(c.ahead, common-now)
+		c.clockOffset = max(c.clockOffset, common-now)
 	}
 }
 
-// Due is when Step is wanted next though nothing comes in.
+// Due returns the time at which the next Step is needed if no input arrives.
 func (c *Core) Due() float64 {
-	if !c.begun {
+	if !c.started {
 		return math.Inf(-1)
 	}
 	if c.quit {
 		return math.Inf(1)
 	}
 	at := math.Inf(1)
-	for _, d := range c.list {
-		if len(d.mine) > 0 {
-			at = min(at, max(d.mine[0].due, d.pace))
+	for _, d := range c.dutyList {
+		if len(d.own) > 0 {
+			at = min(at, max(d.own[0].due, d.nextTurnAt))
 		}
 		if len(c.living) > 1 {
-			at = min(at, c.wantAt)
+			at = min(at, c.nextSyncAt)
 		}
 	}
 	return at
 }
 
-// Step takes what came in by now and begins the turns that are due.
+// Step handles the inputs and begins the turns that are due.
 func (c *Core) Step(now float64, in []Input) []Output {
-	c.out = nil
+	c.outputs = nil
 	c.now = max(c.now, now)
-	if !c.begun {
-		c.begun, c.start, c.now, c.wantAt, c.wanted = true, now, now, now, longAgo
+	if !c.started {
+		c.started, c.startedAt, c.now, c.nextSyncAt, c.lastSyncAt = true, now, now, now, never
 	}
 	for _, x := range in {
 		switch v := x.(type) {
 		case View:
-			c.see(v.Living)
+			c.updateView(v.Living)
 		case Items:
 			if d := c.duties[hash(v.Duty)]; d != nil {
-				c.items(d, v.Items)
+				c.setItems(d, v.Items)
 			}
 		case Finished:
 			c.finished(v)
 		case Received:
-			c.page(v)
+			c.handlePage(v)
 		case Quit:
 			c.quit = true
 		}
 	}
 	if c.quit {
-		return c.out
+		return c.outputs
 	}
-	for _, d := range c.list {
-		c.turns(d)
+	for _, d := range c.dutyList {
+		c.beginTurns(d)
 	}
-	c.want()
-	return c.out
+	c.requestSync()
+	return c.outputs
 }
 
-// turns begins what is due, the longest overdue first, at most one turn in half the usual time between two: what one
-// that died has left is caught up with soon, and nobody is flooded.
-func (c *Core) turns(d *duty) {
-	gap := d.Period / (paceMost * float64(max(1, len(d.mine))))
-	for len(d.mine) > 0 && d.mine[0].due <= c.now && d.pace <= c.now {
-		it := d.mine[0]
-		// What was due may have moved on by the common time, and a turn that never ended is over after a period.
+// beginTurns begins the turns that are due, the longest overdue first, at most one per half of the usual
+// interval: the items of a dead member are caught up with soon, without a burst.
+func (c *Core) beginTurns(d *duty) {
+	gap := d.Period / (maxCatchUpRate * float64(max(1, len(d.own))))
+	for len(d.own) > 0 && d.own[0].due <= c.now && d.nextTurnAt <= c.now {
+		it := d.own[0]
+		// The due time may have moved with the common time. A turn that never ended is over after a period.
 		if due := c.dueOf(it); due > c.now {
 			it.due = due
-			heap.Fix(&d.mine, 0)
+			heap.Fix(&d.own, 0)
 			continue
 		}
 		if c.now-it.due > d.Period/10 {
@@ -359,71 +363,74 @@
 		if it.open {
 			c.Counts.Unended++
 		}
-		it.open, it.begun = true, c.now
-		it.last, it.by = c.now, hash(c.self)
+		it.open, it.begunAt = true, c.now
+		it.lastDone, it.by = c.now, hash(c.self)
 		it.due = c.dueOf(it)
-		heap.Fix(&d.mine, it.place)
-		d.pace = max(d.pace+gap, c.now)
-		if d.pace < c.now+gap {
-			d.pace = c.now + gap
+		heap.Fix(&d.own, it.heapIndex)
+		d.nextTurnAt = max(d.nextTurnAt+gap, c.now)
+		if d.nextTurnAt < c.now+gap {
+			d.nextTurnAt = c.now + gap
 		}
 		c.Counts.Turns++
-		c.out = append(c.out, Turn{Duty: d.Name, Item: it.name})
+		c.outputs = append(c.outputs, Turn{Duty: d.Name, Item: it.name})
 	}
 }
 
-// dueOf is when an item is to be done: a period after the last time, by whomever. One of which nothing is known is
-// done at its own point of the first period, after a wait for what others know.
+// dueOf returns when an item is due: a period after any member last did it. An item without a known time is due
+// at its phase in the first period, after a delay for the records of the others.
 func (c *Core) dueOf(it *item) float64 {
 	period := it.duty.Period
-	at := it.last + period
-	if it.last <= longAgo/2 {
-		at = c.start + (joinWait+it.phase)*period
+	at := it.lastDone + period
+	if it.lastDone <= never/2 {
+		at = c.startedAt + (joinDelay+it.phase)*period
 	}
 	n, side := len(c.roster), c.side()
 	if n == 0 || 2*side > n {
 		return at
 	}
-	if it.last > longAgo/2 {
-		at = it.last + early*period // it waits for its slot: counted from the last turn it would come later every time
+	if it.lastDone > never/2 {
+		at = it.lastDone + early*period // the item waits for its slot; counted from the last turn, the slot would move later each time
 	}
-	return c.slot(it, max(at, c.same+settling*period), side, n)
+	return c.slot(it, max(at, c.sideSince+settleFraction*period), side, n)
 }
 
-// slot is the first moment from a given one on at which a side without a majority does an item. Nothing may stop, and
-// yet no item may be done more than twice in a period by all sides together; they can't speak, but they know the roster
-// and the common time. So the members of the roster have the item in turn, two periods each, and the side that the one
-// in turn is on does it, within a slot at the begin of a period: all such sides together do it as often as one member
-// alone. Where some other side may be a majority, which does it every period anyway, only the first of the two counts.
-// Until all have seen how they are split they could take each other's turns, so a side first settles.
+// slot returns the first time, not before the given one, at which a side of a partition without a majority does
+// an item. No item may stop, and yet all sides together may not do an item more than twice in a period. The
+// sides cannot communicate, but they know the roster and the common time. So each member of the roster in turn
+// has the item for two periods, and the side of that member does it, within a slot at the start of a period:
+// all such sides together do it as often as one member alone. Where another side may be a majority, which does
+// the item in every period anyway, only the first of the two periods counts. Until all members have detected
+// the partition they could take each other's turns, so a side has to be unchanged for a while first.
 func (c *Core) slot(it *item, from float64, side, n int) float64 {
 	period := it.duty.Period
 	elsewhere := 2*(n-side) > n
 	from = max(from, c.now)
-	x := (from+c.ahead)/period - it.phase
+	x := (from+c.clockOffset)/period - it.phase
 	for r := math.Floor(x); r < math.Floor(x)+float64(4*n+4); r++ {
 		if elsewhere && math.Mod(math.Abs(r), 2) != 0 {
 			continue
 		}
-		if r < math.Floor(x) || x > r+slotShare {
+		if r < math.Floor(x) || x > r+slotFraction {
 			continue
 		}
 		turn := c.roster[(uint64(int64(math.Floor(r/2)))+it.hash)%uint64(n)]
-		if c.sees(turn) {
-			return max(from, (r+it.phase)*period-c.ahead)
+		if c.isOnSide(turn) {
+			return max(from, (r+it.phase)*period-c.clockOffset)
 		}
 	}
-	return from + float64(4*n)*period // this member is not of the roster and sees nobody who is
+	return from + float64(4*n)*period // this member is not on the roster and sees no member of it
 }
 
-// side counts the members of the roster that live and are not doubted: who is cut off doubts one after the other, and
-// would take the others' items over while it still believes to be among many.
-func (c *Core) side() int { return c.onSide }
+// side returns the number of live members of the roster that are not doubted. A member that is cut off comes to
+// doubt the others one after the other; without this rule it would take over their items while it still
+// believes to be in a majority.
+func (c *Core) side() int { return c.sideSize }
 
-func (c *Core) sees(name string) bool { return c.seen[name] }
+func (c *Core) isOnSide(name string) bool { return c.sideMembers[name] }
 
-// see takes up who lives. Only the items change hands that a dead member had, or that a new one has the best claim to.
-func (c *Core) see(living []Weighted) {
+// updateView takes the live members. Only those items move whose owner has died or for which a new member has
+// the highest score.
+func (c *Core) updateView(living []Weighted) {
 	living = slices.Clone(living)
 	slices.SortFunc(living, func(a, b Weighted) int { return cmp.Compare(a.Name, b.Name) })
 	was := map[string]float64{}
@@ -440,15 +447,15 @@
 		}
 	}
 	if len(living) > len(c.living) {
-		c.wantAt = min(c.wantAt, max(c.now, c.wanted+wantLeast)) // what happened on the side that has come is not known here
+		c.nextSyncAt = min(c.nextSyncAt, max(c.now, c.lastSyncAt+minSyncIntervalMs)) // the records of the side that has joined are not known here
 	}
-	sideBefore, sure := c.side(), c.seen
+	sideBefore, sure := c.side(), c.sideMembers
 	c.living = living
-	c.count()
-	if !maps.Equal(sure, c.seen) {
-		c.same = c.now
+	c.countSide()
+	if !maps.Equal(sure, c.sideMembers) {
+		c.sideSince = c.now
 	}
-	for _, d := range c.list {
+	for _, d := range c.dutyList {
 		for _, it := range d.order {
 			weight, lives := is[it.owner]
 			if !lives || weight != was[it.owner] {
@@ -458,12 +465,12 @@
 			}
 		}
 	}
-	if sideBefore != c.side() || c.same == c.now && 2*c.side() <= len(c.roster) {
-		for _, d := range c.list {
-			for _, it := range d.mine {
+	if sideBefore != c.side() || c.sideSince == c.now && 2*c.side() <= len(c.roster) {
+		for _, d := range c.dutyList {
+			for _, it := range d.own {
 				it.due = c.dueOf(it)
 			}
-			heap.Init(&d.mine)
+			heap.Init(&d.own)
 		}
 	}
 	for h, name := range c.names {
@@ -473,29 +480,30 @@
 	}
 }
 
-// count notes who is on this member's side.
-func (c *Core) count() {
-	c.seen, c.onSide = map[string]bool{}, 0
+// countSide computes which members are on this member's side.
+func (c *Core) countSide() {
+	c.sideMembers, c.sideSize = map[string]bool{}, 0
 	for _, w := range c.living {
 		if !w.Doubted {
-			c.seen[w.Name] = true
+			c.sideMembers[w.Name] = true
 		}
 	}
 	for _, name := range c.roster {
-		if c.seen[name] {
-			c.onSide++
+		if c.sideMembers[name] {
+			c.sideSize++
 		}
 	}
 }
 
-// assign gives an item to the best of some claimants; anew, or against its present owner.
+// assign gives an item to the claimant with the highest score, either afresh or compared with its present
+// owner.
 func (c *Core) assign(it *item, claimants []Weighted, anew bool) {
 	owner, best, of := it.owner, it.score, mix(it.duty.hash, it.hash)
 	if anew {
 		owner, best = "", -1
 	}
 	for _, w := range claimants {
-		if s := score(of, hash(w.Name), w.Weight); s > best || s == best && w.Name < owner {
+		if s := rendezvousScore(of, hash(w.Name), w.Weight); s > best || s == best && w.Name < owner {
 			owner, best = w.Name, s
 		}
 	}
@@ -504,16 +512,16 @@
 	}
 	it.owner, it.score = owner, best
 	d := it.duty
-	if mine := owner == c.self; mine && it.place < 0 {
+	if mine := owner == c.self; mine && it.heapIndex < 0 {
 		it.due = c.dueOf(it)
-		heap.Push(&d.mine, it)
-	} else if !mine && it.place >= 0 {
-		heap.Remove(&d.mine, it.place)
+		heap.Push(&d.own, it)
+	} else if !mine && it.heapIndex >= 0 {
+		heap.Remove(&d.own, it.heapIndex)
 	}
 }
 
-// items takes up a list. What is gone is forgotten, what is new has its phase.
-func (c *Core) items(d *duty, names []string) {
+// setItems takes a list of items. Items that are gone are removed, and new ones get their phase.
+func (c *Core) setItems(d *duty, names []string) {
 	named := map[uint64]bool{}
 	for _, name := range names {
 		h := hash(name)
@@ -521,14 +529,14 @@
 		if d.items[h] != nil {
 			continue
 		}
-		it := &item{name: name, hash: h, duty: d, last: longAgo, place: -1, phase: unit(mix(h, d.hash))}
+		it := &item{name: name, hash: h, duty: d, lastDone: never, heapIndex: -1, phase: unitInterval(mix(h, d.hash))}
 		key := [2]uint64{d.hash, h}
 		if r, known := c.early[key]; known {
-			it.last, it.by = c.earlyA[key], r.By
+			it.lastDone, it.by = c.earlyAt[key], r.By
 			delete(c.early, key)
-			delete(c.earlyA, key)
-		} else if c.now-c.start > d.Period {
-			it.last = c.now - d.Period*(1-it.phase) // it came later than this member: no burst of newcomers
+			delete(c.earlyAt, key)
+		} else if c.now-c.startedAt > d.Period {
+			it.lastDone = c.now - d.Period*(1-it.phase) // the item is newer than this member; this avoids a burst of new items
 		}
 		d.items[h], d.order = it, append(d.order, it)
 		c.assign(it, c.living, true)
@@ -537,11 +545,11 @@
 		if named[it.hash] {
 			return false
 		}
-		if it.place >= 0 {
-			heap.Remove(&d.mine, it.place)
+		if it.heapIndex >= 0 {
+			heap.Remove(&d.own, it.heapIndex)
 		}
 		delete(d.items, it.hash)
-		c.news.drop(it)
+		c.updates.drop(it)
 		return true
 	})
 }
@@ -560,16 +568,16 @@
 	c.Counts.Ended++
 	if it.by == hash(c.self) {
 		report := f.Report
-		if len(report) > reportMost {
+		if len(report) > maxReportBytes {
 			report = nil
 		}
-		c.news.put(&news{it: it, at: it.last, report: report})
+		c.updates.put(&update{it: it, at: it.lastDone, report: report})
 	}
 }
 
-// heard takes a record. The later one holds; what was done by one's own clock is never put back.
-func (c *Core) heard(r Record) {
-	if math.IsNaN(r.Age) || r.Age < 0 || r.Age > 1e12 || len(r.Report) > reportMost {
+// applyRecord takes a record. The later time wins; times of this member's own turns never go back.
+func (c *Core) applyRecord(r Record) {
+	if math.IsNaN(r.Age) || r.Age < 0 || r.Age > 1e12 || len(r.Report) > maxReportBytes {
 		c.Counts.Odd++
 		return
 	}
@@ -581,55 +589,55 @@
 	it := d.items[r.Item]
 	if it == nil {
 		key := [2]uint64{r.Duty, r.Item}
-		if old, known := c.earlyA[key]; (!known || at > old) && (known || len(c.early) < earlyMost) && r.Age < 2*d.Period {
-			c.early[key], c.earlyA[key] = r, at
+		if old, known := c.earlyAt[key]; (!known || at > old) && (known || len(c.early) < maxEarly) && r.Age < 2*d.Period {
+			c.early[key], c.earlyAt[key] = r, at
 		}
 		return
 	}
-	// An age is a little short by the way of the message: the same turn told by two ways is still one.
-	if at <= it.last+d.Period/20 {
+	// An age lacks the delay of its message, so a turn that arrives by two routes is still recognised as one.
+	if at <= it.lastDone+d.Period/20 {
 		c.Counts.Stale++
 		return
 	}
 	c.Counts.Heard++
-	it.last, it.by = at, r.By
-	if it.place >= 0 {
+	it.lastDone, it.by = at, r.By
+	if it.heapIndex >= 0 {
 		it.due = c.dueOf(it)
-		heap.Fix(&d.mine, it.place)
+		heap.Fix(&d.own, it.heapIndex)
 	}
-	c.news.put(&news{it: it, at: at, report: r.Report})
+	c.updates.put(&update{it: it, at: at, report: r.Report})
 	if by := c.names[r.By]; by != c.self {
-		c.out = append(c.out, Heard{Duty: d.Name, Item: it.name, By: by, Age: r.Age, Report: r.Report})
+		c.outputs = append(c.outputs, Heard{Duty: d.Name, Item: it.name, By: by, Age: r.Age, Report: r.Report})
 	}
 }
 
-// page takes what a member sent, and answers its wish.
-func (c *Core) page(v Received) {
+// handlePage takes a page from a member, and answers its request for records.
+func (c *Core) handlePage(v Received) {
 	for _, r := range v.Page.Records {
-		c.heard(r)
+		c.applyRecord(r)
 	}
 	if !v.Page.Want {
 		return
 	}
 	var p Page
 	size, pages := 0, 0
-	for _, d := range c.list {
+	for _, d := range c.dutyList {
 		for _, it := range d.order {
-			if it.last <= longAgo/2 || c.now-it.last > 2*d.Period {
+			if it.lastDone <= never/2 || c.now-it.lastDone > 2*d.Period {
 				continue
 			}
 			if size+recordBytes > pageBytes {
-				if pages++; pages >= pagesMost {
+				if pages++; pages >= maxPages {
 					return
 				}
-				c.out = append(c.out, Send{To: v.From, Page: p})
+				c.outputs = append(c.outputs, Send{To: v.From, Page: p})
 				p, size = Page{}, 0
 			}
-			p.Records, size = append(p.Records, c.record(it, it.last, nil)), size+recordBytes
+			p.Records, size = append(p.Records, c.record(it, it.lastDone, nil)), size+recordBytes
 		}
 	}
 	if len(p.Records) > 0 {
-		c.out = append(c.out, Send{To: v.From, Page: p})
+		c.outputs = append(c.outputs, Send{To: v.From, Page: p})
 	}
 }
 
@@ -637,36 +645,38 @@
 	return Record{Duty: it.duty.hash, Item: it.hash, Age: max(0, c.now-at), By: it.by, Report: report}
 }
 
-// want asks one member for all it knows: at the start, when somebody has come, and now and then for what got lost.
-func (c *Core) want() {
-	if c.now < c.wantAt || len(c.living) < 2 || len(c.list) == 0 {
+// requestSync requests all records from one member: at the start, when a member has joined, and periodically,
+// since messages may be lost.
+func (c *Core) requestSync() {
+	if c.now < c.nextSyncAt || len(c.living) < 2 || len(c.dutyList) == 0 {
 		return
 	}
 	longest := 0.0
-	for _, d := range c.list {
+	for _, d := range c.dutyList {
 		longest = max(longest, d.Period)
 	}
-	c.wantAt, c.wanted = c.now+resync*longest*(0.75+0.5*c.rnd.Float64()), c.now
-	for key, at := range c.earlyA {
+	c.nextSyncAt, c.lastSyncAt = c.now+syncPeriods*longest*(0.75+0.5*c.rnd.Float64()), c.now
+	for key, at := range c.earlyAt {
 		if c.now-at > 2*longest {
 			delete(c.early, key)
-			delete(c.earlyA, key)
+			delete(c.earlyAt, key)
 		}
 	}
 	others := slices.DeleteFunc(slices.Clone(c.living), func(w Weighted) bool { return w.Name == c.self })
 	if len(others) > 0 {
-		c.out = append(c.out, Send{To: others[c.rnd.IntN(len(others))].Name, Page: Page{Want: true}})
+		c.outputs = append(c.outputs, Send{To: others[c.rnd.IntN(len(others))].Name, Page: Page{Want: true}})
 	}
 }
 
-// Waiting says whether there is anything to tell on.
-func (c *Core) Waiting() bool { return len(c.news.of) > 0 }
+// HasPending reports whether there are updates to gossip.
+func (c *Core) Waiting() bool { return len(c.updates.byItem) > 0 }
 
-// Records fills a message at a moment with what has been told least, up to room bytes; each record is told so many
-// times. The moment may be later than the last Step's: an age that was told too short would grow younger at every hop.
+// Records returns the records for a message of at most room bytes, those sent least often first. Each record is
+// sent the given number of times. The time now may be later than that of the last Step: an age that is too
+// small would lose more of its true value with every hop.
 func (c *Core) Records(now float64, room, times int) (list []Record) {
 	c.now = max(c.now, now)
-	c.news.take(times, func(n *news) bool {
+	c.updates.take(times, func(n *update) bool {
 		size := recordBytes + len(n.report)
 		if size > room {
 			return false
--- a/internal/duties/tell.go
+++ b/internal/duties/tell.go
@@ -1,94 +1,98 @@
 package duties
 
-// teller holds the records that are still told on: what has been told least goes first, of that the newest. It keeps a
-// stack for each number of tellings, so that a message takes what it has room for without sorting what waits.
-type teller struct {
-	of     map[*item]*news
-	stacks [][]*news // by how often they have been told; what was overtaken stays until it comes up
+// gossipQueue holds the records that are still gossiped. The records sent least often go first, among those the
+// newest. It keeps one stack per number of sends, so that a message is filled without sorting the queue.
+type gossipQueue struct {
+	byItem  map[*item]*update
+	bySends [][]*update // indexed by the number of sends; superseded entries stay until they are reached
 }
 
-// news is a record that is still told on.
-type news struct {
-	it     *item
-	at     float64
-	report []byte
-	past   bool // a later one took its place
+// update is a record that is still gossiped.
+type update struct {
+	it         *item
+	at         float64
+	report     []byte
+	superseded bool // a later update of the item replaced this one
 }
 
-// telling is a piece of news that has now been told so many times.
-type telling struct {
-	*news
-	times int
+// sentUpdate is an update with its new number of sends.
+type sentUpdate struct {
+	*update
+	sends int
 }
 
-func newTeller() teller { return teller{of: map[*item]*news{}, stacks: [][]*news{nil}} }
+func newGossipQueue() gossipQueue {
+	return gossipQueue{byItem: map[*item]*update{}, bySends: [][]*update{nil}}
+}
 
-func (t *teller) put(n *news) {
+func (t *gossipQueue) put(n *update) {
 	t.drop(n.it)
-	t.of[n.it] = n
-	t.stacks[0] = append(t.stacks[0], n)
+	t.byItem[n.it] = n
+	t.bySends[0] = append(t.bySends[0], n)
 }
 
-func (t *teller) drop(it *item) {
-	if old := t.of[it]; old != nil {
-		old.past = true
-		delete(t.of, it)
-		t.tidy()
+func (t *gossipQueue) drop(it *item) {
+	if old := t.byItem[it]; old != nil {
+		old.superseded = true
+		delete(t.byItem, it)
+		t.compact()
 	}
 }
 
-// tidy lets go of what was overtaken, when there is more of it than of what still counts.
-func (t *teller) tidy() {
+// compact removes superseded updates when they outnumber those that still count.
+func (t *gossipQueue) compact() {
 	held := 0
-	for _, s := range t.stacks {
+	for _, s := range t.bySends {
 		held += len(s)
 	}
-	if held <= 2*len(t.of)+64 {
+	if held <= 2*len(t.byItem)+64 {
 		return
 	}
-	for i, s := range t.stacks {
+	for i, s := range t.bySends {
 		kept := s[:0]
 		for _, n := range s {
-			if !n.past {
+			if !n.superseded {
 				kept = append(kept, n)
 			}
 		}
 		clear(s[len(kept):])
-		t.stacks[i] = kept
+		t.bySends[i] = kept
 	}
 }
 
-// take calls give with what is to be told next, until it says no. Each is told so many times in all.
-func (t *teller) take(times int, give func(*news) bool) {
-	for len(t.stacks) < times {
-		t.stacks = append(t.stacks, nil)
+// take calls give with the next updates until it returns false. Each update is sent the given number of times
+// in all.
+func (t *gossipQueue) take(times int, give func(*update) bool) {
+	for len(t.bySends) < times {
+		t.bySends = append(t.bySends, nil)
 	}
-	var told []telling
-	for i := 0; i < len(t.stacks); i++ {
-		for s := t.stacks[i]; len(s) > 0; s = t.stacks[i] {
+	var sent []sentUpdate
+	for i := 0; i < len(t.bySends); i++ {
+		for s := t.bySends[i]; len(s) > 0; s = t.bySends[i] {
 			n := s[len(s)-1]
-			if !n.past && !give(n) {
-				t.back(told, times)
+			if !n.superseded && !give(n) {
+				t.requeue(sent, times)
 				return
 			}
 			s[len(s)-1] = nil
-			t.stacks[i] = s[:len(s)-1]
-			if !n.past {
-				told = append(told, telling{n, i + 1})
+			t.bySends[i] = s[:len(s)-1]
+			if !n.superseded {
+				sent = append(sent, sentUpdate{n, i + 1})
 			}
 		}
 	}
-	t.back(told, times)
+	t.requeue(sent, times)
 }
 
-// back puts what was told where it belongs now, the newest on top again.
-func (t *teller) back(told []telling, times int) {
-	for k := len(told) - 1; k >= 0; k-- {
-		n, i := told[k].news, told[k].times
+// requeue pushes sent updates on the stacks of their new number of sends, the newest on top again. It drops
+// those that were sent often enough.
+func (t *gossipQueue) requeue(sent []sentUpdate, times int) {
+	for k := len(sent) - 1; k >= 0; k-- {
+		n, i := sent[k].update, sent[k].sends
 		if i >= times {
-			delete(t.of, n.it)
+			delete(t.byItem, n.it)
 		} else {
-			t.stacks[i] = append(t.stacks[i], n)
+			t.bySends[i] = append(t.bySends[i], n)
 		}
 	}
 }
