--- a/internal/ending/ending_test.go
+++ b/internal/ending/ending_test.go
@@ -13,7 +13,7 @@
 		longest, answer, patience float64
 		leave, giveUp             float64
 	}{
-		{300, 20, -1, 400, 600}, // the connections that still arrive are served, which they were not
+		{300, 20, -1, 400, 600}, // connections that still arrive are served
 		{300, 5000, -1, 400, 600},
 		{1000, 50, -1, 1050, 1300},
 		{4000, 100, -1, 3000, 3300},
@@ -28,11 +28,12 @@
 	}
 }
 
-// Any timeout, any answers: the end comes in time, its moments in order, and what was ordered stays ordered.
-func TestEnds(t *testing.T) {
+// For any timeout and any answer times, the shutdown finishes in time, its steps are in order, and no action is
+// taken back.
+func TestOrderAndDeadline(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		longest := rapid.Float64Range(300, 12000).Draw(t, "longest")
-		kill := min(longest, killMost) + killAfter
+		kill := min(longest, maxQueryTimeout) + killDelay
 		e, was := Begin(longest, -1), Orders{}
 		clients := rapid.IntRange(0, 3).Draw(t, "clients")
 		for at := 0.0; at < kill; at += 20 {
@@ -41,27 +42,27 @@
 			}
 			is := e.Step(Seen{Passed: at, Answer: rapid.Float64Range(0, 4000).Draw(t, "answer"), Clients: clients})
 			if was.Leave && !is.Leave || was.Refuse && !is.Refuse || was.GiveUp && !is.GiveUp {
-				t.Fatalf("taken back at %v: %+v after %+v", at, is, was)
+				t.Fatalf("action taken back at %v: %+v after %+v", at, is, was)
 			}
-			if is.Refuse && !is.Leave || is.Leave && at < min(arrivals, kill-inHand-answerLeast) {
-				t.Fatalf("too soon at %v: %+v", at, is)
+			if is.Refuse && !is.Leave || is.Leave && at < min(arrivalWindow, kill-exitReserve-minAnswerTime) {
+				t.Fatalf("too early at %v: %+v", at, is)
 			}
 			if is.Done {
 				if !is.Leave {
-					t.Fatalf("gone at %v while it could serve", at)
+					t.Fatalf("exits at %v while it could still serve", at)
 				}
 				return
 			}
 			was = is
 		}
 		if !was.GiveUp || !was.Refuse {
-			t.Fatalf("nothing was given up before the kill at %v: %+v", kill, was)
+			t.Fatalf("open requests were not given up before the kill at %v: %+v", kill, was)
 		}
 	})
 }
 
-// The recorded day: every connection is closed by its client 1.4 s after the word to stop. The broker stays on for
-// those that have nobody else, as it can until 3 s.
+// Every client closes its connections 1.4 s after the stop signal, as in a recorded run. The broker keeps
+// serving clients that have no other broker until 3 s, its limit.
 func TestStaysWithoutClients(t *testing.T) {
 	e := Begin(4000, -1)
 	for at := 0.0; at < 2900; at += 20 {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,6 +1,7 @@
-// Package guard runs a command that may not outlive its lease: it is told to end (SIGTERM) some time before the deadline, and what is left of it
-// then is killed (SIGKILL) so early that it is gone at the deadline. A guard is a process of its own with a timer of its own: it keeps to the last
-// deadline that it was told, though the broker that told it is killed or stands still.
+// Package guard runs a command that must not outlive its lease. It sends SIGTERM some time before the deadline,
+// and kills what is left (SIGKILL) early enough that nothing of it exists at the deadline. A guard is a
+// separate process with its own timer: it enforces the last deadline that it received even if the broker that
+// sent it is killed or suspended.
 package guard
 
 import (
@@ -21,77 +22,79 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now is the clock of all deadlines, in ns: the time since the machine started, suspended or not, the same for all of its processes.
+// BootTime returns the clock of all deadlines, in ns: the time since the machine booted, including suspension,
+// the same for all its processes.
 func Now() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(err) // every Linux has it
+		panic(err) // every Linux kernel has this clock
 	}
 	return t.Nano()
 }
 
-// Spec is a command to run.
+// Spec describes a command to run.
 type Spec struct {
 	Argv  []string
-	Env   []string // beside the guard's own
-	Until int64    // by Now: when nothing of it may go on any more
-	// Grace before the deadline it is told to end, Lead before it what is left is killed.
+	Env   []string // in addition to the guard's own
+	Until int64    // the deadline by BootTime: nothing of the command may run after it
+	// The command gets SIGTERM at Grace before the deadline; what is left is killed at Lead before it.
 	Grace, Lead time.Duration
-	Timeout     time.Duration // 0: none
-	Out         io.Writer     // where its output goes; nil: nowhere
+	Timeout     time.Duration // 0 for none
+	Out         io.Writer     // receives the output; nil discards it
 	In          io.Reader
-	Mark        string // of its environment that no other process has; "": none
+	Mark        string // a variable in its environment that no other process has; "" for none
 }
 
-// Told is what a guard is told: a later deadline, or that the command has to end now, and why.
+// Instruction is sent to a guard: a later deadline, or that the command has to end now, and why.
 type Told struct {
 	Until  int64
 	Cancel string
 }
 
-// Result is how it ended. Nothing of it goes on any more.
+// Result is how a command ended. When it is returned, no process of the command is left.
 type Result struct {
-	Code int    // exit code; 128 and more: by that signal; -1: it did not begin
-	Why  string // it was ended; "": it ended by itself
+	Code int    // exit code; 128 plus the number of the signal that ended it; -1 if it did not start
+	Why  string // why it was ended; "" if it ended by itself
 }
 
 const (
-	sweepEvery = 5 * time.Millisecond
-	// cleanSweeps in a row have to find nothing. One is not enough: a process that is born while /proc is listed is not in the list, and whoever
-	// bore it may be gone before it is looked at.
-	cleanSweeps = 2
+	sweepInterval = 5 * time.Millisecond
+	// requiredCleanSweeps sweeps in a row have to find nothing. One is not enough: a process that is forked
+	// while /proc is listed is not in the list, and its parent may have exited before it is looked at.
+	requiredCleanSweeps = 2
 )
 
-// children are the guards of this process that may still be there.
-var children = struct {
+// guards holds the guard processes of this process that may still exist.
+var guards = struct {
 	sync.Mutex
 	adopts bool
 	known  map[int]bool
 }{known: map[int]bool{}}
 
-// Adopt makes the calling process the reaper of what a killed guard leaves behind: then all of it is found, whatever its environment says, for
-// there is a moment in the start of a program in which that is empty. From now on every child that is no guard is killed by the next sweep, so the
-// process should begin no others.
+// BecomeReaper makes the calling process the reaper of what a killed guard leaves behind. Then all of it is
+// found whatever its environment contains, which is empty for a moment while a program starts. From then on the
+// next sweep kills every child that is not a guard, so the process should start no others.
 func Adopt() error {
 	if err := unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0); err != nil {
 		return fmt.Errorf("guard: %w", err)
 	}
-	children.Lock()
-	children.adopts = true
-	children.Unlock()
+	guards.Lock()
+	guards.adopts = true
+	guards.Unlock()
 	return nil
 }
 
-// killAdopted kills and collects what was left to this process by guards that are gone, of all that are there. It returns how many there were.
-func killAdopted(all map[int]process) (n int) {
-	children.Lock()
-	defer children.Unlock()
-	if !children.adopts {
+// killOrphans kills and reaps the processes in the list that dead guards have left to this process. It returns
+// their number.
+func killOrphans(all map[int]process) (n int) {
+	guards.Lock()
+	defer guards.Unlock()
+	if !guards.adopts {
 		return 0
 	}
 	for pid, p := range all {
-		// One that is known now may have been begun after the listing, and then it is not in it.
-		if p.ppid == os.Getpid() && !children.known[pid] {
+		// A guard in the known set may have started after the listing, and then it is not in the list.
+		if p.ppid == os.Getpid() && !guards.known[pid] {
 			n++
 			unix.Kill(pid, unix.SIGKILL)
 			unix.Wait4(pid, nil, unix.WNOHANG, nil)
@@ -100,10 +103,11 @@
 	return n
 }
 
-// Run runs a command to its end. Begun, if it is not nil, is told the process that leads it. The calling process becomes the reaper of whatever the
-// command leaves behind, so that nothing gets away by forking, changing its session or closing its descriptors; it should run nothing else.
-func Run(s Spec, told <-chan Told, begun func(pid int)) Result {
-	runtime.LockOSThread() // the kernel's death signal is for the death of the thread that forked
+// Run runs a command to its end. It calls begun, if that is not nil, with the ID of the command's first
+// process. The calling process becomes the reaper of all that the command leaves behind, so that nothing
+// escapes by forking, changing its session or closing its descriptors; it should run nothing else.
+func Run(s Spec, instructions <-chan Told, begun func(pid int)) Result {
+	runtime.LockOSThread() // the kernel sends the death signal when the thread that forked dies
 	defer runtime.UnlockOSThread()
 	if Now() >= s.Until-int64(s.Grace) {
 		return Result{-1, "too late to begin: the lease is about to run out"}
@@ -140,17 +144,17 @@
 	if begun != nil {
 		begun(p.Pid)
 	}
-	return watch(s, p.Pid, told)
+	return supervise(s, p.Pid, instructions)
 }
 
-// watch sees a command to its end.
-func watch(s Spec, pid int, told <-chan Told) Result {
+// supervise supervises a command until nothing of it is left.
+func supervise(s Spec, pid int, instructions <-chan Told) Result {
 	codes, gone := make(chan int, 1), make(chan struct{})
 	go reap(pid, codes, gone)
-	return watchEnds(s, pid, told, codes, gone)
+	return superviseUntilGone(s, pid, instructions, codes, gone)
 }
 
-func watchEnds(s Spec, pid int, told <-chan Told, codes chan int, gone chan struct{}) Result {
+func superviseUntilGone(s Spec, pid int, instructions <-chan Told, codes chan int, gone chan struct{}) Result {
 	began := Now()
 	r, until, termed, killed := Result{}, s.Until, false, false
 	limit := func() (at int64, why string) {
@@ -173,23 +177,23 @@
 		}
 		select {
 		case r.Code = <-codes:
-			// What it left behind goes with it.
+			// The processes that it left behind are killed too.
 			killed, codes = true, nil
-			kill(pid)
-			sweep = time.After(sweepEvery)
+			killCommand(pid)
+			sweep = time.After(sweepInterval)
 		case <-gone:
 			timer.Stop()
 			select {
-			case r.Code = <-codes: // both were ready: a command that was killed once passed for one that ended well
+			case r.Code = <-codes: // both channels were ready; without this, a killed command was reported as one that ended well
 			default:
 			}
 			return r
 		case <-sweep:
-			kill(pid)
-			sweep = time.After(sweepEvery)
-		case t, open := <-told:
+			killCommand(pid)
+			sweep = time.After(sweepInterval)
+		case t, open := <-instructions:
 			if !open {
-				told = nil // whoever told deadlines is gone: the last one stands
+				instructions = nil // whoever sent deadlines is gone: the last one remains in force
 			} else if t.Cancel != "" && r.Why == "" {
 				r.Why = t.Cancel
 				if cut := Now() + int64(s.Grace); cut < until {
@@ -211,15 +215,15 @@
 				unix.Kill(-pid, unix.SIGTERM)
 			} else {
 				killed = true
-				kill(pid)
-				sweep = time.After(sweepEvery)
+				killCommand(pid)
+				sweep = time.After(sweepInterval)
 			}
 		}
 		timer.Stop()
 	}
 }
 
-// reap collects every process that ends below this one, until there is none.
+// reap reaps every process below this one until there is none.
 func reap(pid int, codes chan<- int, gone chan<- struct{}) {
 	for {
 		var status unix.WaitStatus
@@ -237,14 +241,15 @@
 	}
 }
 
-// kill kills a command's whole group, and whatever else descends from this process.
-func kill(pid int) {
+// killCommand kills a command's process group and all other descendants of this process.
+func killCommand(pid int) {
 	unix.Kill(-pid, unix.SIGKILL)
 	KillBelow(os.Getpid(), pid)
 }
 
-// KillMarked kills every process of this user whose environment has a mark, such as GULLSTAIR_FENCE=7: children inherit it, whatever session they
-// make, and whoever is dead that began them. It returns how many there were.
+// KillMarked kills every process of this user whose environment contains a mark, such as GULLSTAIR_FENCE=7.
+// Child processes inherit it in any session, even if their parents are dead. It returns the number of
+// processes.
 func KillMarked(mark string) (n int) {
 	paths, _ := filepath.Glob("/proc/[0-9]*/environ")
 	for _, path := range paths {
@@ -260,7 +265,7 @@
 	return n
 }
 
-// KillBelow kills every process that descends from one, and every process of a session. It returns how many there were.
+// KillBelow kills every descendant of a process, and every process of a session. It returns their number.
 func KillBelow(parent, session int) (n int) {
 	return killBelow(processes(), parent, session)
 }
@@ -282,10 +287,10 @@
 
 type process struct {
 	ppid, sid int
-	zombie    bool // it only waits to be collected
+	zombie    bool // it has ended and waits to be reaped
 }
 
-// processes lists all that are there.
+// processes lists all processes of the machine.
 func processes() map[int]process {
 	all := map[int]process{}
 	paths, _ := filepath.Glob("/proc/[0-9]*/stat")
@@ -294,7 +299,7 @@
 		if err != nil {
 			continue
 		}
-		// The name, in brackets, may hold anything.
+		// The process name, in parentheses, may contain any character.
 		at := strings.LastIndexByte(string(text), ')')
 		f := strings.Fields(string(text[at+1:]))
 		pid, _ := strconv.Atoi(filepath.Base(filepath.Dir(path)))
@@ -308,45 +313,47 @@
 	return all
 }
 
-// Serve is the guard's side as a process: what it is told comes by a reader, a line each, and what it says goes to a writer.
+// Serve runs a command in a guard process. It reads instructions from a reader, one per line, and writes its
+// reports to a writer.
 func Serve(s Spec, in io.Reader, out io.Writer) Result {
-	told := make(chan Told, 16)
+	instructions := make(chan Told, 16)
 	go func() {
-		defer close(told)
+		defer close(instructions)
 		lines := bufio.NewScanner(in)
 		for lines.Scan() {
 			word, rest, _ := strings.Cut(lines.Text(), " ")
 			switch n, err := strconv.ParseInt(rest, 10, 64); {
 			case word == "until" && err == nil:
-				told <- Told{Until: n}
+				instructions <- Told{Until: n}
 			case word == "cancel":
-				told <- Told{Cancel: rest}
+				instructions <- Told{Cancel: rest}
 			}
 		}
 	}()
-	r := Run(s, told, func(pid int) { fmt.Fprintf(out, "child %d\n", pid) })
+	r := Run(s, instructions, func(pid int) { fmt.Fprintf(out, "child %d\n", pid) })
 	fmt.Fprintf(out, "ended %d %s\n", r.Code, strings.ReplaceAll(r.Why, "\n", " "))
 	return r
 }
 
-// Remote is a guard that runs as a process.
+// Process is a guard that runs as a process of its own.
 type Remote struct {
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	lead  time.Duration
-	mu    sync.Mutex
-	until int64
-	child int
-	mark  string
-	told  bool // it has said how the command ended: nothing is left of it
-	over  bool // it was cancelled: no deadline is put off any more
-	done  chan struct{}
-	r     Result
-	reset chan struct{}
+	cmd       *exec.Cmd
+	in        io.WriteCloser
+	lead      time.Duration
+	mu        sync.Mutex
+	until     int64
+	child     int
+	mark      string
+	ended     bool // the guard has reported the end of the command: nothing is left of it
+	cancelled bool // it was cancelled: its deadline is not extended any more
+	done      chan struct{}
+	result    Result
+	reset     chan struct{}
 }
 
-// Start starts a guard process by a command line that ends in Serve: the deadline and the rest of the spec have to be in it. The calling process
-// keeps a timer as well, and kills command and guard when the guard does not: it may have been stopped.
+// Start starts a guard process with a command line that calls Serve; the command line has to contain the
+// deadline and the rest of the spec. The calling process keeps a timer too, and kills command and guard if the
+// guard does not, since it may have been stopped.
 func Start(cmd *exec.Cmd, s Spec) (*Remote, error) {
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -357,15 +364,15 @@
 		return nil, fmt.Errorf("guard: %w", err)
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true}
-	children.Lock()
+	guards.Lock()
 	if err = cmd.Start(); err == nil {
-		children.known[cmd.Process.Pid] = true
+		guards.known[cmd.Process.Pid] = true
 	}
-	children.Unlock()
+	guards.Unlock()
 	if err != nil {
 		return nil, fmt.Errorf("guard: %w", err)
 	}
-	g := &Remote{cmd: cmd, in: in, lead: s.Lead, until: s.Until, mark: s.Mark, done: make(chan struct{}), reset: make(chan struct{}, 1), r: Result{-1, "its guard was ended"}}
+	g := &Remote{cmd: cmd, in: in, lead: s.Lead, until: s.Until, mark: s.Mark, done: make(chan struct{}), reset: make(chan struct{}, 1), result: Result{-1, "its guard was ended"}}
 	read := make(chan struct{})
 	go func() {
 		defer close(read)
@@ -378,7 +385,7 @@
 			if word == "child" && err == nil {
 				g.child = n
 			} else if word == "ended" && err == nil {
-				g.r, g.told = Result{n, why}, true
+				g.result, g.ended = Result{n, why}, true
 			}
 			g.mu.Unlock()
 		}
@@ -387,25 +394,25 @@
 	go func() {
 		<-read
 		g.cmd.Wait()
-		// A guard that was killed has left the rest to the kernel's death signal, and to this.
+		// After the death of a guard, the kernel's death signal and these sweeps kill what is left.
 		g.mu.Lock()
-		child, whole := g.child, g.told
+		child, whole := g.child, g.ended
 		g.mu.Unlock()
-		for clean := 0; !whole && clean < cleanSweeps; clean++ {
+		for clean := 0; !whole && clean < requiredCleanSweeps; clean++ {
 			if g.sweep(child) > 0 {
 				clean = -1
 			}
-			time.Sleep(sweepEvery)
+			time.Sleep(sweepInterval)
 		}
-		children.Lock()
-		delete(children.known, g.cmd.Process.Pid)
-		children.Unlock()
+		guards.Lock()
+		delete(guards.known, g.cmd.Process.Pid)
+		guards.Unlock()
 		close(g.done)
 	}()
 	return g, nil
 }
 
-// sweep kills what is left of a command whose guard can't.
+// sweep kills what is left of a command whose guard cannot. It returns the number of processes.
 func (g *Remote) sweep(child int) (n int) {
 	all := processes()
 	if child > 0 {
@@ -414,10 +421,10 @@
 	if g.mark != "" {
 		n += KillMarked(g.mark)
 	}
-	return n + killAdopted(all)
+	return n + killOrphans(all)
 }
 
-// backstop kills command and guard when half of the lead is left and they are still there.
+// backstop kills command and guard if they still exist when half of the lead remains.
 func (g *Remote) backstop() {
 	for {
 		g.mu.Lock()
@@ -433,42 +440,43 @@
 			if wait <= 0 {
 				g.sweep(child)
 				g.cmd.Process.Kill()
-				time.Sleep(sweepEvery)
+				time.Sleep(sweepInterval)
 			}
 		}
 		timer.Stop()
 	}
 }
 
-// Extend tells a later deadline. It never waits for a guard that stands still.
+// Extend sends a later deadline. It does not block on a guard that is suspended.
 func (g *Remote) Extend(until int64) {
 	g.mu.Lock()
-	if !g.over {
+	if !g.cancelled {
 		g.until = max(g.until, until)
 	}
 	g.mu.Unlock()
-	g.tell(fmt.Sprintf("until %d\n", until))
+	g.send(fmt.Sprintf("until %d\n", until))
 }
 
-// Cancel has the command end: first asked to, then made to.
+// Cancel ends the command: first with SIGTERM, then with SIGKILL.
 func (g *Remote) Cancel(why string, within time.Duration) {
 	g.mu.Lock()
-	g.until, g.over = min(g.until, Now()+int64(within)), true
+	g.until, g.cancelled = min(g.until, Now()+int64(within)), true
 	g.mu.Unlock()
-	g.tell(fmt.Sprintf("cancel %s\n", strings.ReplaceAll(why, "\n", " ")))
+	g.send(fmt.Sprintf("cancel %s\n", strings.ReplaceAll(why, "\n", " ")))
 }
 
-func (g *Remote) tell(line string) {
+func (g *Remote) send(line string) {
 	select {
 	case g.reset <- struct{}{}:
 	default:
 	}
-	// A pipe holds 64 KiB, far more lines than a lease is renewed before its end; a guard that reads none is killed by then.
+	// A pipe holds 64 KiB, far more lines than the renewals of a lease before its end; a guard that reads
+	// nothing is killed by then.
 	if f, is := g.in.(interface{ SetWriteDeadline(time.Time) error }); is {
 		f.SetWriteDeadline(time.Now().Add(time.Second))
 	}
 	if _, err := io.WriteString(g.in, line); err != nil && !errors.Is(err, os.ErrClosed) {
-		return // it has ended, or will be by the backstop
+		return // the guard has ended, or the backstop ends it
 	}
 }
 
@@ -477,5 +485,5 @@
 	<-g.done
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.r
+	return g.result
 }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -14,11 +14,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-// So wide that a guard which is late by a machine's load still comes half a second before its caller's backstop: with a lead of 0.1 s the backstop
-// came first on four loaded cores, and its word took the place of the guard's.
+// Wide enough that a guard delayed by load still acts half a second before its caller's backstop. With a lead
+// of 0.1 s the backstop came first on four loaded cores, and its result replaced the guard's.
 const grace, lead = 1500 * time.Millisecond, time.Second
 
-// TestMain lets the test binary be the guard: it reaps whatever is below it, so it has to be a process of its own.
+// TestMain lets the test binary run as the guard: a guard reaps everything below it, so it has to be a separate
+// process.
 func TestMain(m *testing.M) {
 	if until := os.Getenv("GUARD_UNTIL"); until != "" {
 		n, _ := strconv.ParseInt(until, 10, 64)
@@ -42,11 +43,11 @@
 	return g, cmd, until
 }
 
-// lives says whether a process is there whose number a file holds.
-func lives(t *testing.T, path string) bool {
+// isAlive reports whether the process exists whose ID is in a file.
+func isAlive(t *testing.T, path string) bool {
 	text, err := os.ReadFile(path)
 	if err != nil || len(text) == 0 {
-		return false // not there, or not written yet
+		return false // missing, or not written yet
 	}
 	pid, err := strconv.Atoi(strings.TrimSpace(string(text)))
 	require.NoError(t, err)
@@ -54,32 +55,32 @@
 	return syscall.Kill(pid, 0) == nil && !strings.Contains(string(stat), ") Z ")
 }
 
-func await(t *testing.T, holds func() bool) {
+func waitUntil(t *testing.T, holds func() bool) {
 	t.Helper()
 	for begun := time.Now(); !holds(); time.Sleep(2 * time.Millisecond) {
 		require.Less(t, time.Since(begun), 10*time.Second)
 	}
 }
 
-func TestEnds(t *testing.T) {
+func TestHowCommandsEnd(t *testing.T) {
 	for name, c := range map[string]struct {
 		script  string
 		within  time.Duration
 		timeout time.Duration
 		do      func(g *Remote, cmd *exec.Cmd)
 		want    Result
-		late    bool // it is over only near its deadline
+		late    bool // it ends only near its deadline
 	}{
 		"by itself":          {"exit 7", time.Minute, 0, nil, Result{7, ""}, false},
 		"its lease runs out": {"sleep 60", 2500 * time.Millisecond, 0, nil, Result{128 + 15, "its lease runs out"}, true},
-		"deaf":               {"trap '' TERM; while :; do sleep 0.01; done", 2500 * time.Millisecond, 0, nil, Result{128 + 9, "its lease runs out"}, true},
+		"it ignores SIGTERM": {"trap '' TERM; while :; do sleep 0.01; done", 2500 * time.Millisecond, 0, nil, Result{128 + 9, "its lease runs out"}, true},
 		"it leaves its session and closes everything": {"trap '' TERM HUP; setsid sh -c 'echo $$ >$PIDS; exec 0<&- 1>&- 2>&-; while :; do sleep 0.01; done' & exit 0", time.Minute, 0, nil,
 			Result{0, ""}, false},
 		"cancelled":           {"sleep 60", time.Minute, 0, func(g *Remote, _ *exec.Cmd) { g.Cancel("an order", grace) }, Result{128 + 15, "an order"}, false},
 		"its timeout":         {"sleep 60", time.Minute, 100 * time.Millisecond, nil, Result{128 + 15, "it took longer than its timeout"}, false},
 		"too late to begin":   {"exit 0", grace - 200*time.Millisecond, 0, nil, Result{-1, "too late to begin: the lease is about to run out"}, false},
 		"its guard is killed": {"while :; do sleep 0.01; done", time.Minute, 0, func(_ *Remote, cmd *exec.Cmd) { cmd.Process.Kill() }, Result{-1, "its guard was ended"}, false},
-		"its guard stands still": {"while :; do sleep 0.01; done", 2500 * time.Millisecond, 0, func(_ *Remote, cmd *exec.Cmd) { cmd.Process.Signal(syscall.SIGSTOP) },
+		"its guard is suspended": {"while :; do sleep 0.01; done", 2500 * time.Millisecond, 0, func(_ *Remote, cmd *exec.Cmd) { cmd.Process.Signal(syscall.SIGSTOP) },
 			Result{-1, "its guard was ended"}, true},
 		"its caller ends": {"sleep 60", 2500 * time.Millisecond, 0, func(g *Remote, _ *exec.Cmd) { g.in.Close() }, Result{128 + 15, "its lease runs out"}, true},
 	} {
@@ -88,68 +89,70 @@
 			pids := t.TempDir() + "/pids"
 			g, cmd, until := start(t, c.within, c.timeout, "PIDS="+pids+"; echo $$ >"+pids+"; "+c.script)
 			if c.do != nil {
-				await(t, func() bool { return lives(t, pids) })
+				waitUntil(t, func() bool { return isAlive(t, pids) })
 				c.do(g, cmd)
 			}
 			assert.Equal(t, c.want, g.Wait())
 			if c.late {
-				// Not before it is told to end, and what is left is killed by then; a loaded machine may be a little late to say so.
+				// It does not end before its SIGTERM, and what is left is killed by the deadline; the report
+				// may be a little late on a loaded machine.
 				over := time.Duration(Now() - until)
 				assert.GreaterOrEqual(t, over, -grace)
-				assert.Less(t, over, 20*time.Second) // 9 s were seen on four cores with other work: what counts is that nothing of it goes on
+				assert.Less(t, over, 20*time.Second) // a delay of 9 s was seen on four loaded cores; what matters is that no process is left
 			}
-			assert.False(t, lives(t, pids), "nothing of it goes on")
+			assert.False(t, isAlive(t, pids), "no process of the command is left")
 		})
 	}
 }
 
-// A deadline that is put off in time counts, and one that a cancelled command is told does not.
+// An extended deadline takes effect, but not for a command that is cancelled.
 func TestExtended(t *testing.T) {
 	g, _, until := start(t, 2500*time.Millisecond, 0, "sleep 2.8; exit 5")
 	g.Extend(until + int64(time.Minute))
 	assert.Equal(t, Result{5, ""}, g.Wait())
 	pids := t.TempDir() + "/pids"
 	g, _, until = start(t, time.Minute, 0, "trap '' TERM; echo $$ >"+pids+"; while :; do sleep 0.01; done")
-	await(t, func() bool { return lives(t, pids) }) // a guard that has not started yet has no time left to end anything
+	waitUntil(t, func() bool { return isAlive(t, pids) }) // the guard must have started, or it has no time left to end anything
 	g.Cancel("an order", grace)
 	g.Extend(until + int64(time.Minute))
 	assert.Equal(t, "an order", g.Wait().Why)
 }
 
-// However fast the last process of a command goes after its leader, the leader's exit code is told.
-func TestCodeIsTold(t *testing.T) {
+// The leader's exit code is reported even if the last process of the command ends right after it.
+func TestExitCodeIsReported(t *testing.T) {
 	for range 200 {
 		codes, gone := make(chan int, 1), make(chan struct{})
 		codes <- 137
 		close(gone)
-		assert.Equal(t, 137, watchEnds(Spec{Until: Now() + int64(time.Hour)}, 1<<30, nil, codes, gone).Code)
+		assert.Equal(t, 137, superviseUntilGone(Spec{Until: Now() + int64(time.Hour)}, 1<<30, nil, codes, gone).Code)
 	}
 }
 
-// A guard is killed just as its command begins a process in a session of its own: that goes too. One was left on a loaded machine: a process that is
-// about to run another program has no environment to read for a moment, and one that is born while /proc is listed is not in the list. Whoever
-// adopts what killed guards leave behind finds it all the same, even where its environment is empty for good.
-func TestNothingLeftInMidFork(t *testing.T) {
+// A guard is killed just as its command forks a process into a session of its own, which must be killed too.
+// One survived on a loaded machine: a process that is about to exec has no readable environment for a moment,
+// and one that is forked while /proc is listed is not in the list. The process that adopts the orphans of
+// killed guards finds it, even if its environment stays empty.
+func TestNothingSurvivesAGuardKilledDuringFork(t *testing.T) {
 	for name, script := range map[string]string{"a moment": "setsid sleep 61 & exec sleep 60", "for good": "env -i setsid sleep 61 & echo $! >$PIDS; exec sleep 60"} {
 		for i := range 6 {
 			pids := t.TempDir() + "/pids"
 			g, cmd, until := start(t, time.Minute, 0, "PIDS="+pids+"; trap '' TERM HUP; "+script)
 			mark := "GUARD_MARK=" + strconv.FormatInt(until, 10)
-			await(t, func() bool { return len(marked(mark)) > 1 && (name == "a moment" || lives(t, pids)) }) // the guard and its command
+			waitUntil(t, func() bool { return len(markedProcesses(mark)) > 1 && (name == "a moment" || isAlive(t, pids)) }) // the guard and its command
 			time.Sleep(time.Duration(i%4) * 500 * time.Microsecond)
 			cmd.Process.Kill()
 			g.Wait()
-			for range 4 { // what had no environment yet has one soon
-				require.Empty(t, marked(mark), "%s %d", name, i)
-				time.Sleep(sweepEvery)
+			for range 4 { // a process without an environment has one soon
+				require.Empty(t, markedProcesses(mark), "%s %d", name, i)
+				time.Sleep(sweepInterval)
 			}
-			require.False(t, lives(t, pids), "%s %d", name, i)
+			require.False(t, isAlive(t, pids), "%s %d", name, i)
 		}
 	}
 }
 
-// marked are the processes that have a mark in their environment.
-func marked(mark string) (pids []int) {
+// markedProcesses lists the processes that have a mark in their environment.
+func markedProcesses(mark string) (pids []int) {
 	paths, _ := filepath.Glob("/proc/[0-9]*/environ")
 	for _, path := range paths {
 		if text, err := os.ReadFile(path); err == nil && strings.Contains("\x00"+string(text), "\x00"+mark+"\x00") {
--- a/internal/lasting/lasting.go
+++ b/internal/lasting/lasting.go
@@ -1,6 +1,7 @@
-// Package lasting keeps what a process has promised others (votes on leases, shares that it lent, operators' orders) in a directory, and says at each start whether
-// that is all that was ever stored: a copy that was put back, a tail that was cut or another process's directory must not pass for a memory that
-// nothing is missing from.
+// Package lasting stores the promises that a process has made to others (votes on leases, loans of shares,
+// operators' orders) in a directory. At each start it reports whether the records are complete: a restored
+// copy, a log with a truncated tail or another process's directory must not pass for a complete memory. It does
+// file I/O.
 package lasting
 
 import (
@@ -18,10 +19,10 @@
 	"gullstair/internal/journalfile"
 )
 
-// Kind says what a directory's records are; one of another kind does not open.
+// Kind is the kind of a directory's records. A directory of another kind does not open.
 type Kind uint64
 
-// The kinds.
+// The kinds of records.
 const (
 	Votes Kind = 0x1ea5e
 	Loans Kind = 0x10a45
@@ -29,43 +30,46 @@
 )
 
 const (
-	touchedWithin = 2 * time.Second // a file whose last change is so much later than its last record was changed by somebody else
-	lockName      = "lock"
-	markName      = "place"
+	maxChangeDelay = 2 * time.Second // a file that changed this much later than its last record was changed by another program
+	lockName       = "lock"
+	placeName      = "place"
 )
 
-// Dir is an open directory of records. Only one goroutine may use it.
+// Dir is an open directory of records. It is not safe for concurrent use.
 type Dir[R any] struct {
-	path  string
-	log   *journalfile.Log
-	lock  *os.File
-	doubt string // why something may be missing; "": nothing is
+	path             string
+	log              *journalfile.Log
+	lock             *os.File
+	incompleteReason string // why records may be missing; "" if none are
 }
 
-// Found is what a directory held.
+// Found is the content of a directory when it was opened.
 type Found[R any] struct {
 	Records []R
-	Sound   bool   // these are all that were ever stored
-	Why     string // if not
+	Sound   bool   // the records are all that were ever stored
+	Why     string // the reason if they may not be
 }
 
-// place is how the file system knows the directory's mark, a file that is made once and never changed. Its number alone would not do: that
-// of a file that was removed may be given to the next one. Its last change is the kernel's to set, and a copy has its own.
+// place identifies the directory by the inode of its place file, which is created once and never changed. The
+// inode number alone is not enough: the number of a removed file may be reused. The change time is set by the
+// kernel only, so a copy has another one.
 type place struct {
 	Inode   uint64
 	Changed int64
 }
 
-// entry is one record of the log, or without one the moment at which a process began to use the directory, or to trust it.
+// entry is one entry of the log: a record, or, without one, the time at which a process began to use the
+// directory or to trust it.
 type entry[R any] struct {
-	Vote  *R    // its name in the log; it is a record of any kind
-	Begun int64 // wall clock in ns
+	Vote  *R    // a record of any kind; the field name is that of the stored format
+	Begun int64 // wall clock, in ns
 	Place place
 	Doubt string
 }
 
-// Open opens a directory of one kind's records, made if it is not there. An error says what is wrong with it: another process uses it, it can't be written,
-// it is spoilt. Where something may be missing from it, it is not sound, and says why.
+// Open opens a directory of records of one kind and creates it if it does not exist. It returns an error if
+// another process uses the directory, or if it is not writable or corrupt. If records may be missing, Found
+// says so and why.
 func Open[R any](path string, kind Kind) (*Dir[R], *Found[R], error) {
 	disk, err := journalfile.Dir(path)
 	if err != nil {
@@ -90,29 +94,29 @@
 
 func (d *Dir[R]) open(disk journalfile.Disk, kind Kind) (*Found[R], error) {
 	f := &Found[R]{Sound: true}
-	doubt := func(format string, args ...any) {
+	incomplete := func(format string, args ...any) {
 		if f.Sound {
 			f.Sound, f.Why = false, fmt.Sprintf(format, args...)
 		}
 	}
-	touched, changed := d.changed()
+	touched, changed := d.lastChange()
 	log, r, err := journalfile.Open(disk, uint64(kind), 0)
 	if err != nil {
 		return nil, err
 	}
 	d.log = log
-	here, fresh, err := d.mark()
+	currentPlace, fresh, err := d.readPlace()
 	if err != nil {
 		return nil, err
 	}
 	var last int64
-	var there place
-	var earlier string
+	var recordedPlace place
+	var earlierReason string
 	read := func(e entry[R]) {
 		if e.Vote != nil {
 			f.Records = append(f.Records, *e.Vote)
 		}
-		last, there, earlier = max(last, e.Begun), e.Place, e.Doubt
+		last, recordedPlace, earlierReason = max(last, e.Begun), e.Place, e.Doubt
 	}
 	if r.Snapshot != nil {
 		var all []entry[R]
@@ -132,50 +136,51 @@
 	}
 	switch empty := r.Snapshot == nil && len(r.Records) == 0; {
 	case empty:
-		// Nobody can tell an empty directory from one that was lost.
-		doubt("it is empty")
+		// An empty directory cannot be told from one that was lost.
+		incomplete("it is empty")
 	case r.Cut > 0:
-		doubt("%d bytes of a torn tail were cut", r.Cut)
-	case fresh || here != there:
-		doubt("it is a copy: the place that its records name is another one")
-	case changed && touched-last > int64(touchedWithin):
-		doubt("its files were changed %v after the last record", time.Duration(touched-last).Round(time.Second))
-	case earlier != "":
-		// A process that found it so and was ended before its quiet time was over has left a log that looks whole: the next one once took it for that,
-		// and what had been promised before the loss did not bind it.
-		doubt("an earlier process found something missing and ended before that had run out: %s", earlier)
+		incomplete("%d bytes of a torn tail were cut", r.Cut)
+	case fresh || currentPlace != recordedPlace:
+		incomplete("it is a copy: the place that its records name is another one")
+	case changed && touched-last > int64(maxChangeDelay):
+		incomplete("its files were changed %v after the last record", time.Duration(touched-last).Round(time.Second))
+	case earlierReason != "":
+		// A process that found records missing and ended before its grace period was over has left a log that
+		// looks complete. Without this case the next process took it for complete, and the promises made before
+		// the loss did not bind it.
+		incomplete("an earlier process found something missing and ended before that had run out: %s", earlierReason)
 	}
-	d.doubt = f.Why
-	return f, d.append(entry[R]{Begun: time.Now().UnixNano(), Place: here, Doubt: d.doubt})
+	d.incompleteReason = f.Why
+	return f, d.append(entry[R]{Begun: time.Now().UnixNano(), Place: currentPlace, Doubt: d.incompleteReason})
 }
 
-// Trust says that what may be missing binds nobody any more: from now on the directory holds all that counts.
+// Trust marks the directory as complete, because missing records can no longer bind anybody.
 func (d *Dir[R]) Trust() error {
-	if d.doubt == "" {
+	if d.incompleteReason == "" {
 		return nil
 	}
-	here, err := d.here()
+	here, err := d.checkPlace()
 	if err != nil {
 		return err
 	}
 	if err := d.append(entry[R]{Begun: time.Now().UnixNano(), Place: here}); err != nil {
 		return fmt.Errorf("%s: %w", d.path, err)
 	}
-	d.doubt = ""
+	d.incompleteReason = ""
 	return nil
 }
 
-// here is the directory's place, as long as it is the one that was opened.
-func (d *Dir[R]) here() (place, error) {
-	here, fresh, err := d.mark()
+// checkPlace returns the directory's place, or an error if it is no longer the directory that was opened.
+func (d *Dir[R]) checkPlace() (place, error) {
+	here, fresh, err := d.readPlace()
 	if err != nil || fresh {
 		return here, fmt.Errorf("%s: the directory was changed under this process: %w", d.path, cmp.Or(err, os.ErrNotExist))
 	}
 	return here, nil
 }
 
-// changed is when the kernel last saw a change of the log's files, in ns; nobody but the kernel can set that.
-func (d *Dir[R]) changed() (at int64, any bool) {
+// lastChange returns the last change time of the log's files, in ns. Only the kernel can set it.
+func (d *Dir[R]) lastChange() (at int64, any bool) {
 	names, _ := filepath.Glob(filepath.Join(d.path, "*-*"))
 	for _, name := range names {
 		var st unix.Stat_t
@@ -186,9 +191,9 @@
 	return at, any
 }
 
-// mark is the directory's place; fresh says that it had no mark.
-func (d *Dir[R]) mark() (p place, fresh bool, err error) {
-	path := filepath.Join(d.path, markName)
+// readPlace returns the directory's place and creates the place file if it is missing, which fresh reports.
+func (d *Dir[R]) readPlace() (p place, fresh bool, err error) {
+	path := filepath.Join(d.path, placeName)
 	var st unix.Stat_t
 	err = unix.Stat(path, &st)
 	if errors.Is(err, syscall.ENOENT) {
@@ -214,16 +219,16 @@
 	return d.log.Append(records...)
 }
 
-// Store makes records last, with one fsync. After an error nothing more is taken.
+// Store makes records durable with one fsync. After an error it accepts nothing more.
 func (d *Dir[R]) Store(records []R) error {
-	here, err := d.here()
+	here, err := d.checkPlace()
 	if err != nil {
 		return err
 	}
 	now := time.Now().UnixNano()
 	var entries []entry[R]
 	for i := range records {
-		entries = append(entries, entry[R]{Vote: &records[i], Begun: now, Place: here, Doubt: d.doubt})
+		entries = append(entries, entry[R]{Vote: &records[i], Begun: now, Place: here, Doubt: d.incompleteReason})
 	}
 	if err := d.append(entries...); err != nil {
 		return fmt.Errorf("%s: %w", d.path, err)
@@ -231,16 +236,16 @@
 	return nil
 }
 
-// Snapshot puts some records in the place of all that were stored so far.
+// Snapshot replaces all records stored so far.
 func (d *Dir[R]) Snapshot(records []R) error {
-	here, err := d.here()
+	here, err := d.checkPlace()
 	if err != nil {
 		return err
 	}
 	now := time.Now().UnixNano()
-	all := []entry[R]{{Begun: now, Place: here, Doubt: d.doubt}}
+	all := []entry[R]{{Begun: now, Place: here, Doubt: d.incompleteReason}}
 	for i := range records {
-		all = append(all, entry[R]{Vote: &records[i], Begun: now, Place: here, Doubt: d.doubt})
+		all = append(all, entry[R]{Vote: &records[i], Begun: now, Place: here, Doubt: d.incompleteReason})
 	}
 	b, err := msgpack.Marshal(all)
 	if err == nil {
@@ -252,7 +257,7 @@
 	return nil
 }
 
-// Close lets another process use the directory. All that was stored lasts already.
+// Close unlocks the directory for other processes. All stored records are durable already.
 func (d *Dir[R]) Close() {
 	if d.log != nil {
 		d.log.Close()
--- a/internal/lasting/lasting_test.go
+++ b/internal/lasting/lasting_test.go
@@ -17,8 +17,8 @@
 	return lease.Record{Lease: "x", Holder: "a", Epoch: epoch, Boot: 3, Term: 1000, Data: []byte("n")}
 }
 
-// filled is a directory that was used, and left.
-func filled(t *testing.T) string {
+// usedDir returns a directory that a process has used and closed.
+func usedDir(t *testing.T) string {
 	path := filepath.Join(t.TempDir(), "votes")
 	d, f, err := Open[lease.Record](path, Votes)
 	require.NoError(t, err)
@@ -37,15 +37,15 @@
 	return names[0]
 }
 
-func TestKept(t *testing.T) {
-	path := filled(t)
+func TestRecordsAreKept(t *testing.T) {
+	path := usedDir(t)
 	d, f, err := Open[lease.Record](path, Votes)
 	require.NoError(t, err)
 	assert.True(t, f.Sound, f.Why)
 	assert.Equal(t, []lease.Record{vote(1), vote(2)}, f.Records)
 	_, _, err = Open[lease.Record](path, Votes)
 	assert.ErrorContains(t, err, "another process uses this directory")
-	// A snapshot takes the place of what was there.
+	// A snapshot replaces all earlier records.
 	require.NoError(t, d.Snapshot([]lease.Record{{Epoch: 9}, vote(7)}))
 	require.NoError(t, d.Store([]lease.Record{vote(8)}))
 	d.Close()
@@ -56,8 +56,9 @@
 	assert.Equal(t, []lease.Record{{Epoch: 9}, vote(7), vote(8)}, f.Records)
 }
 
-// What may be missing something does not pass for sound, and what can't be read or written does not open.
-func TestUnsound(t *testing.T) {
+// A directory with missing records is not reported as complete, and one that cannot be read or written does not
+// open.
+func TestIncompleteOrUnreadable(t *testing.T) {
 	copied := func(t *testing.T, from, to string) {
 		out, err := exec.Command("cp", "-a", from, to).CombinedOutput()
 		require.NoError(t, err, string(out))
@@ -78,8 +79,8 @@
 			copied(t, old, path)
 			return path
 		}, "it is a copy", ""},
-		"its mark lost": {func(t *testing.T, path string) string {
-			require.NoError(t, os.Remove(filepath.Join(path, markName)))
+		"its place file lost": {func(t *testing.T, path string) string {
+			require.NoError(t, os.Remove(filepath.Join(path, placeName)))
 			return path
 		}, "it is a copy", ""},
 		"a torn tail": {func(t *testing.T, path string) string {
@@ -89,7 +90,7 @@
 			require.NoError(t, os.Truncate(name, info.Size()-3))
 			return path
 		}, "bytes of a torn tail were cut", ""},
-		"a spoilt record": {func(t *testing.T, path string) string {
+		"a corrupt record": {func(t *testing.T, path string) string {
 			name := segment(t, path)
 			text, err := os.ReadFile(name)
 			require.NoError(t, err)
@@ -97,7 +98,7 @@
 			require.NoError(t, os.WriteFile(name, text, 0o600))
 			return path
 		}, "", "spoilt"},
-		"another's": {func(t *testing.T, path string) string {
+		"another kind": {func(t *testing.T, path string) string {
 			name := segment(t, path)
 			text, err := os.ReadFile(name)
 			require.NoError(t, err)
@@ -108,7 +109,7 @@
 		"a file in its place": {func(t *testing.T, path string) string { return segment(t, path) }, "", "not a directory"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d, f, err := Open[lease.Record](c.do(t, filled(t)), Votes)
+			d, f, err := Open[lease.Record](c.do(t, usedDir(t)), Votes)
 			if c.fail != "" {
 				assert.ErrorContains(t, err, c.fail)
 				return
@@ -121,8 +122,9 @@
 	}
 }
 
-// Who finds something missing and is ended before that has run out leaves the doubt to the next one, whatever it stored meanwhile.
-func TestDoubtOutlastsAProcess(t *testing.T) {
+// A process that finds records missing and ends before its grace period is over leaves the directory incomplete
+// for the next one, whatever it stored.
+func TestIncompletenessSurvivesAProcess(t *testing.T) {
 	for name, store := range map[string]func(d *Dir[lease.Record]) error{
 		"nothing stored": func(*Dir[lease.Record]) error { return nil },
 		"a vote":         func(d *Dir[lease.Record]) error { return d.Store([]lease.Record{vote(3)}) },
@@ -150,9 +152,9 @@
 	}
 }
 
-// A directory that is taken away under a process takes no more votes: they would be told and not be there.
-func TestTakenAway(t *testing.T) {
-	path := filled(t)
+// A directory that is removed under a process accepts no more votes: they would be sent without being stored.
+func TestDirectoryRemoved(t *testing.T) {
+	path := usedDir(t)
 	d, _, err := Open[lease.Record](path, Votes)
 	require.NoError(t, err)
 	defer d.Close()
@@ -160,16 +162,16 @@
 	assert.Error(t, d.Store([]lease.Record{vote(3)}))
 }
 
-// Files that were changed in place, by whatever kept their numbers, show it by the kernel's own time of the change.
+// A change in place that keeps the inode numbers shows in the change time that the kernel sets.
 func TestChangedInPlace(t *testing.T) {
-	path := filled(t)
+	path := usedDir(t)
 	d := &Dir[lease.Record]{path: path}
-	at, any := d.changed()
+	at, any := d.lastChange()
 	assert.True(t, any)
 	assert.Positive(t, at)
 }
 
-// A vote's cost with its fsync, alone and together with others.
+// Measures the cost of a vote with its fsync, alone and in batches.
 func BenchmarkStore(b *testing.B) {
 	for _, n := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint(n, " at once"), func(b *testing.B) {
--- a/internal/lasting/queue.go
+++ b/internal/lasting/queue.go
@@ -2,18 +2,19 @@
 
 import "sync"
 
-// queueMost is how many orders wait for the disk, and how many records are stored at once; more keep who puts them waiting, as a full disk's queue would.
-const queueMost = 1024
+// maxQueue is the capacity of the queue and the largest number of records stored at once. A full queue blocks
+// Put, as the queue of a slow disk does.
+const maxQueue = 1024
 
-// Sink is what a Queue stores to; a Dir is one.
+// Sink is the storage that a Queue writes to, such as a Dir.
 type Sink[R any] interface {
 	Store(records []R) error
 	Snapshot(records []R) error
 	Trust() error
 }
 
-// Order is a record to be stored, with its number; or, without one, all records in the place of those so far. Trust says, behind either, that they are all
-// that counts.
+// Job is a record to be stored, with its number, or, without one, a snapshot that replaces all records so far.
+// Trust marks the storage as complete after that.
 type Order[R any] struct {
 	Number uint64
 	Record R
@@ -21,24 +22,25 @@
 	Trust  bool
 }
 
-// Queue has one goroutine store what is put in, in its order, many records with one fsync.
+// Queue stores jobs in their order in one goroutine, many records with one fsync.
 type Queue[R any] struct {
 	sink   Sink[R]
 	in     chan Order[R]
 	stop   chan struct{}
 	stored func(upto uint64)
-	lost   func(error)
+	failed func(error)
 	ended  sync.WaitGroup
 }
 
-// NewQueue begins. Stored tells that all records up to a number last. Lost tells, once, that nothing can be stored any more; nothing is from then on.
-func NewQueue[R any](sink Sink[R], stored func(upto uint64), lost func(error)) *Queue[R] {
-	q := &Queue[R]{sink: sink, in: make(chan Order[R], queueMost), stop: make(chan struct{}), stored: stored, lost: lost}
+// NewQueue returns a running queue. It calls stored when all records up to a number are durable. It calls lost
+// once when storing has failed; nothing is stored after that.
+func NewQueue[R any](sink Sink[R], stored func(upto uint64), failed func(error)) *Queue[R] {
+	q := &Queue[R]{sink: sink, in: make(chan Order[R], maxQueue), stop: make(chan struct{}), stored: stored, failed: failed}
 	q.ended.Go(q.run)
 	return q
 }
 
-// Put has something stored; it waits where too much waits already.
+// Put queues a job. It blocks while the queue is full.
 func (q *Queue[R]) Put(o Order[R]) {
 	select {
 	case q.in <- o:
@@ -46,7 +48,7 @@
 	}
 }
 
-// Close ends it; what still waits is not stored.
+// Close stops the queue. Queued jobs are not stored.
 func (q *Queue[R]) Close() {
 	close(q.stop)
 	q.ended.Wait()
@@ -66,8 +68,8 @@
 			if next.Number > 0 {
 				records, upto = append(records, next.Record), next.Number
 			}
-			if next.All != nil || next.Trust || len(records) == queueMost {
-				break // nothing is taken that has no room: a record that was taken and left out would be told as stored with the next one
+			if next.All != nil || next.Trust || len(records) == maxQueue {
+				break // a record taken from the queue here would be left out of the batch, and reported as stored with the next one
 			}
 			select {
 			case next = <-q.in:
@@ -86,8 +88,8 @@
 			err = q.sink.Trust()
 		}
 		if err != nil {
-			q.lost(err)
-			for { // what is still to be stored is not
+			q.failed(err)
+			for { // discards all later jobs
 				select {
 				case <-q.in:
 				case <-q.stop:
--- a/internal/lasting/queue_test.go
+++ b/internal/lasting/queue_test.go
@@ -8,52 +8,53 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slow is a sink that takes nothing before it is let.
-type slow struct {
-	let    chan struct{}
-	all    []int
-	order  []string
-	most   int
-	failed error
+// blockingSink is a sink that blocks until the test unblocks it.
+type blockingSink struct {
+	unblock      chan struct{}
+	all          []int
+	operations   []string
+	largestBatch int
+	err          error
 }
 
-func (s *slow) Store(some []int) error {
-	<-s.let
-	s.most, s.all = max(s.most, len(some)), append(s.all, some...)
-	return s.failed
+func (s *blockingSink) Store(some []int) error {
+	<-s.unblock
+	s.largestBatch, s.all = max(s.largestBatch, len(some)), append(s.all, some...)
+	return s.err
 }
 
-func (s *slow) Snapshot(some []int) error {
-	s.order = append(s.order, "snapshot")
+func (s *blockingSink) Snapshot(some []int) error {
+	s.operations = append(s.operations, "snapshot")
 	return nil
 }
 
-func (s *slow) Trust() error {
-	s.order = append(s.order, "trust")
+func (s *blockingSink) Trust() error {
+	s.operations = append(s.operations, "trust")
 	return nil
 }
 
-// Every record is stored before it is told as stored, however many wait: one that was taken from the queue when a batch was full was once left out, and told with the
-// next. Trust and snapshots keep their place among them.
-func TestQueueStoresWhole(t *testing.T) {
-	const n = 3*queueMost + 500
-	s := &slow{let: make(chan struct{})}
-	told := make(chan uint64, n)
-	q := NewQueue[int](s, func(upto uint64) { told <- upto }, func(err error) { t.Error(err) })
+// Every record is stored before it is reported as stored, however many are queued. A record that was taken from
+// the queue when a batch was full was once left out, and reported with the next batch. Trust and snapshots keep
+// their order among the records.
+func TestQueueStoresEveryRecord(t *testing.T) {
+	const n = 3*maxQueue + 500
+	s := &blockingSink{unblock: make(chan struct{})}
+	reported := make(chan uint64, n)
+	q := NewQueue[int](s, func(upto uint64) { reported <- upto }, func(err error) { t.Error(err) })
 	go func() {
 		for i := 1; i <= n; i++ {
 			q.Put(Order[int]{Number: uint64(i), Record: i, Trust: i == 700})
 			if i == 900 {
 				q.Put(Order[int]{All: []int{i}})
 			}
-			if i == queueMost {
-				close(s.let) // by now the queue is full and more waits: the batches are as large as they come
+			if i == maxQueue {
+				close(s.unblock) // by now the queue is full, so the batches are as large as possible
 			}
 		}
 	}()
 	var last uint64
 	for last < n {
-		upto := <-told
+		upto := <-reported
 		require.Greater(t, upto, last)
 		last = upto
 	}
@@ -62,20 +63,20 @@
 	for i, x := range s.all {
 		require.Equal(t, i+1, x)
 	}
-	assert.LessOrEqual(t, s.most, queueMost)
-	assert.Equal(t, []string{"trust", "snapshot"}, s.order)
+	assert.LessOrEqual(t, s.largestBatch, maxQueue)
+	assert.Equal(t, []string{"trust", "snapshot"}, s.operations)
 }
 
-// A disk that takes nothing more is told of once; nothing counts as stored after it, and nobody waits for it.
-func TestQueueLosesItsDisk(t *testing.T) {
-	s := &slow{let: make(chan struct{}), failed: errors.New("no space left on device")}
-	close(s.let)
+// A failed disk is reported once. Nothing counts as stored after it, and nobody blocks on it.
+func TestQueueAfterDiskFailure(t *testing.T) {
+	s := &blockingSink{unblock: make(chan struct{}), err: errors.New("no space left on device")}
+	close(s.unblock)
 	lost := make(chan error, 9)
 	q := NewQueue[int](s, func(upto uint64) { t.Error("stored", upto) }, func(err error) { lost <- err })
-	for i := range 3 * queueMost {
+	for i := range 3 * maxQueue {
 		q.Put(Order[int]{Number: uint64(i + 1)})
 	}
-	assert.Equal(t, s.failed, <-lost)
+	assert.Equal(t, s.err, <-lost)
 	q.Close()
 	q.Put(Order[int]{Number: 1})
 	assert.Empty(t, lost)
--- a/internal/planted/faults.go
+++ b/internal/planted/faults.go
@@ -90,13 +90,13 @@
 	{"verdict process: who is cut off counts as told", judgeFile, "			for _, name := range c.r.Roster { //", "			for _, name := range []string{} { //", "", ""},
 	{"process: lower number let pass", fenceFile, "if number < seen {", "if false {", "", ""},
 	{"process: command not killed", guardFile, "	unix.Kill(-pid, unix.SIGKILL)\n	KillBelow(os.Getpid(), pid)", "	_ = pid", "", ""},
-	{"process: only its group killed", guardFile, "	KillBelow(os.Getpid(), pid)\n}", "}", "			killed, codes = true, nil\n			kill(pid)\n", "			killed, codes = true, nil\n"},
+	{"process: only its group killed", guardFile, "	KillBelow(os.Getpid(), pid)\n}", "}", "			killed, codes = true, nil\n			killCommand(pid)\n", "			killed, codes = true, nil\n"},
 	{"process: no backstop", guardFile, "	go g.backstop()\n", "", "", ""},
-	{"process: deadline forgotten with the broker", guardFile, "told = nil // whoever", "told, until = nil, until+int64(time.Hour) // whoever", "", ""},
-	{"lasting: doubt forgotten with the process that had it", votesFile, "	case earlier != \"\":\n", "	case false:\n", "", ""},
-	{"lasting: trusted at once", votesFile, "Begun: time.Now().UnixNano(), Place: here, Doubt: d.doubt})\n}\n\n// Trust", "Begun: time.Now().UnixNano(), Place: here})\n}\n\n// Trust", "", ""},
-	{"lasting: taken from the queue and left out", queueFile, "next.Trust || len(records) == queueMost {", "next.Trust {", "			case next = <-q.in:\n			default:", "			case next = <-q.in:\n				if len(records) >= queueMost {\n					more = false\n				}\n			default:"},
-	{"process: copy of votes taken for sound", votesFile, "case fresh || here != there:", "case fresh || here != there && false:", "case changed && touched-last > int64(touchedWithin):", "case changed && touched-last > int64(touchedWithin) && false:"},
+	{"process: deadline forgotten with the broker", guardFile, "instructions = nil // whoever", "instructions, until = nil, until+int64(time.Hour) // whoever", "", ""},
+	{"lasting: doubt forgotten with the process that had it", votesFile, "	case earlierReason != \"\":\n", "	case false:\n", "", ""},
+	{"lasting: trusted at once", votesFile, "Begun: time.Now().UnixNano(), Place: currentPlace, Doubt: d.incompleteReason})\n}\n\n// Trust", "Begun: time.Now().UnixNano(), Place: currentPlace})\n}\n\n// Trust", "", ""},
+	{"lasting: taken from the queue and left out", queueFile, "next.Trust || len(records) == maxQueue {", "next.Trust {", "			case next = <-q.in:\n			default:", "			case next = <-q.in:\n				if len(records) >= maxQueue {\n					more = false\n				}\n			default:"},
+	{"process: copy of votes taken for sound", votesFile, "case fresh || currentPlace != recordedPlace:", "case fresh || currentPlace != recordedPlace && false:", "case changed && touched-last > int64(maxChangeDelay):", "case changed && touched-last > int64(maxChangeDelay) && false:"},
 }, controlFaults)
 
 // Proofs are the tests that are to find them.
