--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -99,7 +99,7 @@
 	slotFraction      = 0.25 // of a period: length of a turn slot on a side without a majority
 	early             = 0.95 // of a period: an item that was done more recently waits, even in its slot
 	settleFraction    = 0.5  // of a period: a side without a majority must have been unchanged this long
-	maxReportBytes    = 96   // bytes
+	maxReportBytes    = 96
 	recordBytes       = 56   // size of a record in a message without its report
 	syncPeriods       = 30.0 // in periods: interval between two requests for all records
 	minSyncIntervalMs = 1000 // shortest interval between two requests for all records
@@ -121,7 +121,7 @@
 	Overdue int `json:"overdue"` // turns begun more than a tenth of a period late
 }
 
-// Item is the state of an item as this member sees it.
+// ItemStatus is the state of an item as this member sees it.
 type Item struct {
 	Name  string  `json:"name"`
 	Owner string  `json:"owner"`
@@ -130,15 +130,16 @@
 	Due   float64 `json:"due"`
 }
 
-// Share is the state of a duty as this member sees it.
+// DutyStatus is the state of a duty as this member sees it.
 type Share struct {
 	Duty   Duty   `json:"duty"`
 	Items  []Item `json:"items"`
 	Mine   int    `json:"mine"`
-	Side   int    `json:"side"` // live members of the roster that are not doubted
+	Side   int    `json:"side"` // live members of the roster that are not suspected
 	Roster int    `json:"roster"`
 }
 
+// item is the state of one item.
 type item struct {
 	name      string
 	hash      uint64
@@ -154,6 +155,7 @@
 	open      bool
 }
 
+// duty is the state of one duty.
 type duty struct {
 	Duty
 	hash       uint64
@@ -163,6 +165,7 @@
 	nextTurnAt float64 // no turn begins before this time
 }
 
+// itemHeap orders this member's items by the time at which they are due.
 type itemHeap []*item
 
 func (h itemHeap) Len() int { return len(h) }
@@ -201,7 +204,7 @@
 	duties      map[uint64]*duty
 	dutyList    []*duty
 	living      []Weighted
-	sideMembers map[string]bool   // live members that are not doubted
+	sideMembers map[string]bool   // live members that are not suspected
 	sideSize    int               // number of them on the roster
 	sideSince   float64           // the time since which sideMembers is unchanged
 	names       map[uint64]string // names of members by their hash
@@ -243,6 +246,7 @@
 	return x ^ x>>31
 }
 
+// unitInterval maps a hash to a number between 0 and 1, both excluded.
 func unitInterval(x uint64) float64 { return (float64(x>>11) + 0.5) / (1 << 53) }
 
 // Score returns a member's rendezvous score for an item: the live member with the highest score owns the item.
@@ -256,7 +260,7 @@
 	return -max(weight, 1e-9) / math.Log(unitInterval(mix(of, member)))
 }
 
-// Shares returns the state of all duties.
+// Statuses returns the state of all duties.
 func (c *Core) Shares() []Share {
 	var all []Share
 	for _, d := range c.dutyList {
@@ -421,8 +425,8 @@
 	return from + float64(4*n)*period // this member is not on the roster and sees no member of it
 }
 
-// side returns the number of live members of the roster that are not doubted. A member that is cut off comes to
-// doubt the others one after the other; without this rule it would take over their items while it still
+// side returns the number of live members of the roster that are not suspected. A member that is cut off comes
+// to suspect the others one after the other; without this rule it would take over their items while it still
 // believes to be in a majority.
 func (c *Core) side() int { return c.sideSize }
 
--- a/internal/fence/fence.go
+++ b/internal/fence/fence.go
@@ -21,12 +21,12 @@
 // Guard stores the highest token in a file. Several processes may use one file at once.
 type Guard struct{ path string }
 
-// New returns the guard of a file, which the first Pass creates.
+// New returns the guard of a file, which the first Accept creates.
 func At(path string) *Guard { return &Guard{path} }
 
-// Pass accepts a token that is at least as high as all before it, and makes it durable before it returns. For a
-// lower one it returns ErrStale. The guarded change must be made in the function do, if any: it runs before a
-// Pass of any other caller or process can continue.
+// Accept takes a token that is at least as high as all before it, and makes it durable before it returns. For a
+// lower one it returns ErrStale. The guarded change must be made in the function do, if any: it runs before an
+// Accept of any other caller or process can continue.
 func (g *Guard) Pass(number uint64, do func() error) error {
 	lock, err := os.OpenFile(g.path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// Seen returns the highest token so far, or 0 if there is none. An unreadable file is an error, not 0.
+// Highest returns the highest token so far, or 0 if there is none. An unreadable file is an error, not 0.
 func (g *Guard) Seen() (uint64, error) {
 	text, err := os.ReadFile(g.path)
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -285,6 +285,7 @@
 	return n
 }
 
+// process is an entry of /proc.
 type process struct {
 	ppid, sid int
 	zombie    bool // it has ended and waits to be reaped
--- a/internal/lasting/lasting_test.go
+++ b/internal/lasting/lasting_test.go
@@ -68,7 +68,7 @@
 		why  string
 		fail string
 	}{
-		"an older copy put back": {func(t *testing.T, path string) string {
+		"an older copy restored": {func(t *testing.T, path string) string {
 			old := path + ".old"
 			copied(t, path, old)
 			d, _, err := Open[lease.Record](path, Votes)
--- a/internal/lease/copy.go
+++ b/internal/lease/copy.go
@@ -77,6 +77,7 @@
 // Digest adds a message in flight to a hash.
 func (m Message) Digest(h hash.Hash64) { digest{h, 0}.message(m) }
 
+// digest writes values to a hash, with times relative to now.
 type digest struct {
 	h   hash.Hash64
 	now float64
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -20,6 +20,7 @@
 	"slices"
 )
 
+// note is the note of a lease; see Note.
 type note struct {
 	epoch, nth uint64
 	at         float64
@@ -29,6 +30,7 @@
 // newer reports whether a was written after b.
 func (a note) newer(b note) bool { return a.epoch > b.epoch || a.epoch == b.epoch && a.nth > b.nth }
 
+// vote is the last grant of this voter for a lease, and what it knows of the lease's note.
 type vote struct {
 	epoch     uint64
 	holder    string
@@ -40,6 +42,7 @@
 	blank     float64 // notes written before this time may have been forgotten here
 }
 
+// round is one attempt of this member to acquire or renew a lease: a request to all voters and their replies.
 type round struct {
 	seq      uint64
 	sentAt   float64
@@ -50,11 +53,13 @@
 	finished bool
 }
 
+// grant is what a voter that granted a request knows of the lease's note.
 type grant struct {
 	note  note
 	blank float64
 }
 
+// lease is this member's state for one lease: its vote, and its part as candidate or holder.
 type lease struct {
 	Terms
 	vote
@@ -129,10 +134,10 @@
 }
 
 // Restore makes the votes durable: each is stored before it is sent, and the machine starts from the given
-// records. If sound is true the records are complete, and no grace period is needed. Restore must be called
+// records. If complete is true no record is missing, and no grace period is needed. Restore must be called
 // before the first Step. A lease may have several records, in the order in which they were stored.
-func (c *Core) Restore(records []Record, sound bool) {
-	c.durable, c.memoryComplete = true, sound
+func (c *Core) Restore(records []Record, complete bool) {
+	c.durable, c.memoryComplete = true, complete
 	for _, r := range records {
 		l := c.leases[r.Lease]
 		if r.Lease == "" {
@@ -142,7 +147,7 @@
 		if l == nil {
 			l = c.addLease(Terms{Name: r.Lease, Term: r.Term})
 		}
-		if !sound {
+		if !complete {
 			r.Epoch = max(r.Epoch, l.epoch)
 		}
 		l.epoch, l.holder, l.boot, l.term = r.Epoch, r.Holder, r.Boot, r.Term
--- a/internal/tasks/holds.go
+++ b/internal/tasks/holds.go
@@ -62,6 +62,7 @@
 
 const maxHolds = 256 // per member
 
+// hold is the state of one hold.
 type hold struct {
 	Hold
 	slot       int // the requested or held slot; -1 if there is none yet
--- a/internal/tasks/tasks.go
+++ b/internal/tasks/tasks.go
@@ -148,6 +148,7 @@
 	maxRecentAnswers = 64
 )
 
+// state is the state of a slot's occurrence.
 type state uint8
 
 const (
@@ -157,6 +158,7 @@
 	stopping       // the occurrence was cancelled and has not ended yet
 )
 
+// slot is this member's state for one slot of a task.
 type slot struct {
 	*Task
 	lease         string
@@ -383,6 +385,7 @@
 	c.writeLog(s)
 }
 
+// truncate limits a text to 100 bytes, so that a log fits into a note.
 func truncate(why string) string {
 	if len(why) > 100 {
 		why = strings.ToValidUTF8(why[:100], "")
--- a/internal/tasks/tasks_test.go
+++ b/internal/tasks/tasks_test.go
@@ -191,10 +191,10 @@
 	s.step(Order{ID: 4, Lease: name, Do: Release})
 	assert.Contains(t, s.out, Cancel{name, s.fence, "an operator has it handed on"})
 	assert.True(t, s.held)
-	s.step(Ended{Lease: name, Fence: s.fence, Code: 143, Why: "told to"})
+	s.step(Ended{Lease: name, Fence: s.fence, Code: 143, Why: "cancelled"})
 	assert.False(t, s.held)
 	log, _ := Read(s.note)
-	assert.Equal(t, [2]any{143, "told to"}, [2]any{log.Code, log.Why})
+	assert.Equal(t, [2]any{143, "cancelled"}, [2]any{log.Code, log.Why})
 	s.out = nil
 	s.step(lease.Noted{Lease: name, Fence: s.fence, Until: s.now + 1e6}, Order{ID: 5, Lease: name, Do: Trigger})
 	assert.Equal(t, []Output{Answer{5, false, "this broker does not hold that lease"}}, s.out)
