--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -121,7 +121,7 @@
 	Overdue int `json:"overdue"` // turns begun more than a tenth of a period late
 }
 
-// ItemStatus is the state of an item as this member sees it.
+// Item is the state of an item as this member sees it.
 type Item struct {
 	Name  string  `json:"name"`
 	Owner string  `json:"owner"`
--- a/internal/fence/fence_test.go
+++ b/internal/fence/fence_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestPass(t *testing.T) {
+func TestAccept(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "fence")
 	for _, c := range []struct {
 		number uint64
@@ -30,7 +30,7 @@
 
 // With many concurrent callers, the change under a token is finished before a higher one passes, and never made
 // after.
-func TestPassTogether(t *testing.T) {
+func TestConcurrentAccept(t *testing.T) {
 	g := At(filepath.Join(t.TempDir(), "fence"))
 	var mu sync.Mutex // the race detector does not know of the file lock
 	var done []uint64
--- a/internal/lasting/lasting_test.go
+++ b/internal/lasting/lasting_test.go
@@ -171,7 +171,7 @@
 	assert.Positive(t, at)
 }
 
-// Measures the cost of a vote with its fsync, alone and in batches.
+// BenchmarkStore measures the cost of a vote with its fsync, alone and in batches.
 func BenchmarkStore(b *testing.B) {
 	for _, n := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint(n, " at once"), func(b *testing.B) {
--- a/internal/tasks/tasks.go
+++ b/internal/tasks/tasks.go
@@ -191,7 +191,7 @@
 	outputs []Output
 }
 
-// SlotLease returns the name of the lease for a slot of a task.
+// Slot returns the name of the lease for a slot of a task.
 func Slot(task string, nth int) string { return fmt.Sprintf("task/%s/%d", task, nth) }
 
 // New returns a member's scheduler. The tasks are the same at all members.
