--- a/internal/register/explore_members_test.go
+++ b/internal/register/explore_members_test.go
@@ -9,26 +9,27 @@
 	"testing"
 )
 
-// Every state of a small world in which the members change: voters and learners, attempts that move seats, add some, settle
-// the move, change the value, and make sure of a value in doubt. A step delivers one message to one replica and its answer
-// back. A message that is never delivered, a replica that crashed, was wiped, left or is cut off, a core cut in two, and a
-// proposer that ended are all states after which some steps are not made; a value counts as chosen once majorities have
-// accepted it, whoever knows. Replicas of one part, such as all voters that stay, are alike: of states that differ in which of
-// them is which one is walked.
-
-// proposal is one attempt in waiting: it begins when it is first stepped.
-type proposal struct {
-	name  string
-	begin func(w *membersWorld) (sets Members, known Known, ready bool)
-	op    Change
+// This file explores every state of a small model in which the members change: rounds replace voters, add voters,
+// complete the change, change the value, or repair a value that one replica accepted but does not know to be chosen.
+// A step delivers one message to one replica and returns its answer. Lost messages, replicas that crashed, were wiped,
+// left or are unreachable, partitions and proposers that stopped need no steps of their own: they equal states after
+// which some steps are not taken. A value counts as chosen once majorities have accepted it, whether or not a proposer
+// knows. Replicas of one group, such as all voters that stay, are interchangeable: of the states that differ only in a
+// permutation within a group, one is explored.
+
+// attemptPlan describes a round that starts when it is first stepped.
+type attemptPlan struct {
+	name   string
+	begin  func(w *memberState) (sets Members, known Known, ready bool)
+	change Change
 }
 
-// layout is a world's replicas: those that vote at first and stay, those that give their seats up, and those that get one.
-type layout struct{ stay, give, join int }
+// layout counts the replicas of a model: voters that stay, voters that leave, and learners that become voters.
+type layout struct{ staying, leaving, joining int }
 
-func (l layout) total() int { return l.stay + l.give + l.join }
+func (l layout) total() int { return l.staying + l.leaving + l.joining }
 
-// replicas are named by their numbers, in the order of the parts.
+// replicas are named by their indices, in the order of the groups.
 func (l layout) replicas() (out []Replica) {
 	for i := range l.total() {
 		out = append(out, Replica{string(rune('0' + i)), 1})
@@ -36,29 +37,30 @@
 	return out
 }
 
-func (l layout) first() []Replica { return l.replicas()[:l.stay+l.give] }
+func (l layout) initialVoters() []Replica { return l.replicas()[:l.staying+l.leaving] }
 
-func (l layout) next() []Replica {
+func (l layout) nextVoters() []Replica {
 	all := l.replicas()
-	return append(slices.Clone(all[:l.stay]), all[l.stay+l.give:]...)
+	return append(slices.Clone(all[:l.staying]), all[l.staying+l.leaving:]...)
 }
 
-// observer is the machine whose value in doubt is settled: the last that gets a seat, if one does. No other replica is like it.
+// observer is the replica whose accepted value is repaired: the last one that becomes a voter, if one does. It is not
+// interchangeable with any other replica.
 func (l layout) observer() int { return l.total() - 1 }
 
-type membersWorld struct {
+type memberState struct {
 	layout
-	states   []State
-	accepted [][]Ballot // of each replica, all that it ever accepted
-	rounds   []*Round
-	asked    []uint16 // replicas that the attempt has asked in its present phase, a bit each
-	values   map[Ballot]Value
+	acceptorStates []State
+	accepted       [][]Ballot // by replica: all ballots that it ever accepted
+	rounds         []*Round
+	contacted      []uint16 // by round: bit set of the replicas contacted in its current phase
+	values         map[Ballot]Value
 }
 
-func (w *membersWorld) clone() *membersWorld {
-	c := *w // what is changed is copied then
-	c.states, c.accepted = slices.Clone(w.states), slices.Clone(w.accepted)
-	c.rounds, c.asked = slices.Clone(w.rounds), slices.Clone(w.asked)
+func (w *memberState) clone() *memberState {
+	c := *w // copies shallowly; a step copies what it changes
+	c.acceptorStates, c.accepted = slices.Clone(w.acceptorStates), slices.Clone(w.accepted)
+	c.rounds, c.contacted = slices.Clone(w.rounds), slices.Clone(w.contacted)
 	return &c
 }
 
@@ -69,15 +71,15 @@
 	return &c
 }
 
-// key names a state. Payloads tell values apart, and each has its own number of sets.
-func (w *membersWorld) key(seed maphash.Seed) [2]uint64 {
+// key identifies a state. Payloads distinguish values, and each value has its own number of sets.
+func (w *memberState) key(seed maphash.Seed) [2]uint64 {
 	b := make([]byte, 0, 256)
 	for i, r := range w.rounds {
 		if r == nil {
 			b = append(b, '-')
 			continue
 		}
-		b = append(b, byte(r.Phase), byte(r.best.Ballot.Counter), byte(len(r.sets)), byte(i))
+		b = append(b, byte(r.Phase), byte(r.highestAccepted.Ballot.Counter), byte(len(r.sets)), byte(i))
 		b = append(b, r.Value.Payload...)
 	}
 	parts := make([]string, w.total())
@@ -85,7 +87,7 @@
 		parts[i] = w.replicaKey(i)
 	}
 	from := 0
-	for _, alike := range []int{w.stay, w.give, w.join} {
+	for _, alike := range []int{w.staying, w.leaving, w.joining} {
 		slices.Sort(parts[from:min(from+alike, w.observer())])
 		from = min(from+alike, w.observer())
 	}
@@ -96,9 +98,9 @@
 	return [2]uint64{maphash.Bytes(seed, b), maphash.Bytes(seed, append(b, '2'))}
 }
 
-// replicaKey is all that a state says of one replica.
-func (w *membersWorld) replicaKey(i int) string {
-	s := w.states[i]
+// replicaKey is the part of key that describes one replica.
+func (w *memberState) replicaKey(i int) string {
+	s := w.acceptorStates[i]
 	b := make([]byte, 0, 32)
 	b = append(b, byte(s.Promised.Counter), byte(s.Accepted.Counter), byte(len(s.Value.Voted)))
 	b = append(b, s.Value.Payload...)
@@ -109,7 +111,7 @@
 	replica := w.replicas()[i]
 	for at, r := range w.rounds {
 		if r != nil {
-			b = append(b, bit(w.asked[at]&(1<<i) != 0)|2*bit(hasPromise(r, replica))|4*bit(r.accepted[replica]))
+			b = append(b, bit(w.contacted[at]&(1<<i) != 0)|2*bit(hasPromise(r, replica))|4*bit(r.accepted[replica]))
 		}
 	}
 	return string(b)
@@ -127,31 +129,31 @@
 	return 0
 }
 
-// step has attempt i ask replica at; nil: there is nothing to ask.
-func (w *membersWorld) step(proposals []proposal, i, at int) *membersWorld {
+// step lets round i send a message to replica at and receive the answer; nil: there is nothing to send.
+func (w *memberState) step(proposals []attemptPlan, i, at int) *memberState {
 	if w.rounds[i] == nil {
 		sets, known, ready := proposals[i].begin(w)
 		if !ready {
 			return nil
 		}
 		c := w.clone()
-		c.rounds[i] = NewRound(Ballot{Counter: uint64(2 + i), Proposer: uint64(1 + i)}, sets, known, proposals[i].op)
+		c.rounds[i] = NewRound(Ballot{Counter: uint64(2 + i), Proposer: uint64(1 + i)}, sets, known, proposals[i].change)
 		return c.step(proposals, i, at)
 	}
 	r := w.rounds[i]
-	if w.asked[i]&(1<<at) != 0 || r.Phase != Preparing && r.Phase != Accepting || !slices.Contains(r.replicas(), w.replicas()[at]) {
+	if w.contacted[i]&(1<<at) != 0 || r.Phase != Preparing && r.Phase != Accepting || !slices.Contains(r.allReplicas(), w.replicas()[at]) {
 		return nil
 	}
 	c := w.clone()
 	r = copyRound(r)
 	c.rounds[i] = r
-	c.asked[i] |= 1 << at
-	a := &Acceptor{Self: w.replicas()[at], State: c.states[at], Persist: func(State) error { return nil }}
+	c.contacted[i] |= 1 << at
+	a := &Acceptor{Self: w.replicas()[at], State: c.acceptorStates[at], Persist: func(State) error { return nil }}
 	if r.Phase == Preparing {
 		before := r.Phase
 		r.Promise(a.Prepare(Prepare{To: a.Self, Ballot: r.Ballot, Known: r.known.Ballot}))
 		if r.Phase != before {
-			c.asked[i] = 0
+			c.contacted[i] = 0
 			c.values = maps.Clone(w.values)
 			c.values[r.Ballot] = r.Value
 		}
@@ -162,31 +164,31 @@
 		}
 		r.Accepted(answer)
 	}
-	c.states[at] = a.State
+	c.acceptorStates[at] = a.State
 	return c
 }
 
-// chosen lists the values that majorities of the sets they were proposed to have accepted.
-func (w *membersWorld) chosen() (out []string) {
+// chosen returns the payloads of the values accepted by a majority of each set that they were proposed to.
+func (w *memberState) chosen() (out []string) {
 	for ballot, v := range w.values {
-		if majorities(v.Voted, func(r Replica) bool { return slices.Contains(w.accepted[r.Address[0]-'0'], ballot) }) {
+		if majorityOfEach(v.Voted, func(r Replica) bool { return slices.Contains(w.accepted[r.Address[0]-'0'], ballot) }) {
 			out = append(out, string(v.Payload))
 		}
 	}
 	return out
 }
 
-// explore walks all states. It returns how many there are and, if two chosen values disagree, these.
-func exploreMembers(l layout, proposals []proposal, most int) (states int, disagree []string) {
-	members := Single(l.first()...)
-	start := &membersWorld{layout: l, accepted: make([][]Ballot, l.total()), rounds: make([]*Round, len(proposals)), asked: make([]uint16, len(proposals)),
+// exploreMembers visits all states. It returns their number and, if two chosen values disagree, the chosen values.
+func exploreMembers(l layout, proposals []attemptPlan, most int) (states int, disagree []string) {
+	members := Single(l.initialVoters()...)
+	start := &memberState{layout: l, accepted: make([][]Ballot, l.total()), rounds: make([]*Round, len(proposals)), contacted: make([]uint16, len(proposals)),
 		values: map[Ballot]Value{}}
 	for range l.total() {
-		start.states = append(start.states, State{Promised: firstOne, Accepted: firstOne, Value: Value{Members: members}})
+		start.acceptorStates = append(start.acceptorStates, State{Promised: initialBallot, Accepted: initialBallot, Value: Value{Members: members}})
 	}
 	seed := maphash.MakeSeed()
 	seen := map[[2]uint64]bool{start.key(seed): true}
-	todo := []*membersWorld{start}
+	todo := []*memberState{start}
 	for len(todo) > 0 && len(seen) < most {
 		w := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
@@ -214,10 +216,11 @@
 	return len(seen), nil
 }
 
-var firstOne = Ballot{Counter: 1}
+var initialBallot = Ballot{Counter: 1}
 
-// marked has each value that a change makes carry its name, so that a line of values can be told from two.
-func marked(name string, change Change) Change {
+// appendName appends a name to the payload of each value that a change makes, so that the payload shows which changes
+// led to the value and diverging histories can be told apart.
+func appendName(name string, change Change) Change {
 	return func(present Value) (Value, bool, error) {
 		next, keep, err := change(present)
 		if next.Sequence > present.Sequence {
@@ -227,17 +230,17 @@
 	}
 }
 
-// fromTheFirst begins an attempt of a proposer that knows the first value alone.
-func fromTheFirst(w *membersWorld) (Members, Known, bool) {
-	members := Single(w.first()...)
-	return members, Known{Ballot: firstOne, Value: Value{Members: members}}, true
+// fromInitialValue starts a round of a proposer that knows only the initial value.
+func fromInitialValue(w *memberState) (Members, Known, bool) {
+	members := Single(w.initialVoters()...)
+	return members, Known{Ballot: initialBallot, Value: Value{Members: members}}, true
 }
 
-// inDoubt begins an attempt by what one machine accepted. loose: by the sets that the value names, not by those it was proposed
-// to.
-func inDoubt(loose bool) func(*membersWorld) (Members, Known, bool) {
-	return func(w *membersWorld) (Members, Known, bool) {
-		s := w.states[w.observer()]
+// repairFromOneReplica starts a round from the value that one replica accepted. With loose it uses the sets that the
+// value names instead of those that it was proposed to, which is wrong.
+func repairFromOneReplica(loose bool) func(*memberState) (Members, Known, bool) {
+	return func(w *memberState) (Members, Known, bool) {
+		s := w.acceptorStates[w.observer()]
 		sets := Members{Sets: s.Value.Quorums()}
 		if loose {
 			sets = s.Value.Members
@@ -246,78 +249,83 @@
 	}
 }
 
-func operation(present Value) (Value, bool, error) {
+func incrementChange(present Value) (Value, bool, error) {
 	return Value{Sequence: present.Sequence + 1, Members: present.Members, Payload: present.Payload}, true, nil
 }
 
-func keepPresent(present Value) (Value, bool, error) { return present, true, nil }
+func keepChange(present Value) (Value, bool, error) { return present, true, nil }
 
-// The attempts of the worlds.
+// The rounds that the models combine.
 
-func move(l layout) proposal {
-	return proposal{"seats move", fromTheFirst, marked("J", Reconfigure(Single(l.first()...), l.next()))}
+func startMove(l layout) attemptPlan {
+	return attemptPlan{"seats move", fromInitialValue, appendName("J", Reconfigure(Single(l.initialVoters()...), l.nextVoters()))}
 }
 
-func settle(layout) proposal {
-	return proposal{"the move is settled", fromTheFirst, marked("S", Settle)}
+func finishMove(layout) attemptPlan {
+	return attemptPlan{"the move is settled", fromInitialValue, appendName("S", Settle)}
 }
 
-func operate(layout) proposal {
-	return proposal{"operation", fromTheFirst, marked("x", operation)}
+func changeValue(layout) attemptPlan {
+	return attemptPlan{"operation", fromInitialValue, appendName("x", incrementChange)}
 }
 
-func doubt(layout) proposal { return proposal{"doubt", inDoubt(false), keepPresent} }
+func repairValue(layout) attemptPlan {
+	return attemptPlan{"doubt", repairFromOneReplica(false), keepChange}
+}
 
-func looseDoubt(layout) proposal { return proposal{"doubt", inDoubt(true), keepPresent} }
+func looseRepair(layout) attemptPlan {
+	return attemptPlan{"doubt", repairFromOneReplica(true), keepChange}
+}
 
-// mostStates bounds the walk through the worlds of three voters; all but one end by themselves. Larger worlds are walked so far by
-// each run, and further by command: go test ./internal/register -run TestEveryOrderOfAMove -explore.states 5000000.
+// maxStates bounds the exploration of the models with three voters; all but one finish below it. Each run explores
+// larger models up to maxLargeWorldStates; to go further, run
+// go test ./internal/register -run TestEveryOrderOfAMove -explore.states 5000000.
 var (
-	mostStates  = 2_000_000
-	largeStates = flag.Int("explore.states", 250_000, "states of the larger worlds of TestEveryOrderOfAMove that are walked")
+	maxStates           = 2_000_000
+	maxLargeWorldStates = flag.Int("explore.states", 250_000, "maximum number of states to explore in each larger model of TestEveryOrderOfAMove")
 )
 
 var (
-	oneSeatOfThree    = layout{stay: 2, give: 1, join: 1}
-	threeGrowToFive   = layout{stay: 3, join: 2}
-	fiveGrowToSeven   = layout{stay: 5, join: 2}
-	twoSeatsOfFive    = layout{stay: 3, give: 2, join: 2}
-	oneSeatOfFive     = layout{stay: 4, give: 1, join: 1}
-	fiveShrinkToThree = layout{stay: 3, give: 2}
+	oneSeatOfThree    = layout{staying: 2, leaving: 1, joining: 1}
+	threeGrowToFive   = layout{staying: 3, joining: 2}
+	fiveGrowToSeven   = layout{staying: 5, joining: 2}
+	twoSeatsOfFive    = layout{staying: 3, leaving: 2, joining: 2}
+	oneSeatOfFive     = layout{staying: 4, leaving: 1, joining: 1}
+	fiveShrinkToThree = layout{staying: 3, leaving: 2}
 )
 
 func TestEveryOrderOfAMove(t *testing.T) {
-	type attempts []func(layout) proposal
+	type attempts []func(layout) attemptPlan
 	for name, world := range map[string]struct {
 		layout   layout
 		attempts attempts
 	}{
-		"one seat of three: move, settle, operation":            {oneSeatOfThree, attempts{move, settle, operate}},
-		"one seat of three: move, settle, doubt":                {oneSeatOfThree, attempts{move, settle, doubt}},
-		"one seat of three: move, operation, doubt":             {oneSeatOfThree, attempts{move, operate, doubt}},
-		"one seat of three: move, settle, doubt and operation":  {oneSeatOfThree, attempts{move, settle, doubt, operate}},
-		"one seat of three: two moves and an operation by four": {oneSeatOfThree, attempts{move, move, operate}},
-		"three grow to five: move, settle, operation":           {threeGrowToFive, attempts{move, settle, operate}},
-		"three grow to five: move, operation, doubt":            {threeGrowToFive, attempts{move, operate, doubt}},
-		"five grow to seven: move, settle":                      {fiveGrowToSeven, attempts{move, settle}},
-		"five grow to seven: move, operation":                   {fiveGrowToSeven, attempts{move, operate}},
-		"five grow to seven: move, doubt":                       {fiveGrowToSeven, attempts{move, doubt}},
-		"two seats of five: move, settle":                       {twoSeatsOfFive, attempts{move, settle}},
-		"two seats of five: move, operation":                    {twoSeatsOfFive, attempts{move, operate}},
-		"two seats of five: move, doubt":                        {twoSeatsOfFive, attempts{move, doubt}},
-		"two seats of five: move, settle, operation":            {twoSeatsOfFive, attempts{move, settle, operate}},
-		"one seat of five: move, settle, operation":             {oneSeatOfFive, attempts{move, settle, operate}},
-		"five shrink to three: move, operation, doubt":          {fiveShrinkToThree, attempts{move, operate, doubt}},
+		"one seat of three: move, settle, operation":            {oneSeatOfThree, attempts{startMove, finishMove, changeValue}},
+		"one seat of three: move, settle, doubt":                {oneSeatOfThree, attempts{startMove, finishMove, repairValue}},
+		"one seat of three: move, operation, doubt":             {oneSeatOfThree, attempts{startMove, changeValue, repairValue}},
+		"one seat of three: move, settle, doubt and operation":  {oneSeatOfThree, attempts{startMove, finishMove, repairValue, changeValue}},
+		"one seat of three: two moves and an operation by four": {oneSeatOfThree, attempts{startMove, startMove, changeValue}},
+		"three grow to five: move, settle, operation":           {threeGrowToFive, attempts{startMove, finishMove, changeValue}},
+		"three grow to five: move, operation, doubt":            {threeGrowToFive, attempts{startMove, changeValue, repairValue}},
+		"five grow to seven: move, settle":                      {fiveGrowToSeven, attempts{startMove, finishMove}},
+		"five grow to seven: move, operation":                   {fiveGrowToSeven, attempts{startMove, changeValue}},
+		"five grow to seven: move, doubt":                       {fiveGrowToSeven, attempts{startMove, repairValue}},
+		"two seats of five: move, settle":                       {twoSeatsOfFive, attempts{startMove, finishMove}},
+		"two seats of five: move, operation":                    {twoSeatsOfFive, attempts{startMove, changeValue}},
+		"two seats of five: move, doubt":                        {twoSeatsOfFive, attempts{startMove, repairValue}},
+		"two seats of five: move, settle, operation":            {twoSeatsOfFive, attempts{startMove, finishMove, changeValue}},
+		"one seat of five: move, settle, operation":             {oneSeatOfFive, attempts{startMove, finishMove, changeValue}},
+		"five shrink to three: move, operation, doubt":          {fiveShrinkToThree, attempts{startMove, changeValue, repairValue}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var proposals []proposal
+			var proposals []attemptPlan
 			for _, attempt := range world.attempts {
 				proposals = append(proposals, attempt(world.layout))
 			}
-			most := mostStates
+			most := maxStates
 			if world.layout != oneSeatOfThree {
-				most = min(most, *largeStates)
+				most = min(most, *maxLargeWorldStates)
 			}
 			if testing.Short() {
 				most = 100_000
@@ -326,21 +334,22 @@
 			if disagree != nil {
 				t.Fatalf("two chosen values disagree: %v", disagree)
 			}
-			t.Logf("%d states, all of them: %t", states, states < most)
+			t.Logf("%d states explored, exhaustive: %t", states, states < most)
 		})
 	}
 }
 
-// TestLooseRepairIsFound plants a repair that makes sure of a value by the sets that it names alone.
+// TestLooseRepairIsFound checks that the exploration finds a repair that wrongly uses only the sets that a value names,
+// not all those that it was proposed to.
 func TestLooseRepairIsFound(t *testing.T) {
 	for name, l := range map[string]layout{"one seat of three": oneSeatOfThree, "three grow to five": threeGrowToFive} {
 		t.Run(name, func(t *testing.T) {
-			proposals := []proposal{move(l), settle(l), looseDoubt(l), operate(l)}
+			proposals := []attemptPlan{startMove(l), finishMove(l), looseRepair(l), changeValue(l)}
 			states, disagree := exploreMembers(l, proposals, 20_000_000)
 			if disagree == nil {
-				t.Fatalf("not found in %d states", states)
+				t.Fatalf("no disagreement found in %d states", states)
 			}
-			t.Logf("found in %d states: %v", states, disagree)
+			t.Logf("disagreement found after %d states: %v", states, disagree)
 		})
 	}
 }
--- a/internal/register/explore_test.go
+++ b/internal/register/explore_test.go
@@ -8,29 +8,29 @@
 	"testing"
 )
 
-// Every state of a small world: two attempts that race over three acceptors, each message delivered at any time or
-// never. Whatever the order, two chosen values agree.
+// This file explores every state of a small model: two competing rounds over three acceptors, each message delivered at
+// any time or never. In every order, the chosen values must agree.
 
-type explored struct {
+type raceState struct {
 	acceptors [3]State
 	rounds    [2]*Round
-	mail      []envelope
+	inFlight  []message
 	chosen    []string
 }
 
-func (e *explored) clone() *explored {
-	c := &explored{acceptors: e.acceptors, mail: slices.Clone(e.mail), chosen: slices.Clone(e.chosen)}
+func (e *raceState) clone() *raceState {
+	c := &raceState{acceptors: e.acceptors, inFlight: slices.Clone(e.inFlight), chosen: slices.Clone(e.chosen)}
 	for i, r := range e.rounds {
 		copied := *r
-		copied.sets, copied.asked = slices.Clone(r.sets), slices.Clone(r.asked)
+		copied.sets, copied.prepareSent = slices.Clone(r.sets), slices.Clone(r.prepareSent)
 		copied.promises, copied.accepted = maps.Clone(r.promises), maps.Clone(r.accepted)
 		c.rounds[i] = &copied
 	}
 	return c
 }
 
-// key names a state. The acceptors are alike, so states that differ by their order alone are one.
-func (e *explored) key() string {
+// key identifies a state. The acceptors are interchangeable, so states that differ only in their order have one key.
+func (e *raceState) key() string {
 	var columns [3]string
 	for i, a := range e.acceptors {
 		replica := Replica{Address: fmt.Sprint(i), Disk: 1}
@@ -40,9 +40,9 @@
 			column += fmt.Sprint(promised, r.accepted[replica])
 		}
 		var mail []string
-		for _, m := range e.mail {
+		for _, m := range e.inFlight {
 			if m.to == i {
-				mail = append(mail, fmt.Sprint(m.from, describe(m)))
+				mail = append(mail, fmt.Sprint(m.from, describeMessage(m)))
 			}
 		}
 		slices.Sort(mail)
@@ -51,12 +51,12 @@
 	slices.Sort(columns[:])
 	key := strings.Join(columns[:], ";")
 	for _, r := range e.rounds {
-		key += fmt.Sprintf("|%d %s %v", r.Phase, r.Value.Payload, r.best.Ballot)
+		key += fmt.Sprintf("|%d %s %v", r.Phase, r.Value.Payload, r.highestAccepted.Ballot)
 	}
 	return key
 }
 
-func describe(m envelope) string {
+func describeMessage(m message) string {
 	switch {
 	case m.prepare != nil:
 		return "p"
@@ -68,23 +68,23 @@
 	return fmt.Sprint("A", m.accepted.Refused)
 }
 
-// deliver hands over message number i.
-func (e *explored) deliver(i int) *explored {
+// deliver delivers the message at index i.
+func (e *raceState) deliver(i int) *raceState {
 	c := e.clone()
-	m := c.mail[i]
-	c.mail = slices.Delete(c.mail, i, i+1)
+	m := c.inFlight[i]
+	c.inFlight = slices.Delete(c.inFlight, i, i+1)
 	acceptor := &Acceptor{Self: Replica{Address: fmt.Sprint(m.to), Disk: 1}, State: c.acceptors[m.to], Persist: func(State) error { return nil }}
 	round := c.rounds[m.from]
 	switch {
 	case m.prepare != nil:
 		promise := acceptor.Prepare(*m.prepare)
-		c.mail = append(c.mail, envelope{from: m.from, to: m.to, promise: &promise})
+		c.inFlight = append(c.inFlight, message{from: m.from, to: m.to, promise: &promise})
 	case m.accept != nil:
 		accepted := acceptor.Accept(*m.accept)
-		c.mail = append(c.mail, envelope{from: m.from, to: m.to, accepted: &accepted})
+		c.inFlight = append(c.inFlight, message{from: m.from, to: m.to, accepted: &accepted})
 	case m.promise != nil:
 		for _, a := range round.Promise(*m.promise) {
-			c.mail = append(c.mail, envelope{from: m.from, to: place(a.To), accept: &a})
+			c.inFlight = append(c.inFlight, message{from: m.from, to: acceptorIndex(a.To), accept: &a})
 		}
 	default:
 		before := round.Phase
@@ -104,18 +104,18 @@
 	}
 	members := Single(replicas...)
 	first := State{Promised: Ballot{Counter: 1}, Accepted: Ballot{Counter: 1}, Value: Value{Members: members}}
-	start := &explored{acceptors: [3]State{first, first, first}}
+	start := &raceState{acceptors: [3]State{first, first, first}}
 	for i := range 2 {
 		change := func(present Value) (Value, bool, error) {
 			return Value{Sequence: present.Sequence + 1, Members: members, Payload: append(slices.Clone(present.Payload), byte('a'+i))}, true, nil
 		}
 		start.rounds[i] = NewRound(Ballot{Counter: 2, Proposer: uint64(i + 1)}, members, Known{Ballot: first.Accepted, Value: first.Value}, change)
 		for _, m := range start.rounds[i].Prepares() {
-			start.mail = append(start.mail, envelope{from: i, to: place(m.To), prepare: &m})
+			start.inFlight = append(start.inFlight, message{from: i, to: acceptorIndex(m.To), prepare: &m})
 		}
 	}
 	seen := map[string]bool{start.key(): true}
-	todo := []*explored{start}
+	todo := []*raceState{start}
 	both := false
 	for len(todo) > 0 {
 		e := todo[len(todo)-1]
@@ -128,7 +128,7 @@
 			}
 		}
 		both = both || len(e.chosen) == 2
-		for i := range e.mail {
+		for i := range e.inFlight {
 			next := e.deliver(i)
 			if key := next.key(); !seen[key] {
 				seen[key] = true
@@ -137,7 +137,7 @@
 		}
 	}
 	if !both {
-		t.Fatal("no order lets both attempts choose a value")
+		t.Fatal("no order lets both rounds choose a value")
 	}
-	t.Logf("%d states", len(seen))
+	t.Logf("%d states explored", len(seen))
 }
--- a/internal/register/histories_test.go
+++ b/internal/register/histories_test.go
@@ -10,19 +10,19 @@
 	"testing"
 )
 
-// A world of acceptors, proposers, disks and messages that are delayed, repeated and lost, driven by a seed. The value's
-// payload is the list of the operations that it was made by, so that any two chosen values must agree: one list begins
+// This file simulates acceptors, proposers and disks, with messages that are delayed, duplicated and lost, driven by a
+// seed. A value's payload lists the operations that led to it, so of any two chosen values one list must be a prefix of
 // the other.
 
-// plants are faults that a correct implementation does not have; each must be found.
-type plants struct {
-	skipSync      bool // an acceptor answers before its disk has what it answers by
-	voteAfterWipe bool // an acceptor that lost its disk answers under its old identity
-	reuseBallot   bool // a restarted proposer uses ballots again
-	dropDoubt     bool // a proposer passes over values that it is told of
+// injectedFaults are deviations from the protocol; the simulation must detect each of them.
+type injectedFaults struct {
+	skipSync       bool // an acceptor answers before its state is durable
+	voteAfterWipe  bool // an acceptor that lost its disk answers under its old identity
+	reuseBallot    bool // a restarted proposer reuses ballots
+	ignoreAccepted bool // a proposer ignores accepted values that promises report
 }
 
-type envelope struct {
+type message struct {
 	from, to int // proposer and acceptor
 	attempt  int
 	prepare  *Prepare
@@ -36,7 +36,7 @@
 	durable,
 	volatile State
 	full bool
-	lost bool // and goes on under its old identity, which is planted
+	lost bool // its content is lost but it keeps its identity: the fault voteAfterWipe
 }
 
 type proposer struct {
@@ -54,29 +54,30 @@
 	seq     uint64
 }
 
-type world struct {
-	rng       *rand.Rand
-	plant     plants
-	acceptors []*Acceptor
-	disks     []*disk
-	proposers []*proposer
-	mail      []envelope
-	chosen    []chosen
-	acked     []string
-	ops       int
-	losses    int
-	borne     int // disks that may be lost at one time
-	bad       error
+type simulation struct {
+	rng          *rand.Rand
+	faults       injectedFaults
+	acceptors    []*Acceptor
+	disks        []*disk
+	proposers    []*proposer
+	inFlight     []message
+	chosen       []chosen
+	acknowledged []string
+	ops          int
+	losses       int
+	maxLost      int // disks that may be lost at the same time
+	err          error
 }
 
-// firstIdentities are those of the disks that the world begins with; one that was lost has a higher one.
-const firstIdentities = 1000
+// firstReplacementID separates the identities of the initial disks, below it, from those of their replacements.
+const firstReplacementID = 1000
 
-// newWorld makes a world that bears the loss of one disk or of two. One that has lost its disk, or whose disk takes nothing, counts as
-// lost until it has joined again, or takes something: no more are lost at one time.
-func newWorld(seed uint64, plant plants) *world {
-	w := &world{rng: rand.New(rand.NewPCG(seed, 7)), plant: plant, borne: 1 + int(seed%2)}
-	voters := 2*w.borne + 1
+// newWorld returns a simulation that tolerates the loss of one or two disks, depending on the seed. An acceptor that
+// lost its disk counts as lost until it has rejoined, one whose disk is full until it can write again; no more than the
+// tolerated number are lost at the same time.
+func newWorld(seed uint64, faults injectedFaults) *simulation {
+	w := &simulation{rng: rand.New(rand.NewPCG(seed, 7)), faults: faults, maxLost: 1 + int(seed%2)}
+	voters := 2*w.maxLost + 1
 	acceptors := voters + 1 + int(seed/2%2)
 	var first []Replica
 	for i := range voters {
@@ -99,7 +100,7 @@
 	return w
 }
 
-func (w *world) startAcceptor(i int) {
+func (w *simulation) startAcceptor(i int) {
 	d := w.disks[i]
 	a := &Acceptor{Self: Replica{Address: fmt.Sprint(i), Disk: d.id}, State: d.durable}
 	d.volatile = d.durable
@@ -108,7 +109,7 @@
 			return errors.New("disk full")
 		}
 		d.volatile = s
-		if !w.plant.skipSync {
+		if !w.faults.skipSync {
 			d.durable = s
 		}
 		return nil
@@ -116,23 +117,24 @@
 	w.acceptors[i] = a
 }
 
-// crash ends an acceptor's process by a loss of power: its disk keeps what was synced.
-func (w *world) crash(i int) { w.startAcceptor(i) }
+// crash restarts an acceptor after a power failure: its disk keeps what was synced.
+func (w *simulation) crash(i int) { w.startAcceptor(i) }
 
-// lost counts the disks that count as lost: those that were and are no members again, and those that take nothing.
-func (w *world) lost() (n int) {
+// lostCount counts the lost disks: those that were wiped and are not members again, and those that are full.
+func (w *simulation) lostCount() (n int) {
 	for i, d := range w.disks {
 		if d.lost || d.full {
 			n++
-		} else if d.id >= firstIdentities && !w.joined(i) {
+		} else if d.id >= firstReplacementID && !w.joined(i) {
 			n++
 		}
 	}
 	return n
 }
 
-// joined says whether an acceptor's disk is a member by the newest value that is chosen, and holds a value.
-func (w *world) joined(i int) bool {
+// joined reports whether an acceptor's disk is a member in the newest chosen value and no change of the members is in
+// progress.
+func (w *simulation) joined(i int) bool {
 	if len(w.chosen) == 0 {
 		return false
 	}
@@ -140,23 +142,23 @@
 	return !newest.members.Moving() && newest.members.Has(Replica{Address: fmt.Sprint(i), Disk: w.disks[i].id})
 }
 
-// wipe has an acceptor lose its disk, unless as many are lost as may be. Its next disk has another identity.
-func (w *world) wipe(i int) {
-	if w.lost() >= w.borne && !w.disks[i].full {
+// wipe replaces an acceptor's disk by an empty one with a new identity, unless as many disks are lost as may be.
+func (w *simulation) wipe(i int) {
+	if w.lostCount() >= w.maxLost && !w.disks[i].full {
 		return
 	}
 	w.losses++
 	id := w.disks[i].id
-	if !w.plant.voteAfterWipe {
-		id = uint64(firstIdentities + w.losses*10 + i)
+	if !w.faults.voteAfterWipe {
+		id = uint64(firstReplacementID + w.losses*10 + i)
 	}
-	w.disks[i] = &disk{id: id, lost: w.plant.voteAfterWipe}
+	w.disks[i] = &disk{id: id, lost: w.faults.voteAfterWipe}
 	w.startAcceptor(i)
 }
 
-// fill has a disk take nothing, unless as many are lost as may be, or take something again.
-func (w *world) fill(i int) {
-	if d := w.disks[i]; d.full || w.lost() < w.borne {
+// toggleFull makes a disk full, unless as many disks are lost as may be, or frees space on a full one.
+func (w *simulation) toggleFull(i int) {
+	if d := w.disks[i]; d.full || w.lostCount() < w.maxLost {
 		d.full = !d.full
 	}
 }
@@ -170,12 +172,12 @@
 	return strings.Split(string(v.Payload), ",")
 }
 
-// propose begins an attempt of a proposer: an operation, or a change of the members.
-func (w *world) propose(i int) {
+// propose starts a round of a proposer: an operation or a change of the members.
+func (w *simulation) propose(i int) {
 	p := w.proposers[i]
 	p.attempt++
 	p.counter = max(p.counter, p.known.Ballot.Counter) + 1
-	if w.plant.reuseBallot {
+	if w.faults.reuseBallot {
 		p.counter = p.known.Ballot.Counter + 1
 	}
 	ballot := Ballot{Counter: p.counter, Proposer: p.number}
@@ -187,7 +189,7 @@
 	w.sendPrepares(i)
 }
 
-func (w *world) operation(p *proposer) Change {
+func (w *simulation) operation(p *proposer) Change {
 	w.ops++
 	op := fmt.Sprintf("op%d", w.ops)
 	p.op = op
@@ -196,9 +198,9 @@
 	}
 }
 
-// memberChange ends a change that is under way, takes in an acceptor that is no member in the place of a lost disk, or
-// takes one out.
-func (w *world) memberChange() Change {
+// memberChange returns a change that completes a change of the members in progress, else replaces lost disks by
+// acceptors that are not members, or removes a member.
+func (w *simulation) memberChange() Change {
 	var present []Replica
 	for i, d := range w.disks {
 		present = append(present, Replica{Address: fmt.Sprint(i), Disk: d.id})
@@ -218,7 +220,7 @@
 				set = append(set, r)
 			}
 		}
-		if slices.Equal(set, v.Members.Last()) && drop && len(set) > 2*w.borne+1 {
+		if slices.Equal(set, v.Members.Last()) && drop && len(set) > 2*w.maxLost+1 {
 			set = set[1:]
 		}
 		next.Members = v.Members.Joint(set)
@@ -226,27 +228,27 @@
 	}
 }
 
-func (w *world) sendPrepares(i int) {
+func (w *simulation) sendPrepares(i int) {
 	p := w.proposers[i]
 	for _, m := range p.round.Prepares() {
-		w.post(envelope{from: i, to: place(m.To), attempt: p.attempt, prepare: &m})
+		w.send(message{from: i, to: acceptorIndex(m.To), attempt: p.attempt, prepare: &m})
 	}
 }
 
-func place(r Replica) int {
+func acceptorIndex(r Replica) int {
 	var i int
 	fmt.Sscan(r.Address, &i)
 	return i
 }
 
-func (w *world) post(e envelope) { w.mail = append(w.mail, e) }
+func (w *simulation) send(e message) { w.inFlight = append(w.inFlight, e) }
 
-// deliver hands over one message, which may stay to be delivered again.
-func (w *world) deliver() {
-	at := w.rng.IntN(len(w.mail))
-	e := w.mail[at]
+// deliver delivers a random message, which may stay in flight to be delivered again.
+func (w *simulation) deliver() {
+	at := w.rng.IntN(len(w.inFlight))
+	e := w.inFlight[at]
 	if w.rng.IntN(12) > 0 {
-		w.mail = slices.Delete(w.mail, at, at+1)
+		w.inFlight = slices.Delete(w.inFlight, at, at+1)
 	}
 	if w.rng.IntN(15) == 0 {
 		return // lost
@@ -254,34 +256,34 @@
 	switch {
 	case e.prepare != nil:
 		promise := w.acceptors[e.to].Prepare(*e.prepare)
-		w.post(envelope{from: e.from, to: e.to, attempt: e.attempt, promise: &promise})
+		w.send(message{from: e.from, to: e.to, attempt: e.attempt, promise: &promise})
 	case e.accept != nil:
 		accepted := w.acceptors[e.to].Accept(*e.accept)
-		w.post(envelope{from: e.from, to: e.to, attempt: e.attempt, accepted: &accepted})
+		w.send(message{from: e.from, to: e.to, attempt: e.attempt, accepted: &accepted})
 	default:
-		w.answer(e)
+		w.handleAnswer(e)
 	}
 }
 
-func (w *world) answer(e envelope) {
+func (w *simulation) handleAnswer(e message) {
 	p := w.proposers[e.from]
 	if p.round == nil || p.attempt != e.attempt {
 		return
 	}
 	if e.promise != nil {
 		m := *e.promise
-		if w.plant.dropDoubt && m.Value != nil && w.rng.IntN(2) == 0 {
+		if w.faults.ignoreAccepted && m.Value != nil && w.rng.IntN(2) == 0 {
 			m.Value, m.Accepted = nil, p.known.Ballot
 		}
 		for _, a := range p.round.Promise(m) {
-			w.post(envelope{from: e.from, to: place(a.To), attempt: e.attempt, accept: &a})
+			w.send(message{from: e.from, to: acceptorIndex(a.To), attempt: e.attempt, accept: &a})
 		}
 		w.sendPrepares(e.from)
 	} else {
 		p.round.Accepted(*e.accepted)
 	}
 	if p.round.Phase == Chosen {
-		w.take(p)
+		w.recordChosen(p)
 	}
 	if p.round.Phase != Preparing && p.round.Phase != Accepting {
 		p.counter = max(p.counter, p.round.Highest.Counter)
@@ -289,8 +291,8 @@
 	}
 }
 
-// take records a chosen value and checks it against all others.
-func (w *world) take(p *proposer) {
+// recordChosen records a chosen value and checks it against all others.
+func (w *simulation) recordChosen(p *proposer) {
 	v := p.round.Value
 	c := chosen{ops: opsOf(v), members: v.Members, seq: v.Sequence}
 	for _, other := range w.chosen {
@@ -299,32 +301,32 @@
 			short, long = long, short
 		}
 		if !slices.Equal(short.ops, long.ops[:len(short.ops)]) {
-			w.bad = fmt.Errorf("two chosen values disagree: %v and %v", other.ops, c.ops)
+			w.err = fmt.Errorf("two chosen values disagree: %v and %v", other.ops, c.ops)
 			return
 		}
 		if other.seq == c.seq && !slices.Equal(other.ops, c.ops) {
-			w.bad = fmt.Errorf("two values under number %d: %v and %v", c.seq, other.ops, c.ops)
+			w.err = fmt.Errorf("two values with sequence %d: %v and %v", c.seq, other.ops, c.ops)
 			return
 		}
 	}
 	w.chosen = append(w.chosen, c)
-	w.acked = append(w.acked, c.ops...)
+	w.acknowledged = append(w.acknowledged, c.ops...)
 	p.known = Known{Ballot: p.round.Ballot, Value: v}
 }
 
-// run plays one history.
-func run(seed uint64, plant plants, steps int) *world {
+// runHistory runs one simulation.
+func runHistory(seed uint64, plant injectedFaults, steps int) *simulation {
 	w := newWorld(seed, plant)
 	for range steps {
 		w.step()
-		if w.bad != nil {
+		if w.err != nil {
 			return w
 		}
 	}
 	return w
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	switch n := w.rng.IntN(100); {
 	case n < 8:
 		i := w.rng.IntN(len(w.proposers))
@@ -336,25 +338,25 @@
 	case n < 11:
 		w.wipe(w.rng.IntN(len(w.acceptors)))
 	case n < 12:
-		w.fill(w.rng.IntN(len(w.acceptors)))
-	case n == 12 && w.rng.IntN(4) == 0: // all lose power at once
+		w.toggleFull(w.rng.IntN(len(w.acceptors)))
+	case n == 12 && w.rng.IntN(4) == 0: // all acceptors lose power at once
 		for i := range w.acceptors {
 			w.crash(i)
 		}
-	case n < 14: // a proposer's process ends; its next one has another number
+	case n < 14: // a proposer restarts with a new number
 		i := w.rng.IntN(len(w.proposers))
 		w.proposers[i].round = nil
-		if !w.plant.reuseBallot {
+		if !w.faults.reuseBallot {
 			w.proposers[i].number += 10
 		} else {
 			w.proposers[i].counter = 0
 		}
-	case n < 17 && len(w.chosen) > 0: // a chosen value is told to another proposer
+	case n < 17 && len(w.chosen) > 0: // another proposer learns a chosen value
 		a, b := w.proposers[w.rng.IntN(3)], w.proposers[w.rng.IntN(3)]
 		if a.known.Value.Sequence > b.known.Value.Sequence {
 			b.known = a.known
 		}
-	case len(w.mail) > 0:
+	case len(w.inFlight) > 0:
 		w.deliver()
 	}
 }
@@ -365,9 +367,9 @@
 		histories = 500
 	}
 	for seed := range histories {
-		w := run(uint64(seed), plants{}, 800)
-		if w.bad != nil {
-			t.Fatalf("seed %d: %v", seed, w.bad)
+		w := runHistory(uint64(seed), injectedFaults{}, 800)
+		if w.err != nil {
+			t.Fatalf("seed %d: %v", seed, w.err)
 		}
 		chosenValues += len(w.chosen)
 		losses += w.losses
@@ -378,29 +380,29 @@
 		}
 	}
 	if chosenValues < histories || moves < histories/10 {
-		t.Fatalf("the histories do too little: %d values and %d moves were chosen in %d", chosenValues, moves, histories)
+		t.Fatalf("too little coverage: %d values and %d moves were chosen in %d histories", chosenValues, moves, histories)
 	}
 	if losses < histories {
-		t.Fatalf("only %d disks are lost in %d histories", losses, histories)
+		t.Fatalf("too little coverage: only %d disks were lost in %d histories", losses, histories)
 	}
 	t.Logf("%d histories, %d values chosen, %d of them moves of the members, %d disks lost", histories, chosenValues, moves, losses)
 }
 
 func TestPlantedFaultsAreFound(t *testing.T) {
-	for name, plant := range map[string]plants{
-		"skip a sync":       {skipSync: true},
-		"vote after a wipe": {voteAfterWipe: true},
-		"reuse a ballot":    {reuseBallot: true},
-		"drop a doubt":      {dropDoubt: true},
+	for name, plant := range map[string]injectedFaults{
+		"skip a sync":            {skipSync: true},
+		"vote after a wipe":      {voteAfterWipe: true},
+		"reuse a ballot":         {reuseBallot: true},
+		"ignore accepted values": {ignoreAccepted: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(10000) {
-				if w := run(seed, plant, 500); w.bad != nil {
-					t.Logf("found by history %d: %v", seed, w.bad)
+				if w := runHistory(seed, plant, 500); w.err != nil {
+					t.Logf("detected by history %d: %v", seed, w.err)
 					return
 				}
 			}
-			t.Fatal("not found in 10000 histories")
+			t.Fatal("not detected in 10000 histories")
 		})
 	}
 }
--- a/internal/register/look_test.go
+++ b/internal/register/look_test.go
@@ -6,26 +6,26 @@
 	"testing"
 )
 
-// TestLookFindsWhatIsChosen has a look meet a newer value. It hands that out only where majorities of all sets that the value was
-// proposed to have accepted it, and nothing under a higher ballot was met.
+// TestLookFindsWhatIsChosen checks when a quorum read returns a newer value: only if a majority of each set that the
+// value was proposed to has accepted it and no higher ballot was seen.
 func TestLookFindsWhatIsChosen(t *testing.T) {
-	replicas, old := three()
+	replicas, old := fourReplicasThreeVoters()
 	moved := Single(replicas[0], replicas[1], replicas[3])
 	known := Known{Ballot: Ballot{Counter: 5}, Value: Value{Sequence: 2, Members: old}}
 	newer := Known{Ballot: Ballot{Counter: 7}, Value: Value{Sequence: 3, Members: old, Payload: []byte("newer")}}
 	byMove := Known{Ballot: Ballot{Counter: 7}, Value: Value{Sequence: 3, Members: moved, Voted: [][]Replica{old.Sets[0], moved.Sets[0]}}}
 	higher := Known{Ballot: Ballot{Counter: 9}, Value: Value{Sequence: 4, Members: old}}
 	for name, c := range map[string]struct {
-		answers []Known // of the replicas, in their order
+		answers []Known // accepted values, in the order of the replicas
 		want    bool
 	}{
-		"a minority has accepted it":          {[]Known{newer, known, known}, false},
-		"a majority has accepted it":          {[]Known{newer, known, newer}, true},
-		"one has accepted more since":         {[]Known{newer, higher, newer}, false},
-		"the old set alone has, after a move": {[]Known{known, byMove, byMove}, false},
-		"the new set alone has":               {[]Known{byMove, known, known, byMove}, false},
-		"both sets have, after a move":        {[]Known{byMove, byMove, known}, true},
-		"it is the known one":                 {[]Known{known, known, known}, false},
+		"a minority has accepted it":         {[]Known{newer, known, known}, false},
+		"a majority has accepted it":         {[]Known{newer, known, newer}, true},
+		"one has accepted a newer value":     {[]Known{newer, higher, newer}, false},
+		"after a move, only the old set has": {[]Known{known, byMove, byMove}, false},
+		"after a move, only the new set has": {[]Known{byMove, known, known, byMove}, false},
+		"after a move, both sets have":       {[]Known{byMove, byMove, known}, true},
+		"all have the known value":           {[]Known{known, known, known}, false},
 	} {
 		look := NewLook(known)
 		for at, accepted := range c.answers {
@@ -36,29 +36,29 @@
 			look.Take(promise)
 		}
 		if newest, chosen := look.Newest(); chosen != c.want || chosen && newest.Value.Sequence != 3 {
-			t.Errorf("%s: %t, value %d", name, chosen, newest.Value.Sequence)
+			t.Errorf("%s: chosen %t, value %d", name, chosen, newest.Value.Sequence)
 		}
 	}
 }
 
-// lookWorld is five acceptors, with attempts to change the value and looks at it whose messages come in any order, or never.
-type lookWorld struct {
-	rng       *rand.Rand
-	acceptors map[Replica]*Acceptor
-	mail      []func()
-	known     Known
-	chosen    map[uint64]string
-	newest    uint64 // sequence of the newest value that an attempt saw chosen
-	served    int
-	faults    []string
+// readSimulation has five acceptors, and rounds and quorum reads whose messages arrive in any order or never.
+type readSimulation struct {
+	rng        *rand.Rand
+	acceptors  map[Replica]*Acceptor
+	inFlight   []func()
+	known      Known
+	chosen     map[uint64]string
+	newest     uint64 // sequence of the newest value that a round saw chosen
+	served     int
+	violations []string
 }
 
-// TestLooksAtAnyTime has looks begin at any time beside attempts that overlap. What a look hands out is no older than what was
-// chosen before it began, and is what was chosen.
+// TestLooksAtAnyTime starts quorum reads at random times while rounds overlap. The value that a read returns must be
+// chosen, and no older than any value known to be chosen before the read started.
 func TestLooksAtAnyTime(t *testing.T) {
 	served := 0
 	for seed := range uint64(400) {
-		w := &lookWorld{rng: rand.New(rand.NewPCG(seed, 17)), acceptors: map[Replica]*Acceptor{}, chosen: map[uint64]string{}}
+		w := &readSimulation{rng: rand.New(rand.NewPCG(seed, 17)), acceptors: map[Replica]*Acceptor{}, chosen: map[uint64]string{}}
 		var replicas []Replica
 		for _, name := range []string{"a", "b", "c", "d", "e"} {
 			replicas = append(replicas, Replica{name, 1})
@@ -68,28 +68,28 @@
 			w.acceptors[r] = &Acceptor{Self: r, State: State{Promised: w.known.Ballot, Accepted: w.known.Ballot, Value: w.known.Value},
 				Persist: func(State) error { return nil }}
 		}
-		w.play()
+		w.run()
 		served += w.served
-		for _, f := range w.faults {
+		for _, f := range w.violations {
 			t.Errorf("seed %d: %s", seed, f)
 		}
 	}
 	if served < 400 {
-		t.Errorf("%d looks handed out something", served)
+		t.Errorf("only %d quorum reads returned a value", served)
 	}
 }
 
-func (w *lookWorld) play() {
+func (w *readSimulation) run() {
 	for step := range 400 {
 		switch {
 		case step%20 == 0:
-			w.attempt(Ballot{Counter: uint64(step + 2), Proposer: uint64(step)})
+			w.startAttempt(Ballot{Counter: uint64(step + 2), Proposer: uint64(step)})
 		case step%7 == 0:
-			w.look()
-		case len(w.mail) > 0:
-			at := w.rng.IntN(len(w.mail))
-			deliver := w.mail[at]
-			w.mail = append(w.mail[:at:at], w.mail[at+1:]...)
+			w.startRead()
+		case len(w.inFlight) > 0:
+			at := w.rng.IntN(len(w.inFlight))
+			deliver := w.inFlight[at]
+			w.inFlight = append(w.inFlight[:at:at], w.inFlight[at+1:]...)
 			if w.rng.IntN(10) > 0 {
 				deliver()
 			}
@@ -97,9 +97,9 @@
 	}
 }
 
-func (w *lookWorld) send(deliver func()) { w.mail = append(w.mail, deliver) }
+func (w *readSimulation) send(deliver func()) { w.inFlight = append(w.inFlight, deliver) }
 
-func (w *lookWorld) attempt(ballot Ballot) {
+func (w *readSimulation) startAttempt(ballot Ballot) {
 	r := NewRound(ballot, w.known.Value.Members, w.known, func(present Value) (Value, bool, error) {
 		return Value{Sequence: present.Sequence + 1, Members: present.Members, Payload: []byte(fmt.Sprint(ballot))}, true, nil
 	})
@@ -109,7 +109,7 @@
 			w.send(func() {
 				before := r.Phase
 				if r.Accepted(answer); r.Phase == Chosen && before != Chosen {
-					w.sawChosen(Known{ballot, r.Value})
+					w.recordChosen(Known{ballot, r.Value})
 				}
 			})
 		})
@@ -126,22 +126,22 @@
 	}
 }
 
-func (w *lookWorld) sawChosen(k Known) {
-	w.note(k.Value)
+func (w *readSimulation) recordChosen(k Known) {
+	w.recordValue(k.Value)
 	w.newest = max(w.newest, k.Value.Sequence)
 	if w.rng.IntN(3) == 0 && k.Value.Sequence > w.known.Value.Sequence {
-		w.known = k // others learn late
+		w.known = k // others learn the value late
 	}
 }
 
-func (w *lookWorld) note(v Value) {
+func (w *readSimulation) recordValue(v Value) {
 	if was, known := w.chosen[v.Sequence]; known && was != string(v.Payload) {
-		w.faults = append(w.faults, fmt.Sprintf("value %d is %s and %s", v.Sequence, was, v.Payload))
+		w.violations = append(w.violations, fmt.Sprintf("sequence %d has two values, %s and %s", v.Sequence, was, v.Payload))
 	}
 	w.chosen[v.Sequence] = string(v.Payload)
 }
 
-func (w *lookWorld) look() {
+func (w *readSimulation) startRead() {
 	look, known, newest, over := NewLook(w.known), w.known, w.newest, false
 	for _, m := range look.Inspections() {
 		w.send(func() {
@@ -155,12 +155,12 @@
 				if found, chosen := look.Newest(); chosen {
 					value = found.Value
 				} else if !look.Current() {
-					return // an attempt of its own is made
+					return // the caller would start a round
 				}
 				w.served++
-				w.note(value)
+				w.recordValue(value)
 				if value.Sequence < newest {
-					w.faults = append(w.faults, fmt.Sprintf("a look hands out value %d, value %d was chosen before it began", value.Sequence, newest))
+					w.violations = append(w.violations, fmt.Sprintf("a quorum read returned value %d, but value %d was chosen before it started", value.Sequence, newest))
 				}
 			})
 		})
--- a/internal/register/members.go
+++ b/internal/register/members.go
@@ -1,11 +1,11 @@
 package register
 
-// Unsettled says whether a change of the members is not complete: two sets are named, or the value in force was proposed
-// to a set that it no longer names. Until it is complete, an attempt needs majorities of the earlier set too.
+// Reconfiguring reports whether a change of the members is incomplete: the value names two sets, or it was proposed to
+// a set that it no longer names. Until the change is complete, each round also needs a majority of the earlier set.
 func (v Value) Unsettled() bool { return v.Members.Moving() || len(v.Quorums()) > len(v.Members.Sets) }
 
-// Settle makes the next value of a change of the members that is not complete: first one that names the new set alone,
-// then one that is proposed to this set alone.
+// CompleteReconfiguration is a Change that takes an incomplete change of the members one step further: the first step
+// names the new set alone, the second is proposed to that set alone.
 func Settle(present Value) (next Value, keep bool, err error) {
 	if !present.Unsettled() {
 		return present, true, nil
@@ -14,8 +14,8 @@
 	return next, true, nil
 }
 
-// Reconfigure makes a change that has the members move from one set to another. Where they are no longer that set, or a
-// change is under way, it leaves the value as it is.
+// Reconfigure returns a Change that starts moving the members from one set to another. It leaves the value unchanged
+// if the members are no longer the given set or another change of the members is in progress.
 func Reconfigure(from Members, next []Replica) Change {
 	return func(present Value) (Value, bool, error) {
 		if present.Unsettled() || !from.Equal(present.Members) {
--- a/internal/register/race_test.go
+++ b/internal/register/race_test.go
@@ -2,4 +2,4 @@
 
 package register
 
-func init() { mostStates = 60_000 } // the race detector makes a state ten times as dear; .ci/run explores without it
+func init() { maxStates = 60_000 } // the race detector makes each state ten times as slow; .ci/run explores without it
--- a/internal/register/register.go
+++ b/internal/register/register.go
@@ -1,14 +1,15 @@
-// Package register is a compare-and-swap register, replicated on machines with a disk. There is no log and no leader:
-// any broker changes the value in two quorum rounds, and each value is made from the one before it.
+// Package register provides a compare-and-swap register that is replicated on machines with a disk, in the manner of
+// CASPaxos. There is no log and no leader: any broker changes the value in two quorum rounds, and each value is
+// computed from its predecessor.
 //
-// The safety argument stands in docs/register.md. In short: ballots order the attempts and are never used twice; an
-// acceptor promises and accepts on its disk before it answers; an attempt reads from a majority of every member set
-// that the value in force may have been chosen by, carries on the value with the highest ballot, changed or not, and
-// has it accepted by majorities of the same sets and of the set that the new value names. The set of acceptors is a
-// part of the value; it changes through a value that names both sets. An acceptor that has lost its disk has another
-// identity, so no one takes its answers for those of the one that promised.
+// The safety argument is in docs/register.md. In short: ballots order the rounds and are never reused; an acceptor
+// persists a promise or an accepted value before it answers; a round reads from a majority of every member set that may
+// have chosen the current value, carries on the value with the highest ballot, changed or not, and has it accepted by
+// majorities of the same sets and of the set that the new value names. The set of acceptors is part of the value; it
+// changes through a value that names both sets (joint consensus). An acceptor that lost its disk gets a new identity,
+// so its answers are never mistaken for those of the acceptor that promised.
 //
-// The package has no I/O, clock or goroutine.
+// The package does no I/O, reads no clock and starts no goroutine.
 package register
 
 import (
@@ -16,53 +17,55 @@
 	"slices"
 )
 
-// Ballot orders attempts to change the register. Proposer is drawn anew at each start of a process.
+// Ballot orders the rounds that change the register. Proposer is drawn at random at each start of a process.
 type Ballot struct {
 	Counter  uint64
 	Proposer uint64
 }
 
-// Less says whether b comes before c.
+// Less reports whether b comes before c.
 func (b Ballot) Less(c Ballot) bool {
 	return b.Counter < c.Counter || b.Counter == c.Counter && b.Proposer < c.Proposer
 }
 
-// Replica names an acceptor: the machine's address and the identity of its disk, drawn when that was empty.
+// Replica identifies an acceptor: the machine's address and the identity of its disk, drawn at random when the disk was
+// empty.
 type Replica struct {
 	Address string
 	Disk    uint64
 }
 
-// Compare orders replicas.
+// Compare orders replicas by address, then by disk.
 func Compare(a, b Replica) int {
 	return cmp.Or(cmp.Compare(a.Address, b.Address), cmp.Compare(a.Disk, b.Disk))
 }
 
-// Members are the sets of replicas that hold the register: one, or two while it moves from the first to the second.
+// Members is the set of replicas that vote on the register, or two sets while the vote moves from the first to the
+// second.
 type Members struct {
 	Sets [][]Replica
 }
 
-// Single makes members of one set.
+// Single returns Members with one set.
 func Single(replicas ...Replica) Members {
 	set := slices.Clone(replicas)
 	slices.SortFunc(set, Compare)
 	return Members{Sets: [][]Replica{set}}
 }
 
-// Joint names the present set and the next one.
+// Joint returns Members with the current set and the next one.
 func (m Members) Joint(next []Replica) Members {
 	set := slices.Clone(next)
 	slices.SortFunc(set, Compare)
 	return Members{Sets: [][]Replica{m.Last(), set}}
 }
 
-// Equal says whether two members name the same sets.
+// Equal reports whether both Members have the same sets.
 func (m Members) Equal(other Members) bool {
 	return slices.EqualFunc(m.Sets, other.Sets, func(a, b []Replica) bool { return slices.Equal(a, b) })
 }
 
-// Addresses lists the machines of all sets.
+// Addresses returns the addresses of the machines in all sets, each once.
 func (m Members) Addresses() []string {
 	var out []string
 	for _, set := range m.Sets {
@@ -75,10 +78,10 @@
 	return out
 }
 
-// Majority says whether more than half of each set has a property; false where there is no set.
-func (m Members) Majority(has func(Replica) bool) bool { return majorities(m.Sets, has) }
+// Majority reports whether has is true for more than half of each set; false if there is no set.
+func (m Members) Majority(has func(Replica) bool) bool { return majorityOfEach(m.Sets, has) }
 
-// Last is the set that the register is in or moves to.
+// Last returns the set that votes, or the one that the register is moving to.
 func (m Members) Last() []Replica {
 	if len(m.Sets) == 0 {
 		return nil
@@ -86,23 +89,23 @@
 	return m.Sets[len(m.Sets)-1]
 }
 
-// Moving says whether a change of the set is under way.
+// Moving reports whether a change of the set is in progress.
 func (m Members) Moving() bool { return len(m.Sets) > 1 }
 
-// Has says whether a replica is in the set that holds from now on.
+// Has reports whether a replica is in the set that Last returns.
 func (m Members) Has(r Replica) bool { return slices.Contains(m.Last(), r) }
 
-// Value is what the register holds.
+// Value is a value of the register, including the replicas that vote on it.
 type Value struct {
-	Sequence uint64 // rises by one with each change
+	Sequence uint64 // increases by one with each change
 	Members  Members
 	Payload  []byte
-	// Voted are the sets that it was proposed to: it is chosen once majorities of all of them have accepted it. After a
-	// change of the members that is more than the sets it names.
+	// Voted lists the sets that the value was proposed to: it is chosen once a majority of each has accepted it. After a
+	// change of the members these are more than the sets that Members names.
 	Voted [][]Replica
 }
 
-// Quorums are the sets whose majorities have to accept the value for it to be chosen.
+// Quorums returns the sets of which a majority each must accept the value for it to be chosen.
 func (v Value) Quorums() [][]Replica {
 	if len(v.Voted) > 0 {
 		return v.Voted
@@ -110,33 +113,33 @@
 	return v.Members.Sets
 }
 
-// State is what an acceptor keeps on its disk.
+// State is what an acceptor persists.
 type State struct {
 	Promised Ballot
 	Accepted Ballot
 	Value    Value
 }
 
-// Prepare asks for the promise to accept nothing older than Ballot. The value is left out of the answer where the
-// acceptor's accepted ballot is Known.
+// Prepare asks an acceptor to promise not to accept a ballot below Ballot. The answer omits the value if the acceptor's
+// accepted ballot is Known.
 type Prepare struct {
 	To     Replica
 	Ballot Ballot
 	Known  Ballot
-	Probe  bool // asks only who answers here and what ballot it has accepted; binds nobody
+	Probe  bool // asks only for the replica's identity and accepted ballot; makes no promise
 }
 
-// Promise answers a Prepare. Refused: Promised is the newer ballot that stands in the way.
+// Promise answers a Prepare. If Refused is set, Promised is the higher ballot that the acceptor has promised already.
 type Promise struct {
 	From     Replica
 	Refused  bool
-	Foreign  bool // another disk answers at this address, or it cannot write
+	Foreign  bool // the disk at this address has another identity, or writing to it failed
 	Promised Ballot
 	Accepted Ballot
-	Value    *Value // nil: as known
+	Value    *Value // nil: the same as the one under Known
 }
 
-// Accept asks to take a value.
+// Accept asks an acceptor to accept a value.
 type Accept struct {
 	To     Replica
 	Ballot Ballot
@@ -151,14 +154,14 @@
 	Promised Ballot
 }
 
-// Acceptor decides what one replica answers. Persist is called before each answer that binds it.
+// Acceptor computes the answers of one replica. It calls Persist before each answer that commits it to something.
 type Acceptor struct {
 	Self    Replica
 	State   State
 	Persist func(State) error
 }
 
-// Prepare takes a Prepare.
+// Prepare handles a Prepare message.
 func (a *Acceptor) Prepare(m Prepare) Promise {
 	if m.Probe {
 		return Promise{From: a.Self, Foreign: m.To != a.Self, Accepted: a.State.Accepted}
@@ -166,7 +169,7 @@
 	if m.To != a.Self {
 		return Promise{From: a.Self, Foreign: true}
 	}
-	if m.Ballot == (Ballot{}) { // an inspection binds nobody
+	if m.Ballot == (Ballot{}) { // a quorum read needs no promise
 		return a.promise(m)
 	}
 	if m.Ballot.Less(a.State.Promised) {
@@ -192,8 +195,9 @@
 	return promise
 }
 
-// Learn takes a value that is known to be chosen, where the acceptor has nothing as new. It may do so whatever it has
-// promised: nothing else can be chosen under that ballot, and every later attempt carries the value on.
+// Learn stores a value that is known to be chosen, unless the acceptor has accepted the same or a higher ballot. This
+// is safe whatever the acceptor has promised: no other value can be chosen under that ballot, and every later round
+// carries the value on.
 func (a *Acceptor) Learn(known Known) error {
 	if !a.State.Accepted.Less(known.Ballot) {
 		return nil
@@ -209,7 +213,7 @@
 	return nil
 }
 
-// Accept takes an Accept.
+// Accept handles an Accept message.
 func (a *Acceptor) Accept(m Accept) Accepted {
 	if m.To != a.Self {
 		return Accepted{From: a.Self, Foreign: true}
--- a/internal/register/round.go
+++ b/internal/register/round.go
@@ -2,98 +2,98 @@
 
 import "slices"
 
-// Phase says where an attempt stands.
+// Phase is the progress of a round.
 type Phase int
 
 const (
 	Preparing Phase = iota + 1
 	Accepting
-	Chosen  // the value is chosen: it, or one made from it, is what every later attempt finds
-	Outrun  // a newer ballot stands in the way; try again above Highest
-	Refused // the change was refused by its maker; nothing was proposed
+	Chosen  // the value is chosen: every later round finds it or a value computed from it
+	Outrun  // an acceptor has promised a higher ballot; retry with a ballot above Highest
+	Refused // the Change returned an error; nothing was proposed
 )
 
-// Change makes the next value from the present one. It may be called once for each attempt. An error refuses the
-// change, which then leaves the present value as it is; keep also says that the present value is to be chosen as it
-// stands, so that the answer rests on what lasts.
+// Change computes the next value from the present one. It is called at most once per round. If it returns an error, the
+// present value does not change; if keep is true as well, the round still has the present value chosen, so that the
+// error rests on a value that a quorum has stored.
 type Change func(present Value) (next Value, keep bool, err error)
 
-// Known is a value that the proposer has, and the ballot that it was accepted under.
+// Known is a value that the proposer has, with the ballot under which it was accepted.
 type Known struct {
 	Ballot Ballot
 	Value  Value
 }
 
-// Round is one attempt to change the register.
+// Round is one attempt of a proposer to change the register under one ballot.
 type Round struct {
 	Phase   Phase
 	Ballot  Ballot
-	Highest Ballot // the highest ballot that was met
-	Value   Value  // when chosen
-	Err     error  // of the change, also when the present value was kept
-
-	known    Known
-	change   Change
-	sets     [][]Replica // majorities of all of them are needed
-	asked    []Replica
-	promises map[Replica]Known
-	accepted map[Replica]bool
-	best     Known
-	found    bool
+	Highest Ballot // the highest ballot seen
+	Value   Value  // the proposed value; valid once Accepting or Chosen
+	Err     error  // returned by the Change, also when the present value was kept
+
+	known           Known
+	change          Change
+	sets            [][]Replica // a majority of each is needed
+	prepareSent     []Replica
+	promises        map[Replica]Known
+	accepted        map[Replica]bool
+	highestAccepted Known
+	hasHighest      bool
 }
 
-// NewRound begins an attempt under a ballot that no other attempt uses. Members are those that the proposer knows of;
-// known is a value that it has already, which spares sending it again.
+// NewRound starts a round under a ballot that no other round uses. members are the latest that the proposer knows;
+// known is a value that it already has, which acceptors then need not send again.
 func NewRound(ballot Ballot, members Members, known Known, change Change) *Round {
 	return &Round{Phase: Preparing, Ballot: ballot, Highest: ballot, known: known, change: change,
 		sets: slices.Clone(members.Sets), promises: map[Replica]Known{}, accepted: map[Replica]bool{}}
 }
 
-// Prepares returns what is to be sent now in the first phase: to each replica once.
+// Prepares returns the messages of the first phase that have not been sent yet, one for each replica.
 func (r *Round) Prepares() []Prepare {
 	var out []Prepare
 	if r.Phase != Preparing {
 		return nil
 	}
-	for _, to := range r.replicas() {
-		if !slices.Contains(r.asked, to) {
-			r.asked = append(r.asked, to)
+	for _, to := range r.allReplicas() {
+		if !slices.Contains(r.prepareSent, to) {
+			r.prepareSent = append(r.prepareSent, to)
 			out = append(out, Prepare{To: to, Ballot: r.Ballot, Known: r.known.Ballot})
 		}
 	}
 	return out
 }
 
-// Promise takes an answer of the first phase. It returns the messages of the second once that begins; more Prepares
-// may be wanted after it.
+// Promise handles an answer of the first phase. It returns the messages of the second phase once that starts. The
+// caller then calls Prepares again: the answer may name further replicas to ask.
 func (r *Round) Promise(m Promise) []Accept {
 	if r.Phase != Preparing || m.Foreign {
 		return nil
 	}
 	if m.Refused {
-		r.outrun(m.Promised)
+		r.supersededBy(m.Promised)
 		return nil
 	}
 	if m.Promised != r.Ballot {
-		return nil // of another attempt
+		return nil // an answer to another round
 	}
 	value := r.known.Value
 	if m.Value != nil {
 		value = *m.Value
 	}
 	r.promises[m.From] = Known{Ballot: m.Accepted, Value: value}
-	if !r.found || r.best.Ballot.Less(m.Accepted) {
-		r.best, r.found = r.promises[m.From], true
-		r.need(value.Members)
+	if !r.hasHighest || r.highestAccepted.Ballot.Less(m.Accepted) {
+		r.highestAccepted, r.hasHighest = r.promises[m.From], true
+		r.addSets(value.Members)
 	}
-	if !r.majorities(func(replica Replica) bool { _, promised := r.promises[replica]; return promised }) {
+	if !r.majorityOfEach(func(replica Replica) bool { _, promised := r.promises[replica]; return promised }) {
 		return nil
 	}
 	return r.propose()
 }
 
-// need adds the sets of a value that may have been chosen: it was, or was not, by majorities of those.
-func (r *Round) need(m Members) {
+// addSets adds the member sets of a value that may have been chosen: only their majorities can tell whether it was.
+func (r *Round) addSets(m Members) {
 	for _, set := range m.Sets {
 		if !slices.ContainsFunc(r.sets, func(known []Replica) bool { return slices.Equal(known, set) }) {
 			r.sets = append(r.sets, set)
@@ -101,45 +101,45 @@
 	}
 }
 
-// propose begins the second phase with the value made from the one that has the highest ballot.
+// propose starts the second phase with the value computed from the one with the highest ballot.
 func (r *Round) propose() []Accept {
-	next, keep, err := r.change(r.best.Value)
+	next, keep, err := r.change(r.highestAccepted.Value)
 	if r.Err = err; err != nil {
 		if !keep {
 			r.Phase = Refused
 			return nil
 		}
-		next = r.best.Value
+		next = r.highestAccepted.Value
 	}
-	r.need(next.Members)
+	r.addSets(next.Members)
 	next.Voted = slices.Clone(r.sets)
 	r.Value, r.Phase = next, Accepting
 	var out []Accept
-	for _, to := range r.replicas() {
+	for _, to := range r.allReplicas() {
 		out = append(out, Accept{To: to, Ballot: r.Ballot, Value: next})
 	}
 	return out
 }
 
-// Accepted takes an answer of the second phase.
+// Accepted handles an answer of the second phase.
 func (r *Round) Accepted(m Accepted) {
 	if r.Phase != Accepting || m.Foreign {
 		return
 	}
 	if m.Refused {
-		r.outrun(m.Promised)
+		r.supersededBy(m.Promised)
 		return
 	}
 	if m.Promised != r.Ballot {
 		return
 	}
 	r.accepted[m.From] = true
-	if r.majorities(func(replica Replica) bool { return r.accepted[replica] }) {
+	if r.majorityOfEach(func(replica Replica) bool { return r.accepted[replica] }) {
 		r.Phase = Chosen
 	}
 }
 
-// Holders are the addresses of the replicas that have accepted the value.
+// Holders returns the addresses of the replicas that have accepted the value.
 func (r *Round) Holders() []string {
 	var out []string
 	for replica := range r.accepted {
@@ -150,7 +150,7 @@
 	return out
 }
 
-func (r *Round) outrun(by Ballot) {
+func (r *Round) supersededBy(by Ballot) {
 	if r.Highest.Less(by) {
 		r.Highest = by
 	}
@@ -159,10 +159,12 @@
 	}
 }
 
-// majorities says whether more than half of each set has answered.
-func (r *Round) majorities(answered func(Replica) bool) bool { return majorities(r.sets, answered) }
+// majorityOfEach reports whether more than half of each set of the round has answered.
+func (r *Round) majorityOfEach(answered func(Replica) bool) bool {
+	return majorityOfEach(r.sets, answered)
+}
 
-func majorities(sets [][]Replica, has func(Replica) bool) bool {
+func majorityOfEach(sets [][]Replica, has func(Replica) bool) bool {
 	for _, set := range sets {
 		n := 0
 		for _, replica := range set {
@@ -177,7 +179,7 @@
 	return len(sets) > 0
 }
 
-func (r *Round) replicas() []Replica {
+func (r *Round) allReplicas() []Replica {
 	var all []Replica
 	for _, set := range r.sets {
 		for _, replica := range set {
