--- a/internal/planted/control.go
+++ b/internal/planted/control.go
@@ -26,11 +26,11 @@
 // controlFaults are the rules of docs/control.md, each taken out.
 var controlFaults = []Fault{
 	{"control: an extra fourth voter", votersFile, "	needed := min(t.Seats(), staying+len(able))\n", "	needed := min(t.Seats()+1, staying+len(able))\n	if needed%2 == 0 {\n		return needed\n	}\n", "", ""},
-	{"control: no more voters than the losses need", votersFile, "fill(nil, met, odd(len(met)))", "fill(nil, met, odd(min(3, len(met))))", "odd(staying+settled)", "odd(needed+0*settled)"},
+	{"control: no more voters than the losses need", votersFile, "fillBySpread(nil, met, largestOdd(len(met)))", "fillBySpread(nil, met, largestOdd(min(3, len(met))))", "largestOdd(staying+settled)", "largestOdd(needed+0*settled)"},
 	{"control: a seat is added for a newcomer", votersFile, "return m.Settled })", "return m.Settled || true })", "", ""},
 	{"control: seats are taken from those that are cut off", votersFile, "return m.Departed })", "return m.Health == Silent })", "", ""},
 	{"control: leaves without handing over", votersFile, "return h >= Leaving", "return h > Leaving", "", ""},
-	{"control: no majority that holds the value", votersFile, "if same(set, present) || !holds(set) {", "if same(set, present) {", "", ""},
+	{"control: no majority that holds the value", votersFile, "if sameReplicas(set, present) || !hasHealthyMajority(set) {", "if sameReplicas(set, present) {", "", ""},
 	{"control: a drain heard of is acknowledged", registryFile, "e.confirmed >= e.State", "e.confirmed >= 0", "", ""},
 	{"control: an end acknowledged without a majority", operatorFile, "return t.Quorum && (t.All()", "return (t.All()", "", ""},
 	{"control: a read without contact", roundsFile, "question for the newest value\")\n		return register.Value{}, ErrNoQuorum", "question for the newest value\")\n		return known.Value, nil", "", ""},
--- a/internal/register/histories_test.go
+++ b/internal/register/histories_test.go
@@ -72,10 +72,10 @@
 // firstReplacementID separates the identities of the initial disks, below it, from those of their replacements.
 const firstReplacementID = 1000
 
-// newWorld returns a simulation that tolerates the loss of one or two disks, depending on the seed. An acceptor that
+// newSimulation returns a simulation that tolerates the loss of one or two disks, depending on the seed. An acceptor that
 // lost its disk counts as lost until it has rejoined, one whose disk is full until it can write again; no more than the
 // tolerated number are lost at the same time.
-func newWorld(seed uint64, faults injectedFaults) *simulation {
+func newSimulation(seed uint64, faults injectedFaults) *simulation {
 	w := &simulation{rng: rand.New(rand.NewPCG(seed, 7)), faults: faults, maxLost: 1 + int(seed%2)}
 	voters := 2*w.maxLost + 1
 	acceptors := voters + 1 + int(seed/2%2)
@@ -315,8 +315,8 @@
 }
 
 // runHistory runs one simulation.
-func runHistory(seed uint64, plant injectedFaults, steps int) *simulation {
-	w := newWorld(seed, plant)
+func runHistory(seed uint64, faults injectedFaults, steps int) *simulation {
+	w := newSimulation(seed, faults)
 	for range steps {
 		w.step()
 		if w.err != nil {
@@ -389,7 +389,7 @@
 }
 
 func TestPlantedFaultsAreFound(t *testing.T) {
-	for name, plant := range map[string]injectedFaults{
+	for name, faults := range map[string]injectedFaults{
 		"skip a sync":            {skipSync: true},
 		"vote after a wipe":      {voteAfterWipe: true},
 		"reuse a ballot":         {reuseBallot: true},
@@ -397,7 +397,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(10000) {
-				if w := runHistory(seed, plant, 500); w.err != nil {
+				if w := runHistory(seed, faults, 500); w.err != nil {
 					t.Logf("detected by history %d: %v", seed, w.err)
 					return
 				}
--- a/internal/voters/contacts.go
+++ b/internal/voters/contacts.go
@@ -8,49 +8,51 @@
 	"gullstair/internal/register"
 )
 
-// Contacts is what one voter has heard of the replicas that it asks again and again. One goroutine at a time may use it.
+// FailureDetector derives the health of the replicas that one voter probes periodically. It is not safe for concurrent
+// use.
 type Contacts struct {
-	catchUp   time.Duration
-	byAddress map[string]contact
-	newest    []noted // values that were learned to be chosen in the last lagAllowed, and one before
+	catchUp        time.Duration
+	byAddress      map[string]contact
+	recentlyChosen []chosenBallot // ballots of the values learned to be chosen in the last allowedLag, and the one before
 }
 
-// noted is when a value was learned to be chosen.
-type noted struct {
-	ballot register.Ballot
-	at     time.Time
+// chosenBallot is the ballot of a chosen value and the time at which it became known.
+type chosenBallot struct {
+	ballot    register.Ballot
+	learnedAt time.Time
 }
 
-// lagAllowed is how long a replica that keeps up may take for the newest value: in a quick succession of changes none has
-// each of them at once.
-const lagAllowed = time.Second
+// allowedLag is how long an up-to-date replica may take to receive the newest value: during a quick succession of
+// changes no replica has each of them at once.
+const allowedLag = time.Second
 
-// contact is what is known of the replica on one machine.
+// contact is the probe result of the replica on one machine.
 type contact struct {
-	replica     register.Replica // that answered last; zero: none did yet
-	accepted    register.Ballot  // of its value then
-	silentSince time.Time        // when the first question without an answer was put; zero: the newest was answered
-	wellSince   time.Time        // since when it has answered each question, and kept up; zero: it has not
+	replica      register.Replica // the one that answered last; zero: none has answered yet
+	accepted     register.Ballot  // its accepted ballot in that answer
+	silentSince  time.Time        // when the first of the unanswered probes was sent; zero: the last probe was answered
+	healthySince time.Time        // since when it has answered every probe and been up to date; zero: it is not
 }
 
-// NewContacts begins without any. catchUp is the time after which a newcomer is counted on.
+// NewFailureDetector returns a detector without any contacts. catchUp is the time after which a new replica is relied
+// on.
 func NewContacts(catchUp time.Duration) *Contacts {
 	return &Contacts{catchUp: catchUp, byAddress: map[string]contact{}}
 }
 
-// Answered notes what a replica answered.
+// RecordAnswer records that a replica answered a probe with its accepted ballot.
 func (c *Contacts) Answered(replica register.Replica, accepted register.Ballot, now time.Time) {
-	wellSince := c.byAddress[replica.Address].wellSince
-	if c.byAddress[replica.Address].replica != replica || !c.keepsUp(accepted) {
-		wellSince = time.Time{}
-	} else if wellSince.IsZero() {
-		wellSince = now
+	healthySince := c.byAddress[replica.Address].healthySince
+	if c.byAddress[replica.Address].replica != replica || !c.isUpToDate(accepted) {
+		healthySince = time.Time{}
+	} else if healthySince.IsZero() {
+		healthySince = now
 	}
-	c.byAddress[replica.Address] = contact{replica: replica, accepted: accepted, wellSince: wellSince}
+	c.byAddress[replica.Address] = contact{replica: replica, accepted: accepted, healthySince: healthySince}
 }
 
-// Missed notes that a question got no answer. One that was given up much later than after limit was put before the asker
-// stood still: that says nothing of the time in between.
+// RecordTimeout records that a probe got no answer. If it timed out much later than after limit, this process was paused
+// in between, and the silence counts only from now.
 func (c *Contacts) Missed(address string, put, now time.Time, limit time.Duration) {
 	known := c.byAddress[address]
 	if known.silentSince.IsZero() {
@@ -59,11 +61,11 @@
 			known.silentSince = now
 		}
 	}
-	known.wellSince = time.Time{}
+	known.healthySince = time.Time{}
 	c.byAddress[address] = known
 }
 
-// Quiet says whether some replica has not answered the newest question.
+// AnyTimedOut reports whether any replica left its last probe unanswered.
 func (c *Contacts) Quiet() bool {
 	for _, known := range c.byAddress {
 		if !known.silentSince.IsZero() {
@@ -73,27 +75,28 @@
 	return false
 }
 
-// Forget drops what was heard of machines other than these.
+// Forget drops the contacts for whose address others is true.
 func (c *Contacts) Forget(others func(address string) bool) {
 	maps.DeleteFunc(c.byAddress, func(address string, _ contact) bool { return others(address) })
 }
 
-// Newest notes the ballot of the newest value that is known to be chosen.
+// RecordChosen records the ballot of the newest value that is known to be chosen.
 func (c *Contacts) Newest(ballot register.Ballot, now time.Time) {
-	if n := len(c.newest); n == 0 || c.newest[n-1].ballot != ballot {
-		c.newest = append(c.newest, noted{ballot, now})
+	if n := len(c.recentlyChosen); n == 0 || c.recentlyChosen[n-1].ballot != ballot {
+		c.recentlyChosen = append(c.recentlyChosen, chosenBallot{ballot, now})
 	}
-	for len(c.newest) > 1 && now.Sub(c.newest[1].at) >= lagAllowed {
-		c.newest = slices.Delete(c.newest, 0, 1)
+	for len(c.recentlyChosen) > 1 && now.Sub(c.recentlyChosen[1].learnedAt) >= allowedLag {
+		c.recentlyChosen = slices.Delete(c.recentlyChosen, 0, 1)
 	}
 }
 
-// keepsUp says whether a replica with this accepted ballot has what was chosen, but for what is very new.
-func (c *Contacts) keepsUp(accepted register.Ballot) bool {
-	return accepted != (register.Ballot{}) && len(c.newest) > 0 && !accepted.Less(c.newest[0].ballot)
+// isUpToDate reports whether a replica with this accepted ballot has all chosen values but those learned within
+// allowedLag.
+func (c *Contacts) isUpToDate(accepted register.Ballot) bool {
+	return accepted != (register.Ballot{}) && len(c.recentlyChosen) > 0 && !accepted.Less(c.recentlyChosen[0].ballot)
 }
 
-// Health says how a replica stands to the values that were noted. leaving: its machine has said that it is about to end.
+// Health returns the health of a replica. leaving: its machine has announced that it shuts down.
 func (c *Contacts) Health(replica register.Replica, leaving bool, now time.Time) Health {
 	known := c.byAddress[replica.Address]
 	silent := !known.silentSince.IsZero()
@@ -107,19 +110,19 @@
 		return Leaving
 	case silent || unheard:
 		return Unknown
-	case !c.keepsUp(known.accepted):
+	case !c.isUpToDate(known.accepted):
 		return Lagging
 	}
 	return Healthy
 }
 
-// Settled says whether a replica has answered each question and kept up for SettledAfter.
+// Settled reports whether a replica has answered every probe and been up to date for SettledAfter.
 func (c *Contacts) Settled(replica register.Replica, now time.Time) bool {
 	known := c.byAddress[replica.Address]
-	return known.replica == replica && !known.wellSince.IsZero() && now.Sub(known.wellSince) > SettledAfter(c.catchUp)
+	return known.replica == replica && !known.healthySince.IsZero() && now.Sub(known.healthySince) > SettledAfter(c.catchUp)
 }
 
-// Departed says whether a replica's machine has been silent for DepartedAfter.
+// Departed reports whether a replica's machine has been silent for DepartedAfter.
 func (c *Contacts) Departed(replica register.Replica, now time.Time) bool {
 	known := c.byAddress[replica.Address]
 	return !known.silentSince.IsZero() && now.Sub(known.silentSince) > DepartedAfter(c.catchUp)
--- a/internal/voters/voters.go
+++ b/internal/voters/voters.go
@@ -1,13 +1,14 @@
-// Package voters decides which of the machines with a disk vote on the register's value, and which follow as learners.
+// Package voters decides which of the machines with a disk vote on the register's value and which are learners.
 //
-// All machines with a disk vote where they are odd in number, all but one where they are even: so more than half of them, cut off
-// from the rest, hold a majority of the voters whichever they are. There are 2f+1 voters at least for f losses at once, where there
-// are as many machines. The others are learners: they hold the newest value on their disk too, and take the seat of a voter that is
-// lost, lost its disk or leaves. Beyond 2f+1 a seat is added only for machines that have kept up for long, two at a time, and none
-// beside an open one, so a newcomer never makes the majority harder to reach. Seats are taken away, two at a time, when machines
-// have been silent for so long that nobody expects them back.
+// If the number of machines with a disk is odd, all of them vote; if it is even, all but one. Thus in a partition any
+// group of more than half of the machines holds a majority of the voters. For f simultaneous losses there are at least
+// 2f+1 voters, if there are as many machines. The other machines are learners: they also store the newest value, and
+// replace a voter that is lost, lost its disk or leaves. Beyond 2f+1, voters are added only for machines that have been
+// up to date for a long time, two at a time, and never while a lost voter awaits replacement, so a new machine never
+// makes a majority harder to reach. Voters are removed, two at a time, after machines have been silent for so long that
+// they are not expected back.
 //
-// The package has no I/O, clock or goroutine.
+// The package does no I/O, reads no clock and starts no goroutine.
 package voters
 
 import (
@@ -18,57 +19,58 @@
 	"gullstair/internal/register"
 )
 
-// Tolerance is what may be lost at one time while the register still answers.
+// Tolerance is the number of machines, zones and regions that may be lost at the same time while the register stays
+// available.
 type Tolerance struct {
 	Machines int
 	Zones    int
 	Regions  int
 }
 
-// lostShare is the part of the time after which a loss no longer counts that a silent voter is waited for: long enough
-// for a process that is started again at once, short enough that its successor has the seat within that time.
-const lostShare = 0.35
+// lostFraction is the fraction of the catch-up time for which a silent voter keeps its seat: long enough for a process
+// that restarts at once, short enough that its successor becomes a voter within the catch-up time.
+const lostFraction = 0.35
 
-// LostAfter is how long a voter may be silent before its seat goes to a learner. catchUp is the time after which a
-// newcomer is counted on.
+// LostAfter returns how long a voter may be silent before a learner replaces it. catchUp is the time after which a new
+// replica is relied on.
 func LostAfter(catchUp time.Duration) time.Duration {
-	return time.Duration(lostShare * float64(catchUp))
+	return time.Duration(lostFraction * float64(catchUp))
 }
 
 const (
-	settledTimes  = 3  // times the time after which a newcomer is counted on, it is given a seat of its own
-	departedTimes = 15 // times that, a silent voter is not expected back
+	settledMultiple  = 3  // multiples of catchUp after which a learner becomes an additional voter
+	departedMultiple = 15 // multiples of catchUp after which a silent voter is not expected back
 )
 
-// SettledAfter is how long a machine must have kept up before a seat is added for it beyond those that the losses need: longer than
-// a machine and its planned successor run side by side.
-func SettledAfter(catchUp time.Duration) time.Duration { return settledTimes * catchUp }
+// SettledAfter returns how long a machine must have been up to date before it becomes a voter beyond the minimum: longer
+// than a machine and its planned successor run side by side.
+func SettledAfter(catchUp time.Duration) time.Duration { return settledMultiple * catchUp }
 
-// DepartedAfter is how long a voter must have been silent before its seat may be taken away.
-func DepartedAfter(catchUp time.Duration) time.Duration { return departedTimes * catchUp }
+// DepartedAfter returns how long a voter must have been silent before it may be removed without replacement.
+func DepartedAfter(catchUp time.Duration) time.Duration { return departedMultiple * catchUp }
 
-// Seats is the least number of voters that bears the losses, where there are enough machines.
+// MinVoters returns the least number of voters that tolerates the losses, provided there are enough machines.
 func (t Tolerance) Seats() int { return 2*max(t.Machines, t.Zones, t.Regions, 1) + 1 }
 
-// Health is what is known of a machine's replica.
+// Health is the state of a machine's replica as its voter's probes show it.
 type Health int
 
 const (
-	Unknown  Health = iota // it was not asked yet
-	Healthy                // it answers, and keeps up with the values that are chosen
-	Lagging                // it answers, and lacks a value that others have had for a while
-	Leaving                // it has said that it is about to end
-	Silent                 // it has not answered for longer than is waited for a restart, or its disk takes nothing
-	Replaced               // another disk answers at its address
+	Unknown  Health = iota // no probe has settled its state yet
+	Healthy                // it answers and is up to date
+	Lagging                // it answers but lacks a value chosen more than allowedLag ago
+	Leaving                // it has announced that it shuts down
+	Silent                 // it has not answered for LostAfter, or its disk cannot be written
+	Replaced               // a disk with another identity answers at its address
 )
 
-// String names the health as the status page does.
+// String returns the name that the status page shows.
 func (h Health) String() string {
 	return [...]string{"unknown", "healthy", "lagging", "leaving", "silent", "replaced"}[h]
 }
 
-// gives says whether a voter in this health hands its seat on.
-func (h Health) gives() bool { return h >= Leaving }
+// yieldsSeat reports whether a voter in this state is to be replaced.
+func (h Health) yieldsSeat() bool { return h >= Leaving }
 
 // Machine is one machine with a disk.
 type Machine struct {
@@ -77,15 +79,15 @@
 	Region  string
 	Health  Health
 
-	Settled  bool // it has kept up for SettledAfter
+	Settled  bool // it has been up to date for SettledAfter
 	Departed bool // it has been silent for DepartedAfter
 }
 
-// turnSlot is the time that one voter has for a change before another tries: longer than an attempt takes.
-const turnSlot = time.Second
+// turnLength is the time that one voter has for a change before the next one tries: longer than a round takes.
+const turnLength = time.Second
 
-// Turn says whether it is this voter's turn to make a change that has been due for a time. The voters that are well take
-// turns in the order of their addresses, again and again, so that their attempts do not outrun each other.
+// IsTurn reports whether it is this voter's turn to propose a change that has been due for the given time. The healthy
+// voters take turns round robin in the order of their addresses, so that their ballots do not compete.
 func Turn(present []Machine, self register.Replica, due time.Duration) bool {
 	place, well := 0, 0
 	for _, m := range present {
@@ -96,39 +98,39 @@
 			well++
 		}
 	}
-	return well > 0 && int(due/turnSlot)%well == place
+	return well > 0 && int(due/turnLength)%well == place
 }
 
-// First chooses the first voters among the machines that have met.
+// Initial chooses the initial voters among the machines that have found each other.
 func First(met []Machine) []register.Replica {
-	return replicas(fill(nil, met, odd(len(met))))
+	return replicas(fillBySpread(nil, met, largestOdd(len(met))))
 }
 
-// Plan returns the set of voters that should follow the present one; due is false where the present one stays. learners
-// are the machines with a disk that do not vote.
+// Plan returns the next set of voters; due is false if the present set stays. learners are the machines with a disk that
+// do not vote.
 func Plan(present, learners []Machine, t Tolerance) (next []register.Replica, due bool) {
 	able := slices.DeleteFunc(slices.Clone(learners), func(m Machine) bool { return m.Health != Healthy })
-	set := keep(present, able, size(present, able, t))
-	if same(set, present) {
-		set = balance(present, able, t)
+	set := selectVoters(present, able, targetSize(present, able, t))
+	if sameReplicas(set, present) {
+		set = rebalance(present, able, t)
 	}
-	if same(set, present) || !holds(set) {
+	if sameReplicas(set, present) || !hasHealthyMajority(set) {
 		return nil, false
 	}
 	return replicas(set), true
 }
 
-// size is the number of voters that there should be. able are learners that keep up.
-func size(present, able []Machine, t Tolerance) int {
-	staying := count(present, func(m Machine) bool { return !m.Health.gives() })
+// targetSize returns the intended number of voters. able are the healthy learners.
+func targetSize(present, able []Machine, t Tolerance) int {
+	staying := count(present, func(m Machine) bool { return !m.Health.yieldsSeat() })
 	settled := count(able, func(m Machine) bool { return m.Settled })
 	departed := count(present, func(m Machine) bool { return m.Departed })
 	needed := min(t.Seats(), staying+len(able))
-	kept := odd(len(present)) - departed/2*2
+	kept := largestOdd(len(present)) - departed/2*2
 	if len(present) <= t.Seats() {
 		kept = len(present)
 	}
-	return max(odd(needed), odd(staying+settled), min(kept, len(present)), min(len(present), t.Seats()))
+	return max(largestOdd(needed), largestOdd(staying+settled), min(kept, len(present)), min(len(present), t.Seats()))
 }
 
 func count(set []Machine, counts func(Machine) bool) (n int) {
@@ -140,14 +142,15 @@
 	return n
 }
 
-// odd is the largest odd number that is not above n.
-func odd(n int) int { return n - (n+1)%2 }
+// largestOdd returns the largest odd number that is at most n.
+func largestOdd(n int) int { return n - (n+1)%2 }
 
-// keep chooses voters: present ones that stay, then learners, then, for want of these, present ones that should go.
-func keep(present, able []Machine, size int) []Machine {
+// selectVoters chooses the voters: first present ones that stay, then learners, then, if there are too few, present ones
+// that should be replaced.
+func selectVoters(present, able []Machine, size int) []Machine {
 	var stay, give []Machine
 	for _, m := range present {
-		if m.Health.gives() {
+		if m.Health.yieldsSeat() {
 			give = append(give, m)
 		} else {
 			stay = append(stay, m)
@@ -155,9 +158,9 @@
 	}
 	slices.SortStableFunc(stay, func(a, b Machine) int { return cmp.Compare(preference(a), preference(b)) })
 	if len(stay) > size {
-		return fill(nil, stay, size)
+		return fillBySpread(nil, stay, size)
 	}
-	set := fill(stay, sameAddress(able, give), size)
+	set := fillBySpread(stay, sameAddressFirst(able, give), size)
 	slices.SortStableFunc(give, func(a, b Machine) int { return cmp.Compare(a.Health, b.Health) })
 	for _, m := range give {
 		if len(set) < size && !hasAddress(set, m.Replica.Address) {
@@ -167,7 +170,7 @@
 	return set
 }
 
-// preference orders voters of which some are to go: those that hold the newest value first.
+// preference orders voters when some must be removed: those that hold the newest value are kept first.
 func preference(m Machine) int {
 	if m.Health == Healthy {
 		return 0
@@ -175,16 +178,17 @@
 	return 1
 }
 
-// sameAddress puts the learners first that stand where a voter has lost its disk: they are restarts, not newcomers.
-func sameAddress(able, give []Machine) []Machine {
+// sameAddressFirst sorts learners at the address of a voter to be replaced to the front: they are restarts of the same
+// machine.
+func sameAddressFirst(able, give []Machine) []Machine {
 	out := slices.Clone(able)
 	slices.SortStableFunc(out, func(a, b Machine) int {
-		return cmp.Compare(rank(give, a), rank(give, b))
+		return cmp.Compare(addressRank(give, a), addressRank(give, b))
 	})
 	return out
 }
 
-func rank(give []Machine, m Machine) int {
+func addressRank(give []Machine, m Machine) int {
 	if hasAddress(give, m.Replica.Address) {
 		return 0
 	}
@@ -195,14 +199,14 @@
 	return slices.ContainsFunc(set, func(m Machine) bool { return m.Replica.Address == address })
 }
 
-// fill adds machines to a set until it has size members, each time one from where the fewest are, the first in order
-// among those.
-func fill(set, from []Machine, size int) []Machine {
+// fillBySpread adds machines to a set until it has size members, each time the first machine whose region and zone have
+// the fewest members in the set.
+func fillBySpread(set, from []Machine, size int) []Machine {
 	set, from = slices.Clone(set), slices.Clone(from)
 	for len(set) < size && len(from) > 0 {
 		at := 0
 		for i := range from {
-			if crowd(set, from[i]) < crowd(set, from[at]) {
+			if colocated(set, from[i]) < colocated(set, from[at]) {
 				at = i
 			}
 		}
@@ -212,8 +216,9 @@
 	return set
 }
 
-// crowd counts the members of a set that would be lost with a machine's region or zone; the region weighs more.
-func crowd(set []Machine, m Machine) (n int) {
+// colocated scores how many members of a set share a machine's region or zone; one shared region outweighs all shared
+// zones.
+func colocated(set []Machine, m Machine) (n int) {
 	for _, other := range set {
 		if other.Region == m.Region {
 			n += len(set) + 1
@@ -225,16 +230,16 @@
 	return n
 }
 
-// balance swaps one voter for a learner where the losses of zones or regions would not be borne and then are.
-func balance(present, able []Machine, t Tolerance) []Machine {
-	if bears(present, t) {
+// rebalance replaces one voter by a learner if only that makes the set tolerate the loss of zones or regions.
+func rebalance(present, able []Machine, t Tolerance) []Machine {
+	if tolerates(present, t) {
 		return present
 	}
 	for at := range present {
 		for _, m := range able {
 			set := slices.Clone(present)
 			set[at] = m
-			if bears(set, t) {
+			if tolerates(set, t) {
 				return set
 			}
 		}
@@ -242,14 +247,14 @@
 	return present
 }
 
-// bears says whether a majority stays when the largest zones or regions are lost.
-func bears(set []Machine, t Tolerance) bool {
+// tolerates reports whether a majority remains after the loss of the zones or regions with the most members.
+func tolerates(set []Machine, t Tolerance) bool {
 	zone := func(m Machine) string { return m.Zone }
 	region := func(m Machine) string { return m.Region }
 	return len(set)-largest(set, zone, t.Zones) > len(set)/2 && len(set)-largest(set, region, t.Regions) > len(set)/2
 }
 
-// largest counts the members in the n places that hold the most of them.
+// largest counts the members in the n zones or regions with the most members.
 func largest(set []Machine, place func(Machine) string, n int) (lost int) {
 	counts := map[string]int{}
 	for _, m := range set {
@@ -266,8 +271,8 @@
 	return lost
 }
 
-// holds says whether a majority of a set answers and has the newest value on its disk.
-func holds(set []Machine) bool {
+// hasHealthyMajority reports whether a majority of a set answers and stores the newest value.
+func hasHealthyMajority(set []Machine) bool {
 	return 2*count(set, func(m Machine) bool { return m.Health == Healthy }) > len(set)
 }
 
@@ -280,4 +285,4 @@
 	return out
 }
 
-func same(a, b []Machine) bool { return slices.Equal(replicas(a), replicas(b)) }
+func sameReplicas(a, b []Machine) bool { return slices.Equal(replicas(a), replicas(b)) }
