--- a/internal/standing/standing.go
+++ b/internal/standing/standing.go
@@ -1,47 +1,47 @@
-// Package standing says what a broker may do for the control side in the state that it is in: which of its acts rest on a
-// majority of the voters that it reached after it was asked, which it may do alone, and which it may not do at all.
+// Package standing defines what a broker may do for the control plane in each of its states: which actions need the
+// confirmation of a majority of the voters, which the broker may take on its own, and which it must not take.
 //
-// The package has no I/O, clock or goroutine.
+// The package does no I/O, reads no clock and starts no goroutine.
 package standing
 
-// State is where a broker stands towards the register.
+// State is a broker's role with respect to the register.
 type State int
 
 const (
-	Starting State = iota // it does not know yet who votes
-	Diskless              // it holds no replica
-	Learner               // its replica holds what is chosen, and does not vote
+	Starting State = iota // it does not know the voters yet
+	Diskless              // it has no replica
+	Learner               // its replica stores chosen values but does not vote
 	Voter                 // its replica votes
-	Leaving               // it has been told to end
+	Leaving               // it is shutting down
 	states
 )
 
-// String names the state as the status page does.
+// String returns the name that the status page shows.
 func (s State) String() string {
 	return [...]string{"starting", "diskless", "learner", "voter", "leaving"}[s]
 }
 
-// Act is something that a broker does for others, or to them.
+// Action is an operation of a broker that affects others.
 type Act int
 
 const (
 	Vote           Act = iota // answer a proposer's messages under this disk's identity
-	ProposeVoters             // begin or complete a change of the voters
-	ReadNewest                // hand out the configuration as the newest
-	TakeOrder                 // confirm or refuse an order of the operator
-	ConfirmEnd                // acknowledge that an instance drains or has gone
+	ProposeVoters             // start or complete a change of the voters
+	ReadNewest                // return the configuration as the newest
+	TakeOrder                 // confirm or reject an order of the operator
+	ConfirmEnd                // acknowledge that an instance is draining or gone
 	OrderInstances            // order an instance, under a lease
-	RouteRequests             // send clients' requests by the configuration that is known here
+	RouteRequests             // route clients' requests by the configuration known locally
 	acts
 )
 
-// Condition is what an act rests on.
+// Requirement is the condition for an action.
 type Condition int
 
 const (
-	Never    Condition = iota // not in this state
-	Majority                  // a majority of the voters, reached after the question came
-	Alone                     // this broker's own knowledge
+	Never    Condition = iota // not allowed in this state
+	Majority                  // contact with a majority of the voters after the request arrived
+	Alone                     // this broker's own knowledge is enough
 )
 
 var table = [states][acts]Condition{
@@ -53,8 +53,8 @@
 	Leaving:  {Alone, Majority, Majority, Majority, Majority, Never, Alone},
 }
 
-// Needs says what an act rests on in this state.
+// Requires returns the condition for an action in this state.
 func (s State) Needs(a Act) Condition { return table[s][a] }
 
-// May says whether the act is possible in this state at all.
+// Allows reports whether the action is possible in this state at all.
 func (s State) May(a Act) bool { return s.Needs(a) != Never }
