--- a/internal/planted/control.go
+++ b/internal/planted/control.go
@@ -45,7 +45,7 @@
 	{"control: a retry on the same connection", poolFile, `if id == "" || !slices`, "if true || !slices", "", ""},
 	{"control: the folder of a new log not synced", slotsFile, "	if err := s.disk.Sync(); err != nil {\n		log.Close()", "	if err := error(nil); err != nil {\n		log.Close()", "", ""},
 	{"control: a slot rolled back", slotsFile, "newest > s.generation {", "newest > s.generation+1<<40 {", "", ""},
-	{"control: records behind a gap forgotten", slotsFile, "holdsRecord(rest) {", "false && holdsRecord(rest) {", "", ""},
+	{"control: records behind a gap forgotten", slotsFile, "containsRecord(rest) {", "false && containsRecord(rest) {", "", ""},
 	{"control: the sets proposed to not kept", attemptFile, "next.Voted = slices.Clone(r.sets)", "next.Voted = nil", "", ""},
 	{"control: the old set not asked to settle a move", attemptFile, "	next.Voted =", "	if !next.Members.Moving() {\n		r.sets = next.Members.Sets\n	}\n	next.Voted =", "", ""},
 	{"control: chosen by the set named alone", lookFile, "	round := Round{sets: l.value.Quorums()}\n", "	round := Round{sets: l.value.Members.Sets}\n", "", ""},
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -1,9 +1,9 @@
-// Package slots keeps a small state on a disk: two slots that are written in turn, with a short log of records between.
-// What Append and Checkpoint return without an error for is there after a loss of power; of what they return an error
-// for, all or nothing may be there.
+// Package slots stores a small state durably: checkpoints are written to two slots in turn, with a short log of records
+// after the latest checkpoint. Data for which Append or Checkpoint returned no error survives a power failure; data for
+// which they returned an error survives completely or not at all. All I/O goes through a journalfile.Disk.
 //
-// A loss of power leaves a torn record at the log's end at most, and a torn slot beside the one in use. Whatever else
-// cannot be read means that something acknowledged may be missing: Open then says ErrDamaged and gives nothing out.
+// A power failure leaves at most a torn record at the end of the log and a torn slot beside the current one. Any other
+// unreadable data means that acknowledged data may be missing: Open then returns ErrDamaged and no contents.
 package slots
 
 import (
@@ -20,40 +20,40 @@
 )
 
 const (
-	logLimit   = 256 << 10 // bytes; a longer log wants a checkpoint
-	headerSize = 8         // of a record: length and checksum
-	numberSize = 8         // generation at the head of a slot
-	mostRecord = 32 << 20
-	logPrefix  = "log-"
+	logLimit       = 256 << 10 // bytes; a longer log calls for a checkpoint
+	headerSize     = 8         // of a record: its length and checksum
+	generationSize = 8         // the generation at the start of a slot
+	maxRecordSize  = 32 << 20
+	logPrefix      = "log-"
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// ErrEmpty says that the disk holds no state.
+// ErrEmpty means that the disk holds no state.
 var ErrEmpty = errors.New("no state on the disk")
 
-// ErrDamaged says that the disk held a state of which something that was acknowledged may be missing.
+// ErrDamaged means that the disk held a state of which acknowledged data may be missing.
 var ErrDamaged = errors.New("the state on the disk is damaged")
 
-// Store is one state on one disk. One goroutine at a time may use it.
+// Store is one state on one disk. It is not safe for concurrent use.
 type Store struct {
-	disk       journalfile.Disk
-	generation uint64
-	log        journalfile.File
-	logSize    int64
-	broken     bool // the log's end is in doubt: only a checkpoint may follow
+	disk        journalfile.Disk
+	generation  uint64
+	log         journalfile.File
+	logSize     int64
+	logUnusable bool // the end of the log is uncertain: only a checkpoint may follow
 }
 
-// Contents are what a disk holds: the state of the newest slot and the records that were appended after it.
+// Contents is what a disk holds: the state in the newest slot and the records appended after it.
 type Contents struct {
 	State   []byte
 	Records [][]byte
 }
 
-// Open reads what is there. ErrEmpty: nothing is; ErrDamaged: what is there must not be relied on. After both the store
-// can be used, and a Checkpoint must be the first write.
+// Open reads the state on a disk. It returns ErrEmpty if there is none and ErrDamaged if it must not be relied on. After
+// either error the store can be used, and its first write must be a Checkpoint.
 func Open(disk journalfile.Disk) (*Store, Contents, error) {
-	s := &Store{disk: disk, broken: true}
+	s := &Store{disk: disk, logUnusable: true}
 	names, err := disk.List()
 	if err != nil {
 		return nil, Contents{}, errors.Wrap(err, "list the disk")
@@ -65,8 +65,8 @@
 			s.generation, contents.State, found = generation, state, true
 		}
 	}
-	if newest := newestLog(names); newest > s.generation {
-		s.generation = newest // a log is made after its slot is sure to last
+	if newest := newestLogGeneration(names); newest > s.generation {
+		s.generation = newest // a log is created only after its slot is durable
 		return s, Contents{}, ErrDamaged
 	}
 	if !found {
@@ -78,15 +78,15 @@
 			return s, Contents{}, errors.CombineErrors(ErrDamaged, err)
 		}
 		rest := []byte(nil)
-		if contents.Records, rest = records(text); holdsRecord(rest) {
+		if contents.Records, rest = parseRecords(text); containsRecord(rest) {
 			return s, Contents{}, ErrDamaged
 		}
 	}
 	return s, contents, nil
 }
 
-// newestLog is the highest generation that a log is named by; 0: there is none.
-func newestLog(names []string) (newest uint64) {
+// newestLogGeneration returns the highest generation in the name of a log; 0: there is no log.
+func newestLogGeneration(names []string) (newest uint64) {
 	for _, name := range names {
 		generation, err := strconv.ParseUint(strings.TrimPrefix(name, logPrefix), 16, 64)
 		if err == nil && strings.HasPrefix(name, logPrefix) {
@@ -107,17 +107,17 @@
 	if err != nil {
 		return 0, nil, false
 	}
-	all, _ := records(text)
-	if len(all) != 1 || len(all[0]) < numberSize {
+	all, _ := parseRecords(text)
+	if len(all) != 1 || len(all[0]) < generationSize {
 		return 0, nil, false
 	}
-	return binary.LittleEndian.Uint64(all[0]), all[0][numberSize:], true
+	return binary.LittleEndian.Uint64(all[0]), all[0][generationSize:], true
 }
 
-// records cuts a file into its records, up to the first that is not whole. rest begins with that one.
-func records(text []byte) (out [][]byte, rest []byte) {
+// parseRecords splits a file into its records, up to the first incomplete or corrupt one. rest starts with that one.
+func parseRecords(text []byte) (out [][]byte, rest []byte) {
 	for {
-		body, whole := record(text)
+		body, whole := parseRecord(text)
 		if !whole {
 			return out, text
 		}
@@ -126,62 +126,63 @@
 	}
 }
 
-// record reads the record that text begins with. None is empty: a part of a file that was never written reads as zeros.
-func record(text []byte) (body []byte, whole bool) {
+// parseRecord reads the record at the start of text. Empty records are invalid: a part of a file that was never written
+// reads as zeros.
+func parseRecord(text []byte) (body []byte, whole bool) {
 	if len(text) < headerSize {
 		return nil, false
 	}
 	length := binary.LittleEndian.Uint32(text)
-	if length == 0 || length > mostRecord || int(length) > len(text)-headerSize {
+	if length == 0 || length > maxRecordSize || int(length) > len(text)-headerSize {
 		return nil, false
 	}
 	body = text[headerSize : headerSize+int(length)]
 	return body, crc32.Checksum(body, castagnoli) == binary.LittleEndian.Uint32(text[4:])
 }
 
-// holdsRecord says whether a whole record stands somewhere in text. Records are written one at a time, so nothing follows
-// one that was torn.
-func holdsRecord(text []byte) bool {
+// containsRecord reports whether there is a valid record anywhere after the start of text. Records are written one at a
+// time, so no valid record follows a torn one.
+func containsRecord(text []byte) bool {
 	for at := 1; at < len(text); at++ {
-		if _, whole := record(text[at:]); whole {
+		if _, whole := parseRecord(text[at:]); whole {
 			return true
 		}
 	}
 	return false
 }
 
-func frame(body []byte) []byte {
+func encodeRecord(body []byte) []byte {
 	out := make([]byte, headerSize, headerSize+len(body))
 	binary.LittleEndian.PutUint32(out, uint32(len(body)))
 	binary.LittleEndian.PutUint32(out[4:], crc32.Checksum(body, castagnoli))
 	return append(out, body...)
 }
 
-// WantsCheckpoint says whether the next write should be a Checkpoint.
-func (s *Store) WantsCheckpoint() bool { return s.broken || s.log == nil || s.logSize > logLimit }
+// NeedsCheckpoint reports whether the next write should be a Checkpoint.
+func (s *Store) WantsCheckpoint() bool { return s.logUnusable || s.log == nil || s.logSize > logLimit }
 
-// Append adds a record behind the state.
+// Append durably appends a record to the log.
 func (s *Store) Append(record []byte) error {
-	if s.broken || s.log == nil {
-		return errors.New("the log's end is in doubt")
+	if s.logUnusable || s.log == nil {
+		return errors.New("the end of the log is uncertain; a checkpoint is needed first")
 	}
-	text := frame(record)
+	text := encodeRecord(record)
 	if _, err := s.log.Write(text); err != nil {
-		s.broken = true
+		s.logUnusable = true
 		return errors.Wrap(err, "append")
 	}
 	if err := s.log.Sync(); err != nil {
-		s.broken = true
+		s.logUnusable = true
 		return errors.Wrap(err, "sync the log")
 	}
 	s.logSize += int64(len(text))
 	return nil
 }
 
-// Checkpoint writes a whole state into the slot that does not hold the present one, and begins a new log.
+// Checkpoint writes a complete state to the slot that does not hold the current one, and starts a new log.
 func (s *Store) Checkpoint(state []byte) error {
 	next := s.generation + 1
-	s.broken = true
+	s.logUnusable = true
 	if err := s.writeSlot(next, state); err != nil {
 		return err
 	}
@@ -195,12 +196,12 @@
 	if err != nil {
 		return err
 	}
-	s.log, s.logSize, s.broken = log, 0, false
-	_ = s.disk.Remove(logName(old)) // one that stays is not read again
+	s.log, s.logSize, s.logUnusable = log, 0, false
+	_ = s.disk.Remove(logName(old)) // best effort: a log that stays is not read again
 	return nil
 }
 
-// createLog makes an empty log. Its name is sure to last before anything is acknowledged that stands in it.
+// createLog creates an empty log. Its directory entry is durable before any record in it is acknowledged.
 func (s *Store) createLog(generation uint64) (journalfile.File, error) {
 	log, err := s.disk.Create(logName(generation))
 	if err != nil {
@@ -228,7 +229,7 @@
 	}
 	defer file.Close()
 	body := binary.LittleEndian.AppendUint64(nil, generation)
-	if _, err := file.Write(frame(append(body, state...))); err != nil {
+	if _, err := file.Write(encodeRecord(append(body, state...))); err != nil {
 		return errors.Wrap(err, "write the slot")
 	}
 	if err := file.Sync(); err != nil {
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -12,76 +12,76 @@
 )
 
 var (
-	errPower = errors.New("the power is gone")
+	errPower = errors.New("power failure")
 	errFull  = errors.New("no space left")
 )
 
-// memory is a disk whose power can fail at any operation. What was synced lasts; of later writes each file keeps a part
-// that the seed draws; a created or removed name lasts with its folder's sync, or by chance: also the name of a file that
-// was itself synced.
-type memory struct {
-	rng     *rand.Rand
-	files   map[string]*content
-	entries map[string]*content // names as the last sync of the folder left them
-	left    int                 // operations until the power fails; below 0: it does not
-	full    bool
+// faultyDisk is an in-memory disk whose power can fail at any operation. Synced data survives; of later writes each file
+// keeps a random part. A created or removed name survives if the directory was synced, else at random, even if the file
+// itself was synced.
+type faultyDisk struct {
+	rng         *rand.Rand
+	files       map[string]*fileContent
+	syncedNames map[string]*fileContent // names as of the last sync of the directory
+	opsLeft     int                     // operations until the power fails; negative: it does not fail
+	full        bool
 }
 
-type content struct{ data, synced []byte }
+type fileContent struct{ data, synced []byte }
 
-func newMemory(seed uint64) *memory {
-	return &memory{rng: rand.New(rand.NewPCG(seed, 3)), files: map[string]*content{}, entries: map[string]*content{}, left: -1}
+func newFaultyDisk(seed uint64) *faultyDisk {
+	return &faultyDisk{rng: rand.New(rand.NewPCG(seed, 3)), files: map[string]*fileContent{}, syncedNames: map[string]*fileContent{}, opsLeft: -1}
 }
 
-func (m *memory) step() error {
-	if m.left == 0 {
+func (m *faultyDisk) countOp() error {
+	if m.opsLeft == 0 {
 		return errPower
 	}
-	if m.left > 0 {
-		m.left--
+	if m.opsLeft > 0 {
+		m.opsLeft--
 	}
 	return nil
 }
 
-// lose ends the power and returns the disk as it comes back.
-func (m *memory) lose() *memory {
-	after := &memory{rng: m.rng, files: map[string]*content{}, entries: map[string]*content{}, left: -1}
+// powerCycle returns the disk as it is after a power failure.
+func (m *faultyDisk) powerCycle() *faultyDisk {
+	after := &faultyDisk{rng: m.rng, files: map[string]*fileContent{}, syncedNames: map[string]*fileContent{}, opsLeft: -1}
 	names := map[string]bool{}
 	for name := range m.files {
 		names[name] = true
 	}
-	for name := range m.entries {
+	for name := range m.syncedNames {
 		names[name] = true
 	}
 	for name := range names {
 		file, now := m.files[name]
-		old, before := m.entries[name]
+		old, before := m.syncedNames[name]
 		if now && before && file == old {
-			after.files[name] = torn(m.rng, file)
+			after.files[name] = tornCopy(m.rng, file)
 			continue
 		}
 		if now && m.rng.IntN(2) == 0 {
-			after.files[name] = torn(m.rng, file)
+			after.files[name] = tornCopy(m.rng, file)
 		} else if before && m.rng.IntN(2) == 0 {
-			after.files[name] = torn(m.rng, old)
+			after.files[name] = tornCopy(m.rng, old)
 		}
 	}
 	for name, file := range after.files {
-		after.entries[name] = file
+		after.syncedNames[name] = file
 	}
 	return after
 }
 
-func torn(rng *rand.Rand, file *content) *content {
+func tornCopy(rng *rand.Rand, file *fileContent) *fileContent {
 	keep := len(file.synced) + rng.IntN(len(file.data)-len(file.synced)+1)
 	data := slices.Clone(file.data[:keep])
 	if keep > len(file.synced) && rng.IntN(3) == 0 {
 		data[keep-1] ^= 0xff
 	}
-	return &content{data: data, synced: slices.Clone(data)}
+	return &fileContent{data: data, synced: slices.Clone(data)}
 }
 
-func (m *memory) List() ([]string, error) {
+func (m *faultyDisk) List() ([]string, error) {
 	var names []string
 	for name := range m.files {
 		names = append(names, name)
@@ -90,50 +90,52 @@
 	return names, nil
 }
 
-func (m *memory) Read(name string) ([]byte, error) { return slices.Clone(m.files[name].data), nil }
+func (m *faultyDisk) Read(name string) ([]byte, error) { return slices.Clone(m.files[name].data), nil }
 
-func (m *memory) Create(name string) (journalfile.File, error) {
-	if err := m.step(); err != nil {
+func (m *faultyDisk) Create(name string) (journalfile.File, error) {
+	if err := m.countOp(); err != nil {
 		return nil, err
 	}
 	if m.files[name] != nil {
-		return nil, fmt.Errorf("%s is there", name)
+		return nil, fmt.Errorf("file %s exists", name)
 	}
-	file := &content{}
+	file := &fileContent{}
 	m.files[name] = file
 	return &handle{m, file}, nil
 }
 
-func (m *memory) Append(string, int64) (journalfile.File, error) { return nil, errors.New("not used") }
+func (m *faultyDisk) Append(string, int64) (journalfile.File, error) {
+	return nil, errors.New("not used")
+}
 
-func (m *memory) Rename(string, string) error { return errors.New("not used") }
+func (m *faultyDisk) Rename(string, string) error { return errors.New("not used") }
 
-func (m *memory) Remove(name string) error {
-	if err := m.step(); err != nil {
+func (m *faultyDisk) Remove(name string) error {
+	if err := m.countOp(); err != nil {
 		return err
 	}
 	delete(m.files, name)
 	return nil
 }
 
-func (m *memory) Sync() error {
-	if err := m.step(); err != nil {
+func (m *faultyDisk) Sync() error {
+	if err := m.countOp(); err != nil {
 		return err
 	}
-	m.entries = map[string]*content{}
+	m.syncedNames = map[string]*fileContent{}
 	for name, file := range m.files {
-		m.entries[name] = file
+		m.syncedNames[name] = file
 	}
 	return nil
 }
 
 type handle struct {
-	disk *memory
-	file *content
+	disk *faultyDisk
+	file *fileContent
 }
 
 func (h *handle) Write(b []byte) (int, error) {
-	if err := h.disk.step(); err != nil {
+	if err := h.disk.countOp(); err != nil {
 		n := h.disk.rng.IntN(len(b) + 1)
 		h.file.data = append(h.file.data, b[:n]...)
 		return n, err
@@ -148,7 +150,7 @@
 }
 
 func (h *handle) Sync() error {
-	if err := h.disk.step(); err != nil {
+	if err := h.disk.countOp(); err != nil {
 		return err
 	}
 	h.file.synced = slices.Clone(h.file.data)
@@ -157,8 +159,8 @@
 
 func (h *handle) Close() error { return nil }
 
-// write puts state number n on the disk: by a checkpoint where one is wanted, else by a record.
-func write(s *Store, n byte) error {
+// writeState writes state number n to the disk: as a checkpoint if one is needed, else as a record.
+func writeState(s *Store, n byte) error {
 	state := bytes.Repeat([]byte{n}, 40000)
 	if s.WantsCheckpoint() {
 		return s.Checkpoint(state)
@@ -166,76 +168,76 @@
 	return s.Append(state)
 }
 
-// newest is the number of the newest state in what was read.
-func newest(t *testing.T, c Contents) byte {
+// newestState returns the number of the newest state in the contents.
+func newestState(t *testing.T, c Contents) byte {
 	t.Helper()
 	last := c.State
 	if n := len(c.Records); n > 0 {
 		last = c.Records[n-1]
 	}
 	if len(last) != 40000 || bytes.Count(last, last[:1]) != len(last) {
-		t.Fatalf("a state of %d bytes is not one that was written", len(last))
+		t.Fatalf("read a state of %d bytes that was never written", len(last))
 	}
 	return last[0]
 }
 
-// TestPowerFailsAtEveryOperation writes states until the power fails at operation k, for every k, and reads back: the
-// newest state that was acknowledged, or one that was being written, is there.
+// TestPowerFailsAtEveryOperation writes states until the power fails at operation k, for every k, and reopens the store:
+// it must return the newest acknowledged state or the one that was being written.
 func TestPowerFailsAtEveryOperation(t *testing.T) {
 	const states = 20
 	for k := 0; ; k++ {
 		failed := false
 		for seed := range uint64(5) {
-			disk := newMemory(seed*1000 + uint64(k))
-			disk.left = k
+			disk := newFaultyDisk(seed*1000 + uint64(k))
+			disk.opsLeft = k
 			acknowledged := byte(0)
 			store, _, err := Open(disk)
 			if !errors.Is(err, ErrEmpty) {
 				t.Fatalf("an empty disk: %v", err)
 			}
 			for n := byte(1); n <= states; n++ {
-				if write(store, n) != nil {
+				if writeState(store, n) != nil {
 					failed = true
 					break
 				}
 				acknowledged = n
 			}
-			_, contents, err := Open(disk.lose())
+			_, contents, err := Open(disk.powerCycle())
 			if acknowledged == 0 && errors.Is(err, ErrEmpty) {
 				continue
 			}
 			if err != nil {
-				t.Fatalf("power fails at %d, seed %d: %v", k, seed, err)
+				t.Fatalf("power failure at operation %d, seed %d: %v", k, seed, err)
 			}
-			if got := newest(t, contents); got < acknowledged || got > acknowledged+1 {
-				t.Fatalf("power fails at %d, seed %d: state %d was acknowledged, %d is there", k, seed, acknowledged, got)
+			if got := newestState(t, contents); got < acknowledged || got > acknowledged+1 {
+				t.Fatalf("power failure at operation %d, seed %d: state %d was acknowledged, read %d", k, seed, acknowledged, got)
 			}
 		}
 		if !failed {
 			if k < 2*states {
-				t.Fatalf("only %d operations were made", k)
+				t.Fatalf("only %d operations were performed", k)
 			}
 			return
 		}
 	}
 }
 
-// TestPowerFailsAgainAndAgain goes on from what each loss of power left.
+// TestPowerFailsAgainAndAgain continues from the disk that each of several power failures left.
 func TestPowerFailsAgainAndAgain(t *testing.T) {
 	for seed := range uint64(400) {
-		disk := newMemory(seed)
+		disk := newFaultyDisk(seed)
 		store, _, _ := Open(disk)
 		acknowledged, attempted := byte(0), byte(0)
 		for range 6 {
-			disk.left = disk.rng.IntN(20)
+			disk.opsLeft = disk.rng.IntN(20)
 			for attempted < 250 {
 				attempted++
-				if write(store, attempted) != nil {
+				if writeState(store, attempted) != nil {
 					break
 				}
 				acknowledged = attempted
 			}
-			disk = disk.lose()
+			disk = disk.powerCycle()
 			var contents Contents
 			var err error
 			store, contents, err = Open(disk)
@@ -245,100 +247,100 @@
 			if err != nil {
 				t.Fatalf("seed %d: %v", seed, err)
 			}
-			got := newest(t, contents)
+			got := newestState(t, contents)
 			if got < acknowledged || got > attempted {
-				t.Fatalf("seed %d: state %d was acknowledged, %d is there", seed, acknowledged, got)
+				t.Fatalf("seed %d: state %d was acknowledged, read %d", seed, acknowledged, got)
 			}
 			acknowledged = got
 		}
 	}
 }
 
-// TestFullDisk writes on after the disk was full for a while; nothing that was acknowledged is lost.
+// TestFullDisk keeps writing while the disk is full at times; no acknowledged state may be lost.
 func TestFullDisk(t *testing.T) {
 	for seed := range uint64(200) {
-		disk := newMemory(seed)
+		disk := newFaultyDisk(seed)
 		store, _, _ := Open(disk)
 		acknowledged := byte(0)
 		for n := byte(1); n < 30; n++ {
 			disk.full = disk.rng.IntN(3) == 0
-			if write(store, n) == nil {
+			if writeState(store, n) == nil {
 				acknowledged = n
 			}
 		}
 		if acknowledged == 0 {
 			continue
 		}
-		_, contents, err := Open(disk.lose())
+		_, contents, err := Open(disk.powerCycle())
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
-		if got := newest(t, contents); got < acknowledged {
-			t.Fatalf("seed %d: state %d was acknowledged, %d is there", seed, acknowledged, got)
+		if got := newestState(t, contents); got < acknowledged {
+			t.Fatalf("seed %d: state %d was acknowledged, read %d", seed, acknowledged, got)
 		}
 	}
 }
 
-// filled is a disk with a slot and three records behind it.
-func filled(t *testing.T, states byte) *memory {
-	disk := newMemory(1)
+// filledDisk returns a disk to which the given number of states was written: a checkpoint first, then records.
+func filledDisk(t *testing.T, states byte) *faultyDisk {
+	disk := newFaultyDisk(1)
 	store, _, _ := Open(disk)
 	for n := byte(1); n <= states; n++ {
-		if err := write(store, n); err != nil {
+		if err := writeState(store, n); err != nil {
 			t.Fatal(err)
 		}
 	}
 	return disk
 }
 
-// TestDamageIsNotATornTail spoils what was acknowledged, by which something promised may be forgotten, and what a loss of
-// power leaves.
+// TestDamageIsNotATornTail checks that damage to acknowledged data is reported, since a promise may be lost with it, and
+// that the damage a power failure leaves is not.
 func TestDamageIsNotATornTail(t *testing.T) {
 	log := logName(1)
 	for name, c := range map[string]struct {
 		states byte
-		spoil  func(d *memory)
+		spoil  func(d *faultyDisk)
 		want   error
 	}{
-		"nothing":                    {4, func(*memory) {}, nil},
-		"the last record":            {4, func(d *memory) { d.files[log].data[len(d.files[log].data)-1] ^= 1 }, nil},
-		"half of the last record":    {4, func(d *memory) { d.files[log].data = d.files[log].data[:len(d.files[log].data)-20000] }, nil},
-		"zeros after the end":        {4, func(d *memory) { d.files[log].data = append(d.files[log].data, make([]byte, 5000)...) }, nil},
-		"a record before the last":   {4, func(d *memory) { d.files[log].data[45000] ^= 1 }, ErrDamaged},
-		"the first record's length":  {4, func(d *memory) { d.files[log].data[0] ^= 1 }, ErrDamaged},
-		"the slot":                   {4, func(d *memory) { d.files[slotName(1)].data[100] ^= 1 }, ErrDamaged},
-		"the slot is gone":           {4, func(d *memory) { delete(d.files, slotName(1)) }, ErrDamaged},
-		"the newer of two slots":     {12, func(d *memory) { d.files[slotName(2)].data[100] ^= 1 }, ErrDamaged},
-		"the newer of two is gone":   {12, func(d *memory) { delete(d.files, slotName(2)) }, ErrDamaged},
-		"the older of two slots":     {12, func(d *memory) { d.files[slotName(1)].data[100] ^= 1 }, nil},
-		"a torn slot before its log": {4, func(d *memory) { d.files[slotName(2)] = &content{data: []byte("torn")} }, nil},
+		"nothing":                    {4, func(*faultyDisk) {}, nil},
+		"the last record":            {4, func(d *faultyDisk) { d.files[log].data[len(d.files[log].data)-1] ^= 1 }, nil},
+		"half of the last record":    {4, func(d *faultyDisk) { d.files[log].data = d.files[log].data[:len(d.files[log].data)-20000] }, nil},
+		"zeros after the end":        {4, func(d *faultyDisk) { d.files[log].data = append(d.files[log].data, make([]byte, 5000)...) }, nil},
+		"a record before the last":   {4, func(d *faultyDisk) { d.files[log].data[45000] ^= 1 }, ErrDamaged},
+		"the first record's length":  {4, func(d *faultyDisk) { d.files[log].data[0] ^= 1 }, ErrDamaged},
+		"the slot":                   {4, func(d *faultyDisk) { d.files[slotName(1)].data[100] ^= 1 }, ErrDamaged},
+		"the slot is gone":           {4, func(d *faultyDisk) { delete(d.files, slotName(1)) }, ErrDamaged},
+		"the newer of two slots":     {12, func(d *faultyDisk) { d.files[slotName(2)].data[100] ^= 1 }, ErrDamaged},
+		"the newer of two is gone":   {12, func(d *faultyDisk) { delete(d.files, slotName(2)) }, ErrDamaged},
+		"the older of two slots":     {12, func(d *faultyDisk) { d.files[slotName(1)].data[100] ^= 1 }, nil},
+		"a torn slot before its log": {4, func(d *faultyDisk) { d.files[slotName(2)] = &fileContent{data: []byte("torn")} }, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			disk := filled(t, c.states)
+			disk := filledDisk(t, c.states)
 			c.spoil(disk)
 			store, contents, err := Open(disk)
 			if !errors.Is(err, c.want) || c.want == nil && err != nil {
 				t.Fatalf("%v, want %v", err, c.want)
 			}
 			if c.want != nil && (contents.State != nil || contents.Records != nil) {
-				t.Error("what is damaged is given out")
+				t.Error("a damaged store returned contents")
 			}
-			if err := write(store, 99); err != nil {
+			if err := writeState(store, 99); err != nil {
 				t.Fatal(err)
 			}
-			if _, contents, err := Open(disk); err != nil || newest(t, contents) != 99 {
-				t.Errorf("after it: %v", err)
+			if _, contents, err := Open(disk); err != nil || newestState(t, contents) != 99 {
+				t.Errorf("after a new checkpoint: %v", err)
 			}
 		})
 	}
 }
 
 func FuzzRecords(f *testing.F) {
-	f.Add(frame([]byte("one")))
-	f.Add(append(frame([]byte("one")), frame([]byte("two"))[:5]...))
+	f.Add(encodeRecord([]byte("one")))
+	f.Add(append(encodeRecord([]byte("one")), encodeRecord([]byte("two"))[:5]...))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		size := 0
-		whole, _ := records(text)
+		whole, _ := parseRecords(text)
 		for _, r := range whole {
 			size += headerSize + len(r)
 		}
