--- a/internal/journalfile/faulty_test.go
+++ b/internal/journalfile/faulty_test.go
@@ -12,34 +12,34 @@
 	errCrash = errors.New("the process has been killed")
 )
 
-// faulty is a disk in memory that knows what would last. It can be killed at any operation, cut writes short, run full,
-// fail an fsync, or say that it synced and not do so; after a crash what had not been made to last is there in part.
-type faulty struct {
-	files   map[string]*faultyFile // as processes see them
-	names   map[string]*faultyFile // as they would be after a crash
-	rnd     *rand.Rand
-	killAt  int // the operation at which everything ends; 0: never
-	ops     int
-	killed  bool
-	short   bool // the killed write leaves a part
-	full    bool // writes fail
-	noSync  bool // fsync fails
-	lieSync bool // fsync says that it did
-	lied    bool
+// faultyDisk is an in-memory disk that tracks which data is durable. It can be killed at any operation, shorten writes,
+// run full, fail an fsync, or skip one silently. After a crash, a part of the data that was not durable remains.
+type faultyDisk struct {
+	files        map[string]*faultyFile // as processes see them
+	durableNames map[string]*faultyFile // as they would be after a crash
+	rnd          *rand.Rand
+	killAt       int // the operation at which the process is killed; 0: never
+	ops          int
+	killed       bool
+	shortWrite   bool // the killed write leaves a part of its data
+	full         bool // writes fail
+	failSync     bool // fsync fails
+	skipSync     bool // fsync reports success without syncing
+	syncSkipped  bool
 }
 
 type faultyFile struct {
-	d       *faulty
-	data    []byte
-	lasting int // bytes that are sure to last
+	disk        *faultyDisk
+	data        []byte
+	durableSize int // number of durable bytes
 }
 
-func newFaulty(seed uint64) *faulty {
-	return &faulty{files: map[string]*faultyFile{}, names: map[string]*faultyFile{}, rnd: rand.New(rand.NewPCG(seed, 1))}
+func newFaultyDisk(seed uint64) *faultyDisk {
+	return &faultyDisk{files: map[string]*faultyFile{}, durableNames: map[string]*faultyFile{}, rnd: rand.New(rand.NewPCG(seed, 1))}
 }
 
-// op counts an operation; an error ends the process here.
-func (d *faulty) op() error {
+// countOp counts an operation; it returns an error once the process is killed.
+func (d *faultyDisk) countOp() error {
 	d.ops++
 	if d.killed || d.killAt > 0 && d.ops >= d.killAt {
 		d.killed = true
@@ -48,29 +48,29 @@
 	return nil
 }
 
-// crash leaves what a machine that lost its power would find. Of what was not made to last each file has a part, maybe
-// with a hole in it: blocks reach a disk in any order.
-func (d *faulty) crash() {
-	for _, name := range sortedNames(d.names) {
-		f := d.names[name]
-		left := len(f.data) - f.lasting
+// crash leaves the disk as a power failure would. Of its data that was not durable each file keeps a part, possibly with
+// a hole in it, since blocks reach a disk in any order.
+func (d *faultyDisk) crash() {
+	for _, name := range sortedNames(d.durableNames) {
+		f := d.durableNames[name]
+		left := len(f.data) - f.durableSize
 		if left > 0 {
 			keep := d.rnd.IntN(left + 1)
-			f.data = f.data[:f.lasting+keep]
+			f.data = f.data[:f.durableSize+keep]
 			if keep > 8 && d.rnd.IntN(2) == 0 {
-				at := f.lasting + d.rnd.IntN(keep-4)
+				at := f.durableSize + d.rnd.IntN(keep-4)
 				for i := at; i < min(at+4+d.rnd.IntN(64), len(f.data)); i++ {
 					f.data[i] = 0
 				}
 			}
 		}
-		f.lasting = len(f.data)
+		f.durableSize = len(f.data)
 	}
 	d.files = map[string]*faultyFile{}
-	for name, f := range d.names {
+	for name, f := range d.durableNames {
 		d.files[name] = f
 	}
-	d.killed, d.killAt, d.ops, d.full, d.noSync, d.lieSync = false, 0, 0, false, false, false
+	d.killed, d.killAt, d.ops, d.full, d.failSync, d.skipSync = false, 0, 0, false, false, false
 }
 
 func sortedNames(m map[string]*faultyFile) (all []string) {
@@ -81,85 +81,85 @@
 	return all
 }
 
-func (d *faulty) List() ([]string, error) { return sortedNames(d.files), d.op() }
+func (d *faultyDisk) List() ([]string, error) { return sortedNames(d.files), d.countOp() }
 
-func (d *faulty) Read(name string) ([]byte, error) {
+func (d *faultyDisk) Read(name string) ([]byte, error) {
 	f := d.files[name]
 	if f == nil {
 		return nil, fmt.Errorf("no file %s", name)
 	}
-	return slices.Clone(f.data), d.op()
+	return slices.Clone(f.data), d.countOp()
 }
 
-func (d *faulty) Create(name string) (File, error) {
-	if err := d.op(); err != nil {
+func (disk *faultyDisk) Create(name string) (File, error) {
+	if err := disk.countOp(); err != nil {
 		return nil, err
 	}
-	if d.files[name] != nil {
-		return nil, fmt.Errorf("%s is there", name)
+	if disk.files[name] != nil {
+		return nil, fmt.Errorf("file %s exists", name)
 	}
-	f := &faultyFile{d: d}
-	d.files[name] = f
-	if d.rnd.IntN(2) == 0 {
-		d.names[name] = f // a directory may be written before it is synced
+	f := &faultyFile{disk: disk}
+	disk.files[name] = f
+	if disk.rnd.IntN(2) == 0 {
+		disk.durableNames[name] = f // a directory may be written before it is synced
 	}
 	return f, nil
 }
 
-func (d *faulty) Append(name string, size int64) (File, error) {
-	if err := d.op(); err != nil {
+func (d *faultyDisk) Append(name string, size int64) (File, error) {
+	if err := d.countOp(); err != nil {
 		return nil, err
 	}
 	f := d.files[name]
 	f.data = f.data[:size]
-	f.lasting = min(f.lasting, int(size))
+	f.durableSize = min(f.durableSize, int(size))
 	return f, nil
 }
 
-func (d *faulty) Rename(from, to string) error {
-	if err := d.op(); err != nil {
+func (d *faultyDisk) Rename(from, to string) error {
+	if err := d.countOp(); err != nil {
 		return err
 	}
 	d.files[to] = d.files[from]
 	delete(d.files, from)
 	if d.rnd.IntN(2) == 0 {
-		d.names[to] = d.files[to]
-		delete(d.names, from)
+		d.durableNames[to] = d.files[to]
+		delete(d.durableNames, from)
 	}
 	return nil
 }
 
-func (d *faulty) Remove(name string) error {
-	if err := d.op(); err != nil {
+func (d *faultyDisk) Remove(name string) error {
+	if err := d.countOp(); err != nil {
 		return err
 	}
 	delete(d.files, name)
 	if d.rnd.IntN(2) == 0 {
-		delete(d.names, name)
+		delete(d.durableNames, name)
 	}
 	return nil
 }
 
-func (d *faulty) Sync() error {
-	if err := d.op(); err != nil {
+func (d *faultyDisk) Sync() error {
+	if err := d.countOp(); err != nil {
 		return err
 	}
-	d.names = map[string]*faultyFile{}
+	d.durableNames = map[string]*faultyFile{}
 	for name, f := range d.files {
-		d.names[name] = f
+		d.durableNames[name] = f
 	}
 	return nil
 }
 
 func (f *faultyFile) Write(p []byte) (int, error) {
-	if err := f.d.op(); err != nil {
-		if f.d.short {
-			f.data = append(f.data, p[:f.d.rnd.IntN(len(p)+1)]...)
+	if err := f.disk.countOp(); err != nil {
+		if f.disk.shortWrite {
+			f.data = append(f.data, p[:f.disk.rnd.IntN(len(p)+1)]...)
 		}
 		return 0, err
 	}
-	if f.d.full {
-		n := f.d.rnd.IntN(len(p))
+	if f.disk.full {
+		n := f.disk.rnd.IntN(len(p))
 		f.data = append(f.data, p[:n]...)
 		return n, errFull
 	}
@@ -168,18 +168,18 @@
 }
 
 func (f *faultyFile) Sync() error {
-	if err := f.d.op(); err != nil {
+	if err := f.disk.countOp(); err != nil {
 		return err
 	}
-	if f.d.noSync {
+	if f.disk.failSync {
 		return errors.New("input/output error")
 	}
-	if f.d.lieSync {
-		f.d.lied = true
+	if f.disk.skipSync {
+		f.disk.syncSkipped = true
 		return nil
 	}
-	f.lasting = len(f.data)
+	f.durableSize = len(f.data)
 	return nil
 }
 
-func (f *faultyFile) Close() error { return f.d.op() }
+func (f *faultyFile) Close() error { return f.disk.countOp() }
--- a/internal/journalfile/fs.go
+++ b/internal/journalfile/fs.go
@@ -10,31 +10,31 @@
 	"slices"
 )
 
-// Disk is what a log needs of a directory. Names are plain file names in it.
+// Disk is a directory as a log uses it. All names are plain file names.
 type Disk interface {
-	// List names the files that are there.
+	// List returns the names of the files in the directory, sorted.
 	List() ([]string, error)
 	// Read returns a file's whole content.
 	Read(name string) ([]byte, error)
-	// Create makes a file to be appended to; one that is there is an error.
+	// Create creates a file for appending; it is an error if the file exists.
 	Create(name string) (File, error)
-	// Append opens a file that is there, cut to a size, to be appended to.
+	// Append opens an existing file for appending, truncated to a size.
 	Append(name string, size int64) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// Sync makes what was created, renamed and removed last.
+	// Sync makes created, renamed and removed names durable.
 	Sync() error
 }
 
 // File is an open file of a Disk.
 type File interface {
 	io.Writer
-	// Sync makes what was written last. After an error nothing that was written since the last good Sync may be relied on.
+	// Sync makes written data durable. After an error, nothing written since the last successful Sync can be relied on.
 	Sync() error
 	Close() error
 }
 
-// Dir is a directory of the file system, made if it is not there.
+// Dir returns a directory of the file system as a Disk. It creates the directory if necessary.
 func Dir(path string) (Disk, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("log directory: %w", err)
@@ -44,7 +44,7 @@
 
 type dir string
 
-func (d dir) at(name string) string { return filepath.Join(string(d), name) }
+func (d dir) path(name string) string { return filepath.Join(string(d), name) }
 
 func (d dir) List() ([]string, error) {
 	entries, err := os.ReadDir(string(d))
@@ -61,14 +61,14 @@
 	return names, nil
 }
 
-func (d dir) Read(name string) ([]byte, error) { return os.ReadFile(d.at(name)) }
+func (d dir) Read(name string) ([]byte, error) { return os.ReadFile(d.path(name)) }
 
 func (d dir) Create(name string) (File, error) {
-	return os.OpenFile(d.at(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL|os.O_APPEND, 0o600)
+	return os.OpenFile(d.path(name), os.O_WRONLY|os.O_CREATE|os.O_EXCL|os.O_APPEND, 0o600)
 }
 
 func (d dir) Append(name string, size int64) (File, error) {
-	f, err := os.OpenFile(d.at(name), os.O_WRONLY|os.O_APPEND, 0o600)
+	f, err := os.OpenFile(d.path(name), os.O_WRONLY|os.O_APPEND, 0o600)
 	if err != nil {
 		return nil, err
 	}
@@ -79,10 +79,10 @@
 	return f, nil
 }
 
-func (d dir) Rename(from, to string) error { return os.Rename(d.at(from), d.at(to)) }
+func (d dir) Rename(from, to string) error { return os.Rename(d.path(from), d.path(to)) }
 
 func (d dir) Remove(name string) error {
-	if err := os.Remove(d.at(name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	if err := os.Remove(d.path(name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	return nil
--- a/internal/journalfile/journalfile.go
+++ b/internal/journalfile/journalfile.go
@@ -1,11 +1,12 @@
-// Package journalfile is a durable log of records in a directory: appended, made to last by fsync, read again after a
-// crash. What was acknowledged is there again, in order; what was torn is cut; what is spoilt in the middle is an error
-// that names the place, never skipped in silence. A snapshot takes the place of the records before it.
+// Package journalfile provides a durable, segmented log of records in a directory. Records are appended, synced, and read
+// back after a crash. All acknowledged records are recovered in order; a torn tail is truncated; corruption before the
+// tail is reported as an error with its location and never skipped silently. A snapshot replaces the records before it.
+// All I/O goes through a Disk; Dir provides one on the file system.
 //
-// Files are segments, log-SEQUENCE, of a head and framed records, and snapshots, snap-SEQUENCE. Numbers have their least
-// significant byte first. A head is the magic word, the owner's number, the sequence of the first record and a checksum.
-// A frame is the length, the record's sequence, its place among the records of one Append, and a CRC-32C over these and the
-// record.
+// The files are segments, log-SEQUENCE, each a header and framed records, and snapshots, snap-SEQUENCE. Integers are
+// little-endian. A header is the magic string, the owner's number, the sequence of the first record and a checksum. A
+// frame is the record's length, its sequence, its index within its Append, a CRC-32C over these fields and the record,
+// and the record.
 package journalfile
 
 import (
@@ -19,71 +20,73 @@
 )
 
 const (
-	magic     = "GSLOG\x00\x00\x01" // the last byte is the version
-	headSize  = 8 + 8 + 8 + 4
-	frameHead = 4 + 8 + 4 + 4
-	// RecordMost is the size of the largest record, in bytes.
-	RecordMost  = 16 << 20
-	segmentStd  = 8 << 20
-	segmentWord = "log-"
-	snapWord    = "snap-"
-	newWord     = ".new"
+	magic             = "GSLOG\x00\x00\x01" // the last byte is the version
+	segmentHeaderSize = 8 + 8 + 8 + 4
+	frameHeaderSize   = 4 + 8 + 4 + 4
+	// MaxRecordSize is the size of the largest record, in bytes.
+	MaxRecordSize      = 16 << 20
+	defaultSegmentSize = 8 << 20
+	segmentPrefix      = "log-"
+	snapshotPrefix     = "snap-"
+	temporarySuffix    = ".new"
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 var (
-	// ErrLost: a write or an fsync failed. Nothing more is taken; what the log holds is known only when it is opened again.
-	ErrLost = errors.New("the log failed and takes nothing more until it is opened again")
-	// ErrForeign: the directory belongs to another owner, or to another version.
-	ErrForeign = errors.New("the log is another's")
-	// ErrSpoilt: what is there can't be what was written, and it is no torn tail.
-	ErrSpoilt = errors.New("the log is spoilt")
+	// ErrFailed means that a write or an fsync failed. The log accepts no more records; only reopening it shows which
+	// records it holds.
+	ErrFailed = errors.New("the log failed and accepts no more records until it is reopened")
+	// ErrWrongOwner means that the directory belongs to another owner or has another format version.
+	ErrWrongOwner = errors.New("the log belongs to another owner or has another version")
+	// ErrCorrupt means that the files are not what was written, and that a torn tail does not explain it.
+	ErrCorrupt = errors.New("the log is corrupt")
 )
 
-// SpoiltError names the place of what is spoilt.
-type SpoiltError struct {
+// CorruptError is an ErrCorrupt with the location of the corruption.
+type CorruptError struct {
 	File   string
 	Offset int64
-	Why    string
+	Reason string
 }
 
-func (e *SpoiltError) Error() string {
-	return fmt.Sprintf("%v: %s at byte %d: %s", ErrSpoilt, e.File, e.Offset, e.Why)
+func (e *CorruptError) Error() string {
+	return fmt.Sprintf("%v: %s at byte %d: %s", ErrCorrupt, e.File, e.Offset, e.Reason)
 }
 
-// Unwrap makes it an ErrSpoilt.
-func (e *SpoiltError) Unwrap() error { return ErrSpoilt }
+// Unwrap returns ErrCorrupt.
+func (e *CorruptError) Unwrap() error { return ErrCorrupt }
 
-// Recovered is what was found at opening.
+// Recovered is what Open found in the directory.
 type Recovered struct {
-	Snapshot []byte   // nil: there is none
-	Records  [][]byte // after it, in order
-	Cut      int64    // bytes of a torn tail that were cut
+	Snapshot []byte   // nil: there is no snapshot
+	Records  [][]byte // the records after the snapshot, in order
+	Cut      int64    // length of the torn tail that was cut off
 	Next     uint64   // the sequence of the next record
 }
 
-// Log is an open log. Only one goroutine may use it, and only one process its directory.
+// Log is an open log. It is not safe for concurrent use, and only one process may use its directory.
 type Log struct {
-	disk    Disk
-	owner   uint64
-	segment int64 // bytes after which a new one is begun
+	disk        Disk
+	owner       uint64
+	segmentSize int64 // bytes after which a new segment is started
 
-	file   File
-	name   string
-	size   int64
-	next   uint64
-	snap   uint64 // sequence of the first record that the snapshot does not hold
-	failed error
-	buf    []byte
+	file             File
+	name             string
+	size             int64
+	next             uint64
+	snapshotSequence uint64 // sequence of the first record that the snapshot does not cover
+	failed           error
+	buf              []byte
 }
 
-// Open opens the log of an owner in a directory, or begins it. Segments are begun anew after so many bytes; 0 is 8 MB.
-func Open(disk Disk, owner uint64, segment int64) (*Log, *Recovered, error) {
-	if segment <= 0 {
-		segment = segmentStd
+// Open opens an owner's log in a directory, or creates it. A new segment is started once the current one has the given
+// size in bytes; 0 means 8 MB.
+func Open(disk Disk, owner uint64, segmentSize int64) (*Log, *Recovered, error) {
+	if segmentSize <= 0 {
+		segmentSize = defaultSegmentSize
 	}
-	l := &Log{disk: disk, owner: owner, segment: segment}
+	l := &Log{disk: disk, owner: owner, segmentSize: segmentSize}
 	names, err := disk.List()
 	if err != nil {
 		return nil, nil, fmt.Errorf("log: %w", err)
@@ -91,19 +94,19 @@
 	r := &Recovered{}
 	var segments, snaps []uint64
 	for _, name := range names {
-		if strings.HasSuffix(name, newWord) { // a snapshot that was never finished
+		if strings.HasSuffix(name, temporarySuffix) { // an incomplete snapshot
 			if err := disk.Remove(name); err != nil {
 				return nil, nil, fmt.Errorf("log: %w", err)
 			}
-		} else if at, ok := sequence(name, segmentWord); ok {
+		} else if at, ok := parseSequence(name, segmentPrefix); ok {
 			segments = append(segments, at)
-		} else if at, ok := sequence(name, snapWord); ok {
+		} else if at, ok := parseSequence(name, snapshotPrefix); ok {
 			snaps = append(snaps, at)
 		}
 	}
-	if len(snaps) > 0 { // List is in order: the last is the newest
-		l.snap = snaps[len(snaps)-1]
-		if r.Snapshot, err = l.readSnapshot(fileName(snapWord, l.snap), l.snap); err != nil {
+	if len(snaps) > 0 { // List sorts the names, so the last snapshot is the newest
+		l.snapshotSequence = snaps[len(snaps)-1]
+		if r.Snapshot, err = l.readSnapshot(fileName(snapshotPrefix, l.snapshotSequence), l.snapshotSequence); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -111,36 +114,37 @@
 		return nil, nil, err
 	}
 	r.Next = l.next
-	// What the snapshot holds already is of no more use; a crash may have kept it from being removed.
+	// Remove what the snapshot covers; a crash may have prevented its removal when the snapshot was written.
 	for i, at := range segments {
-		if i+1 < len(segments) && segments[i+1] <= l.snap {
-			disk.Remove(fileName(segmentWord, at))
+		if i+1 < len(segments) && segments[i+1] <= l.snapshotSequence {
+			disk.Remove(fileName(segmentPrefix, at))
 		}
 	}
 	for _, at := range snaps {
-		if at < l.snap {
-			disk.Remove(fileName(snapWord, at))
+		if at < l.snapshotSequence {
+			disk.Remove(fileName(snapshotPrefix, at))
 		}
 	}
 	return l, r, nil
 }
 
-// replay reads the segments that are not all held by the snapshot, and opens the last one to go on in.
+// replay reads the segments that the snapshot does not cover completely, and opens the last one for appending.
 func (l *Log) replay(segments []uint64, r *Recovered) error {
-	l.next = l.snap
+	l.next = l.snapshotSequence
 	for i, first := range segments {
 		last := i == len(segments)-1
-		if !last && segments[i+1] <= l.snap {
+		if !last && segments[i+1] <= l.snapshotSequence {
 			continue
 		}
-		name := fileName(segmentWord, first)
+		name := fileName(segmentPrefix, first)
 		data, err := l.disk.Read(name)
 		if err != nil {
 			return fmt.Errorf("log: %w", err)
 		}
-		err = l.head(name, data, first)
-		if err != nil && last && !errors.Is(err, ErrForeign) && !followed(data, 0) {
-			// The head itself never reached the disk: it is made to last before any record, so none was acknowledged here.
+		err = l.checkHeader(name, data, first)
+		if err != nil && last && !errors.Is(err, ErrWrongOwner) && !laterFrameExists(data, 0) {
+			// The header never reached the disk. It is synced before any record is written, so the segment has no
+			// acknowledged records.
 			r.Cut += int64(len(data))
 			if err := l.disk.Remove(name); err != nil {
 				return fmt.Errorf("log: %w", err)
@@ -151,15 +155,15 @@
 			return err
 		}
 		if first > l.next {
-			return &SpoiltError{name, 0, fmt.Sprintf("records %d to %d are missing before it", l.next, first-1)}
+			return &CorruptError{name, 0, fmt.Sprintf("records %d to %d are missing before it", l.next, first-1)}
 		}
-		end, seq, err := l.records(name, data, first, last, r)
+		end, seq, err := l.readSegment(name, data, first, last, r)
 		if err != nil {
 			return err
 		}
 		if last && seq < l.next {
 			r.Cut += int64(len(data)) - end
-			return nil // it lost what the snapshot holds: the next record begins a segment of its own
+			return nil // the segment lost records that the snapshot covers: the next record starts a new segment
 		}
 		if last {
 			r.Cut += int64(len(data)) - end
@@ -167,7 +171,7 @@
 				return fmt.Errorf("log: %w", err)
 			}
 			if int64(len(data)) != end {
-				if err := l.file.Sync(); err != nil { // the cut must last before anything is written behind it
+				if err := l.file.Sync(); err != nil { // the truncation must be durable before anything is appended
 					return fmt.Errorf("log: %w", err)
 				}
 			}
@@ -177,16 +181,17 @@
 	return nil
 }
 
-// records reads a segment's frames, up to the sequence that would follow; in the last one a torn tail ends it.
-func (l *Log) records(name string, data []byte, first uint64, last bool, r *Recovered) (end int64, seq uint64, err error) {
-	at, seq := int64(headSize), first
+// readSegment reads the frames of a segment. It returns the offset after the last valid frame and the sequence that would
+// follow. A torn tail is accepted only in the last segment.
+func (l *Log) readSegment(name string, data []byte, first uint64, last bool, r *Recovered) (end int64, seq uint64, err error) {
+	at, seq := int64(segmentHeaderSize), first
 	for at < int64(len(data)) {
-		record, size, why := frame(data[at:], seq)
+		record, size, why := parseFrame(data[at:], seq)
 		if why != "" {
-			if last && !followed(data[at:], seq+1) {
+			if last && !laterFrameExists(data[at:], seq+1) {
 				return at, seq, nil
 			}
-			return 0, 0, &SpoiltError{name, at, why}
+			return 0, 0, &CorruptError{name, at, why}
 		}
 		if seq >= l.next {
 			r.Records = append(r.Records, append([]byte(nil), record...))
@@ -197,71 +202,71 @@
 	return at, seq, nil
 }
 
-// frame reads one frame; why says what is wrong with it.
-func frame(data []byte, seq uint64) (record []byte, size int64, why string) {
-	if len(data) < frameHead {
-		return nil, 0, "it ends within a frame's head"
+// parseFrame reads one frame; why describes what is wrong with it, if anything.
+func parseFrame(data []byte, seq uint64) (record []byte, size int64, why string) {
+	if len(data) < frameHeaderSize {
+		return nil, 0, "the file ends within a frame header"
 	}
 	n := int64(binary.LittleEndian.Uint32(data))
-	if n > RecordMost {
-		return nil, 0, fmt.Sprintf("a record of %d bytes", n)
+	if n > MaxRecordSize {
+		return nil, 0, fmt.Sprintf("record length %d exceeds the limit", n)
 	}
-	if int64(len(data)) < frameHead+n {
-		return nil, 0, "it ends within a record"
+	if int64(len(data)) < frameHeaderSize+n {
+		return nil, 0, "the file ends within a record"
 	}
-	record = data[frameHead : frameHead+n]
-	sum := crc32.Update(crc32.Checksum(data[:16], table), table, record)
+	record = data[frameHeaderSize : frameHeaderSize+n]
+	sum := crc32.Update(crc32.Checksum(data[:16], castagnoli), castagnoli, record)
 	if sum != binary.LittleEndian.Uint32(data[16:]) {
-		return nil, 0, "a checksum does not fit"
+		return nil, 0, "record checksum mismatch"
 	}
 	if got := binary.LittleEndian.Uint64(data[4:]); got != seq {
-		return nil, 0, fmt.Sprintf("record %d where %d belongs", got, seq)
+		return nil, 0, fmt.Sprintf("record sequence %d, want %d", got, seq)
 	}
-	return record, frameHead + n, ""
+	return record, frameHeaderSize + n, ""
 }
 
-// followed says whether a whole frame of a later Append, one that began at a sequence or after it, stands anywhere behind a
-// bad place: then that is no torn tail, since it had been made to last before the other was written. Frames of one Append
-// may reach the disk in any order.
-func followed(data []byte, seq uint64) bool {
-	for at := 1; at+frameHead <= len(data); at++ {
+// laterFrameExists reports whether a valid frame of a later Append, one that started at the given sequence or after it,
+// exists anywhere after an invalid frame. The invalid frame is then no torn tail, since it was synced before the later
+// one was written. Frames of a single Append may reach the disk in any order.
+func laterFrameExists(data []byte, seq uint64) bool {
+	for at := 1; at+frameHeaderSize <= len(data); at++ {
 		got := binary.LittleEndian.Uint64(data[at+4:])
 		if got < seq || got > seq+math.MaxUint32 {
 			continue
 		}
-		if _, _, why := frame(data[at:], got); why == "" && got-uint64(binary.LittleEndian.Uint32(data[at+12:])) >= seq {
+		if _, _, why := parseFrame(data[at:], got); why == "" && got-uint64(binary.LittleEndian.Uint32(data[at+12:])) >= seq {
 			return true
 		}
 	}
 	return false
 }
 
-func (l *Log) head(name string, data []byte, first uint64) error {
-	if len(data) < headSize {
-		return &SpoiltError{name, 0, "it ends within its head"}
+func (l *Log) checkHeader(name string, data []byte, first uint64) error {
+	if len(data) < segmentHeaderSize {
+		return &CorruptError{name, 0, "the file ends within its header"}
 	}
 	if string(data[:8]) != magic || binary.LittleEndian.Uint64(data[8:]) != l.owner {
-		if crc32.Checksum(data[:24], table) == binary.LittleEndian.Uint32(data[24:]) {
-			return fmt.Errorf("%w: %s", ErrForeign, name)
+		if crc32.Checksum(data[:24], castagnoli) == binary.LittleEndian.Uint32(data[24:]) {
+			return fmt.Errorf("%w: %s", ErrWrongOwner, name)
 		}
-		return &SpoiltError{name, 0, "its head can't be read"}
+		return &CorruptError{name, 0, "unreadable header"}
 	}
-	if crc32.Checksum(data[:24], table) != binary.LittleEndian.Uint32(data[24:]) || binary.LittleEndian.Uint64(data[16:]) != first {
-		return &SpoiltError{name, 0, "its head's checksum or sequence does not fit"}
+	if crc32.Checksum(data[:24], castagnoli) != binary.LittleEndian.Uint32(data[24:]) || binary.LittleEndian.Uint64(data[16:]) != first {
+		return &CorruptError{name, 0, "header checksum or sequence mismatch"}
 	}
 	return nil
 }
 
-func headOf(owner, first uint64) []byte {
-	b := append(make([]byte, 0, headSize), magic...)
+func encodeHeader(owner, first uint64) []byte {
+	b := append(make([]byte, 0, segmentHeaderSize), magic...)
 	b = binary.LittleEndian.AppendUint64(b, owner)
 	b = binary.LittleEndian.AppendUint64(b, first)
-	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, table))
+	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
 func fileName(word string, seq uint64) string { return fmt.Sprintf("%s%020d", word, seq) }
 
-func sequence(name, word string) (uint64, bool) {
+func parseSequence(name, word string) (uint64, bool) {
 	digits, ok := strings.CutPrefix(name, word)
 	if !ok || len(digits) != 20 {
 		return 0, false
@@ -270,25 +275,26 @@
 	return n, err == nil
 }
 
-// fail makes the log take nothing more. What was written may be there or not: only opening it again tells.
+// fail makes the log reject further writes. Data of the failed write may have reached the disk; only reopening the log
+// tells.
 func (l *Log) fail(err error) error {
-	l.failed = fmt.Errorf("%w: %w", ErrLost, err)
+	l.failed = fmt.Errorf("%w: %w", ErrFailed, err)
 	return l.failed
 }
 
-// Append writes records and makes them last with one fsync. With an error none, some or all of them may be there, and
-// the log takes nothing more.
+// Append writes records and makes them durable with one fsync. After a failed write or fsync, none, some or all of them
+// may be on the disk, and the log rejects further writes.
 func (l *Log) Append(records ...[]byte) error {
 	if l.failed != nil {
 		return l.failed
 	}
 	for _, r := range records {
-		if len(r) > RecordMost {
-			return fmt.Errorf("log: a record of %d bytes, %d at most", len(r), RecordMost)
+		if len(r) > MaxRecordSize {
+			return fmt.Errorf("log: record of %d bytes exceeds the limit of %d", len(r), MaxRecordSize)
 		}
 	}
-	if l.file == nil || l.size >= l.segment {
-		if err := l.begin(); err != nil {
+	if l.file == nil || l.size >= l.segmentSize {
+		if err := l.startSegment(); err != nil {
 			return l.fail(err)
 		}
 	}
@@ -298,7 +304,7 @@
 		l.buf = binary.LittleEndian.AppendUint32(l.buf, uint32(len(r)))
 		l.buf = binary.LittleEndian.AppendUint64(l.buf, l.next+uint64(i))
 		l.buf = binary.LittleEndian.AppendUint32(l.buf, uint32(i))
-		sum := crc32.Update(crc32.Checksum(l.buf[at:at+16], table), table, r)
+		sum := crc32.Update(crc32.Checksum(l.buf[at:at+16], castagnoli), castagnoli, r)
 		l.buf = append(binary.LittleEndian.AppendUint32(l.buf, sum), r...)
 	}
 	if n, err := l.file.Write(l.buf); err != nil {
@@ -317,21 +323,21 @@
 	return nil
 }
 
-// begin begins a new segment; the old one has been made to last.
-func (l *Log) begin() error {
+// startSegment creates a new segment; the previous one has been synced.
+func (l *Log) startSegment() error {
 	if l.file != nil {
 		if err := l.file.Close(); err != nil {
 			return err
 		}
 		l.file = nil
 	}
-	name := fileName(segmentWord, l.next)
+	name := fileName(segmentPrefix, l.next)
 	f, err := l.disk.Create(name)
 	if err != nil {
 		return err
 	}
 	l.file, l.name = f, name
-	head := headOf(l.owner, l.next)
+	head := encodeHeader(l.owner, l.next)
 	if n, err := f.Write(head); err != nil {
 		return err
 	} else if n < len(head) {
@@ -343,28 +349,28 @@
 	if err := l.disk.Sync(); err != nil {
 		return err
 	}
-	l.size = headSize
+	l.size = segmentHeaderSize
 	return nil
 }
 
-// Next is the sequence of the next record.
+// Next returns the sequence of the next record.
 func (l *Log) Next() uint64 { return l.next }
 
-// Snapshot puts a state in the place of all records so far. It lasts, or the records do.
+// Snapshot replaces all records so far by a state. If it fails, the records stay.
 func (l *Log) Snapshot(state []byte) error {
 	if l.failed != nil {
 		return l.failed
 	}
 	if len(state) > math.MaxUint32 {
-		return fmt.Errorf("log: a snapshot of %d bytes", len(state))
+		return fmt.Errorf("log: snapshot of %d bytes is too large", len(state))
 	}
-	name := fileName(snapWord, l.next)
-	body := append(headOf(l.owner, l.next), state...)
-	body = binary.LittleEndian.AppendUint32(body, crc32.Checksum(body, table))
-	l.disk.Remove(name + newWord)
-	f, err := l.disk.Create(name + newWord)
+	name := fileName(snapshotPrefix, l.next)
+	body := append(encodeHeader(l.owner, l.next), state...)
+	body = binary.LittleEndian.AppendUint32(body, crc32.Checksum(body, castagnoli))
+	l.disk.Remove(name + temporarySuffix)
+	f, err := l.disk.Create(name + temporarySuffix)
 	if err != nil {
-		return fmt.Errorf("log: snapshot: %w", err) // nothing of the log has changed
+		return fmt.Errorf("log: snapshot: %w", err) // the log is unchanged
 	}
 	n, err := f.Write(body)
 	if err == nil && n < len(body) {
@@ -377,27 +383,27 @@
 		err = cerr
 	}
 	if err == nil {
-		err = l.disk.Rename(name+newWord, name)
+		err = l.disk.Rename(name+temporarySuffix, name)
 	}
 	if err == nil {
 		err = l.disk.Sync()
 	}
 	if err != nil {
-		l.disk.Remove(name + newWord)
+		l.disk.Remove(name + temporarySuffix)
 		return fmt.Errorf("log: snapshot: %w", err)
 	}
-	old := l.snap
-	l.snap = l.next
-	// From here on the snapshot holds; what stays behind of the old is removed at the next opening.
+	old := l.snapshotSequence
+	l.snapshotSequence = l.next
+	// The snapshot is durable now. If removing the old files fails, the next Open removes them.
 	names, err := l.disk.List()
 	if err != nil {
 		return nil
 	}
 	for _, name := range names {
-		if at, ok := sequence(name, segmentWord); ok && name != l.name && at < l.snap {
+		if at, ok := parseSequence(name, segmentPrefix); ok && name != l.name && at < l.snapshotSequence {
 			l.disk.Remove(name)
 		}
-		if at, ok := sequence(name, snapWord); ok && at <= old && at < l.snap {
+		if at, ok := parseSequence(name, snapshotPrefix); ok && at <= old && at < l.snapshotSequence {
 			l.disk.Remove(name)
 		}
 	}
@@ -409,25 +415,25 @@
 	if err != nil {
 		return nil, fmt.Errorf("log: %w", err)
 	}
-	if len(data) < headSize+4 {
-		return nil, &SpoiltError{name, 0, "it is too short"}
+	if len(data) < segmentHeaderSize+4 {
+		return nil, &CorruptError{name, 0, "the snapshot is too short"}
 	}
 	body := data[:len(data)-4]
-	if crc32.Checksum(body, table) != binary.LittleEndian.Uint32(data[len(body):]) {
-		return nil, &SpoiltError{name, 0, "its checksum does not fit"}
+	if crc32.Checksum(body, castagnoli) != binary.LittleEndian.Uint32(data[len(body):]) {
+		return nil, &CorruptError{name, 0, "snapshot checksum mismatch"}
 	}
-	if err := l.head(name, data, at); err != nil {
+	if err := l.checkHeader(name, data, at); err != nil {
 		return nil, err
 	}
-	return append([]byte{}, body[headSize:]...), nil
+	return append([]byte{}, body[segmentHeaderSize:]...), nil
 }
 
-// Close ends the log. All that was acknowledged lasts already.
+// Close closes the log. All acknowledged records are durable already.
 func (l *Log) Close() error {
 	if l.file == nil {
 		return nil
 	}
 	f := l.file
-	l.file, l.failed = nil, ErrLost
+	l.file, l.failed = nil, ErrFailed
 	return f.Close()
 }
--- a/internal/journalfile/journalfile_test.go
+++ b/internal/journalfile/journalfile_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-func texts(records [][]byte) (all []string) {
+func recordTexts(records [][]byte) (all []string) {
 	for _, r := range records {
 		all = append(all, string(r))
 	}
@@ -30,7 +30,7 @@
 		require.NoError(t, l.Append([]byte(fmt.Sprint("a", i)), []byte(fmt.Sprint("b", i))))
 	}
 	require.NoError(t, l.Close())
-	assert.ErrorIs(t, l.Append([]byte("x")), ErrLost)
+	assert.ErrorIs(t, l.Append([]byte("x")), ErrFailed)
 	l, r, err = Open(disk, 7, 100)
 	require.NoError(t, err)
 	assert.Len(t, r.Records, 20)
@@ -40,17 +40,18 @@
 	l.Close()
 	names, err := disk.List()
 	require.NoError(t, err)
-	assert.LessOrEqual(t, len(names), 3, "what the snapshot holds is removed: %v", names)
+	assert.LessOrEqual(t, len(names), 3, "the segments that the snapshot covers are not removed: %v", names)
 	_, r, err = Open(disk, 7, 100)
 	require.NoError(t, err)
 	assert.Equal(t, "state", string(r.Snapshot))
-	assert.Equal(t, []string{"after"}, texts(r.Records))
+	assert.Equal(t, []string{"after"}, recordTexts(r.Records))
 	_, _, err = Open(disk, 8, 100)
-	assert.ErrorIs(t, err, ErrForeign)
-	assert.Error(t, l.Append(make([]byte, RecordMost+1)))
+	assert.ErrorIs(t, err, ErrWrongOwner)
+	assert.Error(t, l.Append(make([]byte, MaxRecordSize+1)))
 }
 
-// A byte flipped anywhere is found, or it hits the torn tail's place: the last record. Never is anything wrong returned.
+// TestEveryByteFlipped flips a bit in every byte in turn. The corruption must be reported, or, in the last record, be cut
+// off as a torn tail; wrong data is never returned.
 func TestEveryByteFlipped(t *testing.T) {
 	path := t.TempDir()
 	disk, err := Dir(path)
@@ -61,10 +62,10 @@
 		require.NoError(t, l.Append([]byte(fmt.Sprint("record ", i))))
 	}
 	l.Close()
-	name := filepath.Join(path, fileName(segmentWord, 0))
+	name := filepath.Join(path, fileName(segmentPrefix, 0))
 	good, err := os.ReadFile(name)
 	require.NoError(t, err)
-	lastAt := len(good) - frameHead - len("record 0")
+	lastAt := len(good) - frameHeaderSize - len("record 0")
 	for at := range good {
 		bad := append([]byte(nil), good...)
 		bad[at] ^= 0x10
@@ -72,7 +73,7 @@
 		l, r, err := Open(disk, 7, 0)
 		if at < lastAt {
 			require.Error(t, err, "byte %d", at)
-			assert.True(t, errors.Is(err, ErrSpoilt) || errors.Is(err, ErrForeign), "byte %d: %v", at, err)
+			assert.True(t, errors.Is(err, ErrCorrupt) || errors.Is(err, ErrWrongOwner), "byte %d: %v", at, err)
 			continue
 		}
 		require.NoError(t, err, "byte %d", at)
@@ -80,31 +81,32 @@
 		assert.Positive(t, r.Cut)
 		l.Close()
 	}
-	// Cut anywhere, as a crash does: the records before it are there.
+	// Truncate the file at every length, as a crash may: the records before the cut are recovered.
 	for n := range good {
 		require.NoError(t, os.WriteFile(name, good[:n], 0o600))
 		l, r, err := Open(disk, 7, 0)
 		require.NoError(t, err, "%d bytes", n)
-		for i, rec := range texts(r.Records) {
+		for i, rec := range recordTexts(r.Records) {
 			assert.Equal(t, fmt.Sprint("record ", i), rec)
 		}
 		l.Close()
 	}
 }
 
-// Histories of appends, snapshots, full disks, failed and false fsyncs, and kills at any operation: what was acknowledged is
-// there again in order, unless an fsync lied; what is there is always a run of what was written, without a gap.
+// TestCrashes runs random histories of appends, snapshots, full disks, failed and skipped fsyncs, and kills at any
+// operation. Unless an fsync was skipped, all acknowledged records are recovered in order; the recovered records are
+// always a prefix of the written ones.
 func TestCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := newFaulty(rapid.Uint64().Draw(t, "seed"))
-		d.short = rapid.Bool().Draw(t, "short")
-		var written []string // all that may be there, in order
-		acked := 0           // so many of them must be
+		d := newFaultyDisk(rapid.Uint64().Draw(t, "seed"))
+		d.shortWrite = rapid.Bool().Draw(t, "short")
+		var written []string // records that may be recovered, in order
+		acked := 0           // how many of them must be recovered
 		for range rapid.IntRange(1, 6).Draw(t, "lives") {
 			l, r, err := Open(d, 3, int64(rapid.IntRange(60, 400).Draw(t, "segment")))
 			if err != nil {
-				if d.lied && errors.Is(err, ErrSpoilt) {
-					return // told, not hidden
+				if d.syncSkipped && errors.Is(err, ErrCorrupt) {
+					return // the loss is reported
 				}
 				t.Fatalf("opening: %v", err)
 			}
@@ -114,20 +116,20 @@
 				fmt.Sscan(string(r.Snapshot), &n)
 				have = append(have, written[:n]...)
 			}
-			have = append(have, texts(r.Records)...)
+			have = append(have, recordTexts(r.Records)...)
 			if len(have) > len(written) {
-				t.Fatalf("%d records, %d were written", len(have), len(written))
+				t.Fatalf("recovered %d records, but only %d were written", len(have), len(written))
 			}
 			for i := range have {
 				if have[i] != written[i] {
 					t.Fatalf("record %d is %q, not %q", i, have[i], written[i])
 				}
 			}
-			if len(have) < acked && !d.lied {
-				t.Fatalf("%d records are there, %d were acknowledged", len(have), acked)
+			if len(have) < acked && !d.syncSkipped {
+				t.Fatalf("recovered %d records, but %d were acknowledged", len(have), acked)
 			}
 			if uint64(len(have)) != r.Next {
-				t.Fatalf("%d records, the next is %d", len(have), r.Next)
+				t.Fatalf("recovered %d records, but the next sequence is %d", len(have), r.Next)
 			}
 			written = written[:len(have)]
 			acked = len(have)
@@ -142,9 +144,9 @@
 						batch = append(batch, []byte(fmt.Sprintf("%d-%s", len(written)+len(batch), rapid.StringN(0, 40, 80).Draw(t, "text"))))
 					}
 					err := l.Append(batch...)
-					if err == nil || l.failed == nil || errors.Is(err, ErrLost) && acked == len(written) {
+					if err == nil || l.failed == nil || errors.Is(err, ErrFailed) && acked == len(written) {
 						if err == nil || acked == len(written) {
-							written = append(written, texts(batch)...) // with an error they may be there
+							written = append(written, recordTexts(batch)...) // despite the error they may be on the disk
 						}
 					}
 					if err == nil {
@@ -157,11 +159,11 @@
 				case "full":
 					d.full = true
 				case "no sync":
-					d.noSync = true
+					d.failSync = true
 				case "lie":
-					d.lieSync = true
+					d.skipSync = true
 				case "well":
-					d.full, d.noSync, d.lieSync = false, false, false
+					d.full, d.failSync, d.skipSync = false, false, false
 				}
 			}
 			d.crash()
