--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -1,6 +1,6 @@
-// Package virtual is a network of I/O-free cores in virtual time. It drives any number of them with seeded delay,
-// loss, duplicates and reordering, splits, one-way cuts, pauses, crashes and clocks that run at rates of their own.
-// The same seed and the same calls give the same history, event by event.
+// Package virtual simulates a network of I/O-free nodes in virtual time. It drives any number of nodes with random
+// delay, loss, duplication and reordering, partitions, one-way link failures, pauses, crashes and clocks that run at
+// different rates. The same seed and the same calls give the same history, event by event.
 package virtual
 
 import (
@@ -11,72 +11,72 @@
 	"slices"
 )
 
-// Node is a core: Step takes what came in by its own clock and returns what it sends; Due says when it wants its next
-// turn though nothing comes in, by that clock.
+// Node is a state machine without I/O. Step handles incoming packets at a time of the node's own clock and returns the
+// packets to send; Due returns when, by that clock, the node wants its next turn if no packet arrives before.
 type Node interface {
 	Step(now float64, in []Packet) []Packet
 	Due() float64
 }
 
-// Packet goes from one address to another. Size is what it would take on a wire, in bytes, for the count alone.
+// Packet is a message from one address to another. Size is its size on the wire in bytes; it is only counted.
 type Packet struct {
 	From, To string
 	Data     any
 	Size     int
 }
 
-// Weather is how packets fare that no cut stops.
+// Conditions are the delay and faults of links that are not blocked.
 type Weather struct {
 	Delay     float64 // ms
-	Jitter    float64 // ms at most beside it; more than the time between two packets reorders them
-	Loss      float64 // share that is lost
-	Duplicate float64 // share that arrives twice
+	Jitter    float64 // maximum additional delay in ms; more than the interval between two packets may reorder them
+	Loss      float64 // fraction of packets that are lost
+	Duplicate float64 // fraction of packets that arrive twice
 }
 
-// Counts are of one address.
+// Counts holds the traffic counters of one address.
 type Counts struct {
 	Sent, Received, Bytes, Lost int
 }
 
 const (
-	waitingMost = 512  // packets that wait for a paused node, as a socket's buffer would hold
-	least       = 0.05 // ms between two turns that a node asks for itself
+	maxInbox        = 512  // packets queued for a paused node, as in a socket's buffer
+	minTurnInterval = 0.05 // minimum ms between two turns that a node requests by Due
 )
 
-// Net is the network. Only one goroutine may use it.
+// Net is the network. It is not safe for concurrent use.
 type Net struct {
 	Weather Weather
 
-	rnd    *rand.Rand
-	now    float64
-	seq    int64
-	events eventHeap
-	nodes  map[string]*place
-	cuts   map[[2]string]bool
-	sides  map[string]int
-	counts map[string]*Counts
-	Turns  int // of all nodes
+	rng          *rand.Rand
+	now          float64
+	seq          int64
+	events       eventHeap
+	endpoints    map[string]*endpoint
+	blockedLinks map[[2]string]bool
+	partitions   map[string]int
+	counts       map[string]*Counts
+	Turns        int // number of turns of all nodes
 }
 
-type place struct {
-	addr    string
-	node    Node
-	offset  float64 // of its clock, at rate 1
-	rate    float64
-	from    float64 // the network's time at which the offset held
-	paused  bool
-	waiting []Packet
-	wake    int64 // the newest turn planned; older ones are void
-	wakeAt  float64
+type endpoint struct {
+	addr      string
+	node      Node
+	offset    float64 // what its clock showed at startedAt
+	rate      float64
+	startedAt float64 // the network's time at which the node started
+	paused    bool
+	inbox     []Packet
+	turnSeq   int64 // sequence number of the last scheduled turn; earlier ones are cancelled
+	turnAt    float64
 }
 
 type event struct {
-	at   float64
-	seq  int64
-	to   string
-	wake int64 // a turn; 0: a packet
-	pkt  Packet
-	do   func()
+	at       float64
+	seq      int64
+	to       string
+	turnSeq  int64 // the turn's sequence number; 0: a packet or a callback
+	packet   Packet
+	callback func()
 }
 
 type eventHeap []event
@@ -95,76 +95,76 @@
 	return x
 }
 
-// New makes an empty network at time 0.
+// New returns an empty network at time 0.
 func New(seed uint64, w Weather) *Net {
-	return &Net{Weather: w, rnd: rand.New(rand.NewPCG(seed, 0x5ea5)), nodes: map[string]*place{},
-		cuts: map[[2]string]bool{}, sides: map[string]int{}, counts: map[string]*Counts{}}
+	return &Net{Weather: w, rng: rand.New(rand.NewPCG(seed, 0x5ea5)), endpoints: map[string]*endpoint{},
+		blockedLinks: map[[2]string]bool{}, partitions: map[string]int{}, counts: map[string]*Counts{}}
 }
 
-// Now is the network's time in ms.
+// Now returns the network's time in ms.
 func (n *Net) Now() float64 { return n.now }
 
-// Chance is the network's own, for those who draw faults.
-func (n *Net) Chance() *rand.Rand { return n.rnd }
+// Rand returns the network's random number generator, for callers that draw faults.
+func (n *Net) Chance() *rand.Rand { return n.rng }
 
-// Start puts a node at an address, in place of any other there. Its clock shows offset now and runs at rate.
+// Start starts a node at an address and replaces any other node there. Its clock shows offset now and runs at rate.
 func (n *Net) Start(addr string, node Node, offset, rate float64) {
-	n.nodes[addr] = &place{addr: addr, node: node, offset: offset, rate: rate, from: n.now, wake: -1}
+	n.endpoints[addr] = &endpoint{addr: addr, node: node, offset: offset, rate: rate, startedAt: n.now, turnSeq: -1}
 	if n.counts[addr] == nil {
 		n.counts[addr] = &Counts{}
 	}
-	n.plan(n.nodes[addr], n.now)
+	n.scheduleTurn(n.endpoints[addr], n.now)
 }
 
-// Kill takes the node at an address away. What is under way to it is lost.
-func (n *Net) Kill(addr string) { delete(n.nodes, addr) }
+// Kill removes the node at an address. Packets in flight to it are lost.
+func (n *Net) Kill(addr string) { delete(n.endpoints, addr) }
 
-// Running says whether there is a node at an address.
-func (n *Net) Running(addr string) bool { return n.nodes[addr] != nil }
+// Running reports whether there is a node at an address.
+func (n *Net) Running(addr string) bool { return n.endpoints[addr] != nil }
 
-// Pause lets a node take no turn until Resume; what comes in waits, as far as there is room.
+// Pause gives a node no turn until Resume. Incoming packets are queued; those beyond the capacity are dropped.
 func (n *Net) Pause(addr string) {
-	if p := n.nodes[addr]; p != nil {
+	if p := n.endpoints[addr]; p != nil {
 		p.paused = true
 	}
 }
 
 // Resume ends a pause.
 func (n *Net) Resume(addr string) {
-	if p := n.nodes[addr]; p != nil && p.paused {
+	if p := n.endpoints[addr]; p != nil && p.paused {
 		p.paused = false
-		in := p.waiting
-		p.waiting = nil
-		n.step(p, in)
+		in := p.inbox
+		p.inbox = nil
+		n.runTurn(p, in)
 	}
 }
 
-// Split puts each group on a side of its own; addresses in none are on side 0, with the first group. Packets pass
-// within a side only. Split() heals.
+// Split partitions the network into the groups; addresses in no group join the first. Packets pass only within a
+// partition. Split without groups heals the network.
 func (n *Net) Split(groups ...[]string) {
-	clear(n.sides)
+	clear(n.partitions)
 	for i, g := range groups {
 		for _, a := range g {
-			n.sides[a] = i
+			n.partitions[a] = i
 		}
 	}
 }
 
-// Cut stops packets from one address to another, one way; Heal lets them pass again.
-func (n *Net) Cut(from, to string) { n.cuts[[2]string{from, to}] = true }
+// Cut blocks packets from one address to another, in this direction only, until Heal.
+func (n *Net) Cut(from, to string) { n.blockedLinks[[2]string{from, to}] = true }
 
 // Heal undoes a Cut.
-func (n *Net) Heal(from, to string) { delete(n.cuts, [2]string{from, to}) }
+func (n *Net) Heal(from, to string) { delete(n.blockedLinks, [2]string{from, to}) }
 
-// Clock is what the clock of the node at an address shows.
+// Clock returns what the clock of the node at an address shows; NaN if there is no node.
 func (n *Net) Clock(addr string) float64 {
-	if p := n.nodes[addr]; p != nil {
-		return p.local(n.now)
+	if p := n.endpoints[addr]; p != nil {
+		return p.localTime(n.now)
 	}
 	return math.NaN()
 }
 
-// Counts of an address, over all nodes it has had.
+// Counts returns the counters of an address, over all nodes that ran there.
 func (n *Net) Counts(addr string) Counts {
 	if c := n.counts[addr]; c != nil {
 		return *c
@@ -172,85 +172,85 @@
 	return Counts{}
 }
 
-// After does something at a moment from now, between two events.
-func (n *Net) After(wait float64, do func()) {
-	n.push(event{at: n.now + wait, do: do})
+// After calls callback once wait ms have passed, between two events.
+func (n *Net) After(wait float64, callback func()) {
+	n.push(event{at: n.now + wait, callback: callback})
 }
 
-// Run lets time pass.
+// Run advances time by forMs and processes the events that fall into it.
 func (n *Net) Run(forMs float64) {
 	end := n.now + forMs
 	for len(n.events) > 0 && n.events[0].at <= end {
 		e := heap.Pop(&n.events).(event)
 		n.now = max(n.now, e.at)
-		if e.do != nil {
-			e.do()
+		if e.callback != nil {
+			e.callback()
 			continue
 		}
-		p := n.nodes[e.to]
+		p := n.endpoints[e.to]
 		switch {
-		case p == nil || e.wake != 0 && e.wake != p.wake:
-		case e.wake != 0:
+		case p == nil || e.turnSeq != 0 && e.turnSeq != p.turnSeq:
+		case e.turnSeq != 0:
 			if !p.paused {
-				n.step(p, nil)
+				n.runTurn(p, nil)
 			}
-		case n.stopped(e.pkt.From, e.pkt.To):
+		case n.blocked(e.packet.From, e.packet.To):
 			n.counts[e.to].Lost++
 		case p.paused:
-			if len(p.waiting) < waitingMost {
-				p.waiting = append(p.waiting, e.pkt)
+			if len(p.inbox) < maxInbox {
+				p.inbox = append(p.inbox, e.packet)
 			}
 		default:
-			n.step(p, []Packet{e.pkt})
+			n.runTurn(p, []Packet{e.packet})
 		}
 	}
 	n.now = end
 }
 
-// Poke gives the node at an address a turn now, as when something was handed to it from above.
+// Poke gives the node at an address a turn now, as after a call by its application.
 func (n *Net) Poke(addr string) {
-	if p := n.nodes[addr]; p != nil && !p.paused {
-		n.step(p, nil)
+	if p := n.endpoints[addr]; p != nil && !p.paused {
+		n.runTurn(p, nil)
 	}
 }
 
-// Addresses lists those with a node, in order.
+// Addresses returns the addresses that have a node, sorted.
 func (n *Net) Addresses() []string {
 	var all []string
-	for a := range n.nodes {
+	for a := range n.endpoints {
 		all = append(all, a)
 	}
 	slices.Sort(all)
 	return all
 }
 
-func (p *place) local(now float64) float64 { return p.offset + (now-p.from)*p.rate }
+func (p *endpoint) localTime(now float64) float64 { return p.offset + (now-p.startedAt)*p.rate }
 
-func (n *Net) step(p *place, in []Packet) {
+func (n *Net) runTurn(p *endpoint, in []Packet) {
 	n.Turns++
 	n.counts[p.addr].Received += len(in)
-	for _, pkt := range p.node.Step(p.local(n.now), in) {
+	for _, pkt := range p.node.Step(p.localTime(n.now), in) {
 		pkt.From = p.addr
 		n.send(pkt)
 	}
-	if n.nodes[p.addr] == p {
+	if n.endpoints[p.addr] == p {
 		due := p.node.Due()
 		if math.IsNaN(due) {
-			panic(fmt.Sprintf("the node at %s is due at no time", p.addr))
+			panic(fmt.Sprintf("the node at %s returned NaN from Due", p.addr))
 		}
-		n.plan(p, p.from+(due-p.offset)/p.rate)
+		n.scheduleTurn(p, p.startedAt+(due-p.offset)/p.rate)
 	}
 }
 
-func (n *Net) plan(p *place, at float64) {
-	at = max(at, n.now+least)
-	if p.wake > 0 && at == p.wakeAt {
+func (n *Net) scheduleTurn(p *endpoint, at float64) {
+	at = max(at, n.now+minTurnInterval)
+	if p.turnSeq > 0 && at == p.turnAt {
 		return
 	}
 	n.seq++
-	p.wake, p.wakeAt = n.seq, at
+	p.turnSeq, p.turnAt = n.seq, at
 	if !math.IsInf(at, 1) {
-		heap.Push(&n.events, event{at: at, seq: n.seq, to: p.addr, wake: n.seq})
+		heap.Push(&n.events, event{at: at, seq: n.seq, to: p.addr, turnSeq: n.seq})
 	}
 }
 
@@ -260,33 +260,33 @@
 	heap.Push(&n.events, e)
 }
 
-func (n *Net) stopped(from, to string) bool {
-	return n.sides[from] != n.sides[to] || n.cuts[[2]string{from, to}]
+func (n *Net) blocked(from, to string) bool {
+	return n.partitions[from] != n.partitions[to] || n.blockedLinks[[2]string{from, to}]
 }
 
-func (n *Net) send(pkt Packet) {
-	c := n.counts[pkt.From]
+func (n *Net) send(packet Packet) {
+	c := n.counts[packet.From]
 	c.Sent++
-	c.Bytes += pkt.Size
+	c.Bytes += packet.Size
 	copies := 1
-	if w := n.Weather; w.Duplicate > 0 && n.rnd.Float64() < w.Duplicate {
+	if w := n.Weather; w.Duplicate > 0 && n.rng.Float64() < w.Duplicate {
 		copies = 2
 	}
 	for range copies {
-		if n.stopped(pkt.From, pkt.To) || n.Weather.Loss > 0 && n.rnd.Float64() < n.Weather.Loss {
+		if n.blocked(packet.From, packet.To) || n.Weather.Loss > 0 && n.rng.Float64() < n.Weather.Loss {
 			c.Lost++
 			continue
 		}
 		at := n.now + n.Weather.Delay
 		if n.Weather.Jitter > 0 {
-			at += n.rnd.Float64() * n.Weather.Jitter
+			at += n.rng.Float64() * n.Weather.Jitter
 		}
-		n.push(event{at: at, to: pkt.To, pkt: pkt})
+		n.push(event{at: at, to: packet.To, packet: packet})
 	}
 }
 
-// Paused says whether the node at an address stands still.
+// Paused reports whether the node at an address is paused.
 func (n *Net) Paused(addr string) bool {
-	p := n.nodes[addr]
+	p := n.endpoints[addr]
 	return p != nil && p.paused
 }
