--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,5 +1,5 @@
-// Package memnet is a network in memory for tests that run in virtual time: hosts that can be ended, links that can be
-// cut, connections with delay and bounded buffers.
+// Package memnet provides an in-memory network for tests that run in virtual time: hosts that can be killed, links that
+// can be cut, connections with delay and limited rates, and datagrams. It does no real I/O.
 package memnet
 
 import (
@@ -17,118 +17,119 @@
 )
 
 const (
-	lookAgain   = 20 * time.Millisecond // between looks whether a link is up again
-	acceptQueue = 128
-	resendAfter = 200 * time.Millisecond
-	silence     = 3 * time.Second // bytes that are not acknowledged for so long end a connection
+	linkPollInterval  = 20 * time.Millisecond // interval between checks whether a link is up again
+	queueLength       = 128
+	retransmitTimeout = 200 * time.Millisecond
+	ackTimeout        = 3 * time.Second // a connection with bytes unacknowledged for so long is reset
 )
 
 var (
-	errRefused = errors.New("connection refused")
-	errReset   = errors.New("connection reset by peer")
-	errEnded   = errors.New("the process has ended")
+	errRefused      = errors.New("connection refused")
+	errReset        = errors.New("connection reset by peer")
+	errProcessEnded = errors.New("process has exited")
 )
 
 // Net is a network of hosts, named by their IPs.
 type Net struct {
-	mu        sync.Mutex
-	delay     time.Duration
-	listeners map[string]*listener
-	sockets   map[string]*socket
-	dark      map[string]bool    // hosts without power
-	cut       map[[2]string]bool // links, by both ends
-	conns     map[*conn]bool
-	processes map[string][]*atomic.Bool // of each host: whether they have ended
-	sent      map[[2]string]int         // bytes on connections, by sender and receiver
-	links     map[string]*link          // of hosts whose link has a rate
-	slow      map[string]Slowness       // of a host's processes
-	loss      float64                   // share of the packets that are lost
-	chance    *rand.Rand
-}
-
-// Slowness is how long a process waits for the processor.
+	mu               sync.Mutex
+	delay            time.Duration
+	listeners        map[string]*listener
+	sockets          map[string]*socket
+	poweredOff       map[string]bool    // hosts without power
+	blockedLinks     map[[2]string]bool // by sender and receiver
+	conns            map[*conn]bool
+	processEnded     map[string][]*atomic.Bool // by host: for each of its processes, whether it was killed
+	bytesSent        map[[2]string]int         // bytes on connections, by sender and receiver
+	links            map[string]*link          // by host: its link, if the rate is limited
+	processingDelays map[string]Slowness       // by host: the delay of its processes
+	lossRate         float64                   // fraction of packets that are lost
+	rng              *rand.Rand
+}
+
+// ProcessingDelay is how long a process waits for the CPU.
 type Slowness struct {
-	ToRead  time.Duration // before it reads bytes that have arrived
-	ToParse time.Duration // before it comes to bytes that it has read
+	ToRead  time.Duration // before it reads received bytes
+	ToParse time.Duration // before it processes bytes that it has read
 }
 
-// link is a host's link to the network, with a rate.
+// link is a host's link to the network, with a limited rate.
 type link struct {
-	perSecond float64   // bytes, each way
-	out, in   time.Time // until when it is busy
+	bytesPerSecond            float64   // in each direction
+	outBusyUntil, inBusyUntil time.Time // when each direction becomes idle
 }
 
-// SetRate bounds what a host's connections carry each way, in bytes a second.
-func (n *Net) SetRate(ip string, perSecond float64) {
+// SetRate limits the rate of a host's connections in each direction, in bytes per second.
+func (n *Net) SetRate(ip string, bytesPerSecond float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.links[ip] = &link{perSecond: perSecond}
+	n.links[ip] = &link{bytesPerSecond: bytesPerSecond}
 }
 
-// SetSlow has the processes of a host wait for the processor.
+// SetProcessingDelay makes the processes of a host wait for the CPU.
 func (n *Net) SetSlow(ip string, by Slowness) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.slow[ip] = by
+	n.processingDelays[ip] = by
 }
 
-// SetLoss has a share of the packets lost. On connections they are sent again, after resendAfter and twice as long each time.
+// SetLoss sets the fraction of packets that are lost. On connections they are retransmitted, first after
+// retransmitTimeout and then with exponential backoff.
 func (n *Net) SetLoss(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.loss = share
+	n.lossRate = share
 }
 
-// loses draws whether a packet is lost; n.mu is held.
-func (n *Net) loses() bool { return n.loss > 0 && n.chance.Float64() < n.loss }
+// drawLoss decides at random whether a packet is lost. The caller holds n.mu.
+func (n *Net) drawLoss() bool { return n.lossRate > 0 && n.rng.Float64() < n.lossRate }
 
-// Slow says how long the processes of a host wait for the processor.
+// ProcessingDelay returns how long the processes of a host wait for the CPU.
 func (n *Net) Slow(ip string) Slowness {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.slow[ip]
+	return n.processingDelays[ip]
 }
 
-// arrival is when bytes that are sent now are at the other end.
-func (n *Net) arrival(from, to string, bytes int) time.Time {
+// arrivalTime returns when bytes that are sent now arrive at the other end.
+func (n *Net) arrivalTime(from, to string, bytes int) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	at := time.Now()
 	if l := n.links[from]; l != nil {
-		l.out = l.carry(l.out, at, bytes)
-		at = l.out
+		l.outBusyUntil = l.transmit(l.outBusyUntil, at, bytes)
+		at = l.outBusyUntil
 	}
-	for wait := resendAfter; n.loses() && wait < silence; wait *= 2 {
+	for wait := retransmitTimeout; n.drawLoss() && wait < ackTimeout; wait *= 2 {
 		at = at.Add(wait)
 	}
 	at = at.Add(n.delay)
 	if l := n.links[to]; l != nil {
-		l.in = l.carry(l.in, at, bytes)
-		at = l.in
+		l.inBusyUntil = l.transmit(l.inBusyUntil, at, bytes)
+		at = l.inBusyUntil
 	}
 	return at
 }
 
-// carry is when a link that is busy until a moment has carried bytes that come at another.
-func (l *link) carry(busy, at time.Time, bytes int) time.Time {
+// transmit returns when a link that is busy until a given time has transmitted bytes that reach it at another time.
+func (l *link) transmit(busy, at time.Time, bytes int) time.Time {
 	if busy.After(at) {
 		at = busy
 	}
-	return at.Add(time.Duration(float64(bytes) / l.perSecond * float64(time.Second)))
+	return at.Add(time.Duration(float64(bytes) / l.bytesPerSecond * float64(time.Second)))
 }
 
-// New makes a network whose links have a delay.
+// New returns a network whose links have the given delay.
 func New(delay time.Duration) *Net {
-	return &Net{delay: delay, listeners: map[string]*listener{}, sockets: map[string]*socket{}, dark: map[string]bool{},
-		cut: map[[2]string]bool{}, conns: map[*conn]bool{}, processes: map[string][]*atomic.Bool{}, sent: map[[2]string]int{},
-		links: map[string]*link{}, slow: map[string]Slowness{}, chance: rand.New(rand.NewPCG(1, 0x3e7))}
+	return &Net{delay: delay, listeners: map[string]*listener{}, sockets: map[string]*socket{}, poweredOff: map[string]bool{},
+		blockedLinks: map[[2]string]bool{}, conns: map[*conn]bool{}, processEnded: map[string][]*atomic.Bool{}, bytesSent: map[[2]string]int{},
+		links: map[string]*link{}, processingDelays: map[string]Slowness{}, rng: rand.New(rand.NewPCG(1, 0x3e7))}
 }
 
-// Load is how many bytes a host has sent and received on connections.
+// Traffic returns how many bytes a host has sent and received on connections.
 func (n *Net) Load(ip string) (sent, received int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for ends, bytes := range n.sent {
+	for ends, bytes := range n.bytesSent {
 		if ends[0] == ip {
 			sent += bytes
 		}
@@ -139,43 +140,44 @@
 	return sent, received
 }
 
-func (n *Net) count(from, to string, bytes int) {
+func (n *Net) countBytes(from, to string, bytes int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.sent[[2]string{from, to}] += bytes
+	n.bytesSent[[2]string{from, to}] += bytes
 }
 
-// Host is the network as one process on a host sees it, until the host is killed.
+// Host returns the network as seen by a new process on a host, until the host is killed.
 func (n *Net) Host(ip string) netio.Network {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	ended := &atomic.Bool{}
-	n.processes[ip] = append(n.processes[ip], ended)
+	n.processEnded[ip] = append(n.processEnded[ip], ended)
 	return host{n, ip, ended}
 }
 
-// Cut cuts the link between two hosts, or heals it. Bytes that are held up go on when it heals.
+// Cut cuts the link between two hosts, or heals it. Bytes in flight are delivered when it heals.
 func (n *Net) Cut(a, b string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[[2]string{a, b}], n.cut[[2]string{b, a}] = cut, cut
+	n.blockedLinks[[2]string{a, b}], n.blockedLinks[[2]string{b, a}] = cut, cut
 }
 
-// CutOneWay cuts what goes from one host to another, or heals it. What comes back still passes.
+// CutOneWay blocks traffic from one host to another, or unblocks it. Traffic in the other direction still passes.
 func (n *Net) CutOneWay(from, to string, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut[[2]string{from, to}] = cut
+	n.blockedLinks[[2]string{from, to}] = cut
 }
 
-// Kill ends all sockets of a host. dark: it says nothing from now on, and connections to it hang; else they are reset.
+// Kill kills the processes of a host and closes their sockets. If dark is true, the host is powered off: it sends nothing
+// any more, and connections to it hang; else they are reset.
 func (n *Net) Kill(ip string, dark bool) {
 	n.mu.Lock()
-	n.dark[ip] = dark
-	for _, ended := range n.processes[ip] {
+	n.poweredOff[ip] = dark
+	for _, ended := range n.processEnded[ip] {
 		ended.Store(true)
 	}
-	delete(n.processes, ip)
+	delete(n.processEnded, ip)
 	var ended []*conn
 	for c := range n.conns {
 		if c.local == ip || c.remote == ip && !dark {
@@ -184,13 +186,13 @@
 	}
 	for address, l := range n.listeners {
 		if hostOf(address) == ip {
-			l.shut()
+			l.closeOnce()
 			delete(n.listeners, address)
 		}
 	}
 	for address, s := range n.sockets {
 		if hostOf(address) == ip {
-			s.shut()
+			s.closeOnce()
 			delete(n.sockets, address)
 		}
 	}
@@ -200,11 +202,11 @@
 	}
 }
 
-// Start gives a host its power back.
+// Start powers a host on again.
 func (n *Net) Start(ip string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.dark[ip] = false
+	n.poweredOff[ip] = false
 }
 
 func hostOf(address string) string {
@@ -215,11 +217,11 @@
 	return ip
 }
 
-// passes says whether bytes go from one host to another now.
+// passes reports whether bytes pass from one host to another now.
 func (n *Net) passes(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.cut[[2]string{from, to}] && !n.dark[to] && !n.dark[from]
+	return !n.blockedLinks[[2]string{from, to}] && !n.poweredOff[to] && !n.poweredOff[from]
 }
 
 type host struct {
@@ -230,14 +232,14 @@
 
 func (h host) Listen(address string) (net.Listener, error) {
 	if h.ended.Load() {
-		return nil, errEnded
+		return nil, errProcessEnded
 	}
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
 	if h.net.listeners[address] != nil {
 		return nil, errors.New("address in use")
 	}
-	l := &listener{net: h.net, address: address, queue: make(chan net.Conn, acceptQueue), done: make(chan struct{})}
+	l := &listener{net: h.net, address: address, queue: make(chan net.Conn, queueLength), done: make(chan struct{})}
 	h.net.listeners[address] = l
 	return l, nil
 }
@@ -247,7 +249,7 @@
 	defer cancel()
 	to := hostOf(address)
 	if h.ended.Load() {
-		return nil, errEnded
+		return nil, errProcessEnded
 	}
 	for !h.net.passes(h.ip, to) {
 		select {
@@ -276,7 +278,7 @@
 func (h host) ListenDatagrams(address string) (netio.Datagrams, error) {
 	h.net.mu.Lock()
 	defer h.net.mu.Unlock()
-	s := &socket{net: h.net, ended: h.ended, ip: h.ip, address: address, queue: make(chan []byte, acceptQueue), done: make(chan struct{})}
+	s := &socket{net: h.net, ended: h.ended, ip: h.ip, address: address, queue: make(chan []byte, queueLength), done: make(chan struct{})}
 	h.net.sockets[address] = s
 	return s, nil
 }
@@ -289,7 +291,7 @@
 	done    chan struct{}
 }
 
-func (l *listener) shut() { l.once.Do(func() { close(l.done) }) }
+func (l *listener) closeOnce() { l.once.Do(func() { close(l.done) }) }
 
 func (l *listener) Accept() (net.Conn, error) {
 	select {
@@ -301,7 +303,7 @@
 }
 
 func (l *listener) Close() error {
-	l.shut()
+	l.closeOnce()
 	l.net.mu.Lock()
 	defer l.net.mu.Unlock()
 	if l.net.listeners[l.address] == l {
@@ -327,7 +329,7 @@
 	done    chan struct{}
 }
 
-func (s *socket) shut() { s.once.Do(func() { close(s.done) }) }
+func (s *socket) closeOnce() { s.once.Do(func() { close(s.done) }) }
 
 func (s *socket) Receive(b []byte) (int, error) {
 	select {
@@ -343,7 +345,7 @@
 		return
 	}
 	s.net.mu.Lock()
-	other, lost := s.net.sockets[to], s.net.loses()
+	other, lost := s.net.sockets[to], s.net.drawLoss()
 	s.net.mu.Unlock()
 	if other == nil || lost {
 		return
@@ -355,7 +357,7 @@
 }
 
 func (s *socket) Close() error {
-	s.shut()
+	s.closeOnce()
 	return nil
 }
 
@@ -368,29 +370,29 @@
 	peer          *conn
 }
 
-// segment is bytes on their way.
+// segment holds bytes in flight.
 type segment struct {
-	data []byte
-	at   time.Time // of their arrival, if the link is up
+	data    []byte
+	arrival time.Time // when they arrive if the link is up
 }
 
-// stream is the bytes of one direction. Writing never blocks, since callers hold locks while they write; bytes wait on
-// their way until the link is up and their time has come.
+// stream holds the bytes in flight in one direction. Writes never block, since callers hold locks while they write; bytes
+// stay in flight until the link is up and their arrival time has come.
 type stream struct {
-	mu       sync.Mutex
-	segments []segment
-	closed   bool // no more follows
-	err      error
-	change   chan struct{} // closed at each change
-	readBy   time.Time
+	mu           sync.Mutex
+	segments     []segment
+	writerClosed bool // no more bytes follow
+	err          error
+	changes      chan struct{} // closed and replaced at each change
+	readDeadline time.Time
 }
 
-func newStream() *stream { return &stream{change: make(chan struct{})} }
+func newStream() *stream { return &stream{changes: make(chan struct{})} }
 
-// changed wakes all who wait; s.mu is held.
-func (s *stream) changed() {
-	close(s.change)
-	s.change = make(chan struct{})
+// notifyChange wakes all waiting goroutines. The caller holds s.mu.
+func (s *stream) notifyChange() {
+	close(s.changes)
+	s.changes = make(chan struct{})
 }
 
 func newPair(n *Net, a, b string) (*conn, *conn) {
@@ -401,9 +403,9 @@
 	return here, there
 }
 
-// wait waits for a change of s, at most so long. It gives up s.mu meanwhile.
+// wait waits for a change of s, at most for the given time. It releases s.mu meanwhile.
 func (s *stream) wait(most time.Duration) {
-	change := s.change
+	change := s.changes
 	s.mu.Unlock()
 	defer s.mu.Lock()
 	timer := time.NewTimer(most)
@@ -414,8 +416,8 @@
 	}
 }
 
-// sleep gives up s.mu for a while.
-func (s *stream) sleep(span time.Duration) {
+// sleepUnlocked sleeps and releases s.mu meanwhile.
+func (s *stream) sleepUnlocked(span time.Duration) {
 	if span == 0 {
 		return
 	}
@@ -424,17 +426,18 @@
 	time.Sleep(span)
 }
 
-// arrived says whether there is something to read now, and else how long to wait before looking again; s.mu is held.
-func (c *conn) arrived() (bool, time.Duration) {
+// readable reports whether there is something to read now, and if not, how long to wait before checking again. The caller
+// holds the mutex of c.in.
+func (c *conn) readable() (bool, time.Duration) {
 	s := c.in
 	if len(s.segments) == 0 {
 		return false, time.Hour
 	}
-	if left := time.Until(s.segments[0].at); left > 0 {
+	if left := time.Until(s.segments[0].arrival); left > 0 {
 		return false, left
 	}
 	if !c.net.passes(c.remote, c.local) {
-		return false, lookAgain
+		return false, linkPollInterval
 	}
 	return true, 0
 }
@@ -444,10 +447,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for woken := false; ; {
-		there, wait := c.arrived()
+		there, wait := c.readable()
 		if slow := c.net.Slow(c.local); there && !woken && slow.ToRead > 0 {
 			woken = true
-			s.sleep(slow.ToRead)
+			s.sleepUnlocked(slow.ToRead)
 			continue
 		}
 		switch {
@@ -458,13 +461,13 @@
 			if s.segments[0].data = s.segments[0].data[n:]; len(s.segments[0].data) == 0 {
 				s.segments = s.segments[1:]
 			}
-			s.sleep(c.net.Slow(c.local).ToParse)
+			s.sleepUnlocked(c.net.Slow(c.local).ToParse)
 			return n, nil
-		case s.closed && len(s.segments) == 0:
+		case s.writerClosed && len(s.segments) == 0:
 			return 0, io.EOF
 		}
-		if !s.readBy.IsZero() {
-			left := time.Until(s.readBy)
+		if !s.readDeadline.IsZero() {
+			left := time.Until(s.readDeadline)
 			if left <= 0 {
 				return 0, os.ErrDeadlineExceeded
 			}
@@ -475,77 +478,78 @@
 }
 
 func (c *conn) Write(b []byte) (int, error) {
-	c.net.count(c.local, c.remote, len(b))
+	c.net.countBytes(c.local, c.remote, len(b))
 	s := c.out
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.err != nil:
 		return 0, s.err
-	case s.closed:
+	case s.writerClosed:
 		return 0, errReset
 	}
-	sent := segment{data: append([]byte(nil), b...), at: c.net.arrival(c.local, c.remote, len(b))}
+	sent := segment{data: append([]byte(nil), b...), arrival: c.net.arrivalTime(c.local, c.remote, len(b))}
 	s.segments = append(s.segments, sent)
-	s.changed()
-	time.AfterFunc(silence, func() { c.expire(sent.at) })
+	s.notifyChange()
+	time.AfterFunc(ackTimeout, func() { c.expire(sent.arrival) })
 	return len(b), nil
 }
 
-// expire ends the connection if what was sent up to a time has not arrived behind a link that is down.
+// expire resets the connection if the link is down and bytes due to arrive by the given time are still in flight.
 func (c *conn) expire(sent time.Time) {
 	c.out.mu.Lock()
-	late := len(c.out.segments) > 0 && !c.out.segments[0].at.After(sent)
+	late := len(c.out.segments) > 0 && !c.out.segments[0].arrival.After(sent)
 	c.out.mu.Unlock()
 	if late && !c.net.passes(c.local, c.remote) {
 		c.abort(errReset)
 	}
 }
 
-// abort ends both directions at once.
+// abort ends both directions at once with an error.
 func (c *conn) abort(err error) {
 	for _, s := range []*stream{c.in, c.out} {
 		s.mu.Lock()
 		if s.err == nil {
 			s.err = err
-			s.changed()
+			s.notifyChange()
 		}
 		s.mu.Unlock()
 	}
-	c.forget()
+	c.unregister()
 }
 
-func (c *conn) forget() {
+func (c *conn) unregister() {
 	c.net.mu.Lock()
 	defer c.net.mu.Unlock()
 	delete(c.net.conns, c)
 }
 
-// Close ends the connection: the other end reads what was written, then its end. Bytes that were not read reset it.
+// Close closes the connection: the other end reads what was written, then io.EOF. If this end has unread bytes, the
+// connection is reset.
 func (c *conn) Close() error {
 	c.in.mu.Lock()
 	unread := len(c.in.segments) > 0
 	if c.in.err == nil {
 		c.in.err = net.ErrClosed
 	}
-	c.in.changed()
+	c.in.notifyChange()
 	c.in.mu.Unlock()
 	c.out.mu.Lock()
-	c.out.closed = true
+	c.out.writerClosed = true
 	if unread && c.out.err == nil {
 		c.out.err = errReset
 	}
-	c.out.changed()
+	c.out.notifyChange()
 	c.out.mu.Unlock()
-	c.forget()
+	c.unregister()
 	return nil
 }
 
-// Quiet says whether nothing has arrived.
+// Quiet reports whether this end has neither bytes nor an end of the stream pending.
 func (c *conn) Quiet() bool {
 	c.in.mu.Lock()
 	defer c.in.mu.Unlock()
-	return len(c.in.segments) == 0 && !c.in.closed && c.in.err == nil
+	return len(c.in.segments) == 0 && !c.in.writerClosed && c.in.err == nil
 }
 
 func (c *conn) LocalAddr() net.Addr  { return address(c.local + ":1") }
@@ -559,10 +563,10 @@
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.in.mu.Lock()
 	defer c.in.mu.Unlock()
-	c.in.readBy = t
-	c.in.changed()
+	c.in.readDeadline = t
+	c.in.notifyChange()
 	return nil
 }
 
-// SetWriteDeadline does nothing: writing never blocks.
+// SetWriteDeadline does nothing: writes never block.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
