--- a/internal/journalfile/journalfile.go
+++ b/internal/journalfile/journalfile.go
@@ -264,10 +264,10 @@
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
-func fileName(word string, seq uint64) string { return fmt.Sprintf("%s%020d", word, seq) }
+func fileName(prefix string, seq uint64) string { return fmt.Sprintf("%s%020d", prefix, seq) }
 
-func parseSequence(name, word string) (uint64, bool) {
-	digits, ok := strings.CutPrefix(name, word)
+func parseSequence(name, prefix string) (uint64, bool) {
+	digits, ok := strings.CutPrefix(name, prefix)
 	if !ok || len(digits) != 20 {
 		return 0, false
 	}
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -404,11 +404,11 @@
 }
 
 // wait waits for a change of s, at most for the given time. It releases s.mu meanwhile.
-func (s *stream) wait(most time.Duration) {
+func (s *stream) wait(timeout time.Duration) {
 	change := s.changes
 	s.mu.Unlock()
 	defer s.mu.Lock()
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case <-change:
--- a/internal/register/explore_members_test.go
+++ b/internal/register/explore_members_test.go
@@ -20,7 +20,7 @@
 // attemptPlan describes a round that starts when it is first stepped.
 type attemptPlan struct {
 	name   string
-	begin  func(w *memberState) (sets Members, known Known, ready bool)
+	start  func(w *memberState) (sets Members, known Known, ready bool)
 	change Change
 }
 
@@ -44,9 +44,9 @@
 	return append(slices.Clone(all[:l.staying]), all[l.staying+l.leaving:]...)
 }
 
-// observer is the replica whose accepted value is repaired: the last one that becomes a voter, if one does. It is not
+// repairedReplica is the index of the replica whose accepted value is repaired: the last one that becomes a voter, if one does. It is not
 // interchangeable with any other replica.
-func (l layout) observer() int { return l.total() - 1 }
+func (l layout) repairedReplica() int { return l.total() - 1 }
 
 type memberState struct {
 	layout
@@ -88,8 +88,8 @@
 	}
 	from := 0
 	for _, alike := range []int{w.staying, w.leaving, w.joining} {
-		slices.Sort(parts[from:min(from+alike, w.observer())])
-		from = min(from+alike, w.observer())
+		slices.Sort(parts[from:min(from+alike, w.repairedReplica())])
+		from = min(from+alike, w.repairedReplica())
 	}
 	for _, part := range parts {
 		b = append(b, part...)
@@ -132,7 +132,7 @@
 // step lets round i send a message to replica at and receive the answer; nil: there is nothing to send.
 func (w *memberState) step(proposals []attemptPlan, i, at int) *memberState {
 	if w.rounds[i] == nil {
-		sets, known, ready := proposals[i].begin(w)
+		sets, known, ready := proposals[i].start(w)
 		if !ready {
 			return nil
 		}
@@ -240,7 +240,7 @@
 // value names instead of those that it was proposed to, which is wrong.
 func repairFromOneReplica(loose bool) func(*memberState) (Members, Known, bool) {
 	return func(w *memberState) (Members, Known, bool) {
-		s := w.acceptorStates[w.observer()]
+		s := w.acceptorStates[w.repairedReplica()]
 		sets := Members{Sets: s.Value.Quorums()}
 		if loose {
 			sets = s.Value.Members
@@ -258,11 +258,11 @@
 // The rounds that the models combine.
 
 func startMove(l layout) attemptPlan {
-	return attemptPlan{"seats move", fromInitialValue, appendName("J", Reconfigure(Single(l.initialVoters()...), l.nextVoters()))}
+	return attemptPlan{"move", fromInitialValue, appendName("J", Reconfigure(Single(l.initialVoters()...), l.nextVoters()))}
 }
 
 func finishMove(layout) attemptPlan {
-	return attemptPlan{"the move is settled", fromInitialValue, appendName("S", Settle)}
+	return attemptPlan{"finish move", fromInitialValue, appendName("S", Settle)}
 }
 
 func changeValue(layout) attemptPlan {
@@ -270,11 +270,11 @@
 }
 
 func repairValue(layout) attemptPlan {
-	return attemptPlan{"doubt", repairFromOneReplica(false), keepChange}
+	return attemptPlan{"repair", repairFromOneReplica(false), keepChange}
 }
 
 func looseRepair(layout) attemptPlan {
-	return attemptPlan{"doubt", repairFromOneReplica(true), keepChange}
+	return attemptPlan{"loose repair", repairFromOneReplica(true), keepChange}
 }
 
 // maxStates bounds the exploration of the models with three voters; all but one finish below it. Each run explores
@@ -300,22 +300,22 @@
 		layout   layout
 		attempts attempts
 	}{
-		"one seat of three: move, settle, operation":            {oneSeatOfThree, attempts{startMove, finishMove, changeValue}},
-		"one seat of three: move, settle, doubt":                {oneSeatOfThree, attempts{startMove, finishMove, repairValue}},
-		"one seat of three: move, operation, doubt":             {oneSeatOfThree, attempts{startMove, changeValue, repairValue}},
-		"one seat of three: move, settle, doubt and operation":  {oneSeatOfThree, attempts{startMove, finishMove, repairValue, changeValue}},
-		"one seat of three: two moves and an operation by four": {oneSeatOfThree, attempts{startMove, startMove, changeValue}},
-		"three grow to five: move, settle, operation":           {threeGrowToFive, attempts{startMove, finishMove, changeValue}},
-		"three grow to five: move, operation, doubt":            {threeGrowToFive, attempts{startMove, changeValue, repairValue}},
-		"five grow to seven: move, settle":                      {fiveGrowToSeven, attempts{startMove, finishMove}},
+		"one seat of three: move, finish, operation":            {oneSeatOfThree, attempts{startMove, finishMove, changeValue}},
+		"one seat of three: move, finish, repair":               {oneSeatOfThree, attempts{startMove, finishMove, repairValue}},
+		"one seat of three: move, operation, repair":            {oneSeatOfThree, attempts{startMove, changeValue, repairValue}},
+		"one seat of three: move, finish, repair and operation": {oneSeatOfThree, attempts{startMove, finishMove, repairValue, changeValue}},
+		"one seat of three: two moves, operation":               {oneSeatOfThree, attempts{startMove, startMove, changeValue}},
+		"three grow to five: move, finish, operation":           {threeGrowToFive, attempts{startMove, finishMove, changeValue}},
+		"three grow to five: move, operation, repair":           {threeGrowToFive, attempts{startMove, changeValue, repairValue}},
+		"five grow to seven: move, finish":                      {fiveGrowToSeven, attempts{startMove, finishMove}},
 		"five grow to seven: move, operation":                   {fiveGrowToSeven, attempts{startMove, changeValue}},
-		"five grow to seven: move, doubt":                       {fiveGrowToSeven, attempts{startMove, repairValue}},
-		"two seats of five: move, settle":                       {twoSeatsOfFive, attempts{startMove, finishMove}},
+		"five grow to seven: move, repair":                      {fiveGrowToSeven, attempts{startMove, repairValue}},
+		"two seats of five: move, finish":                       {twoSeatsOfFive, attempts{startMove, finishMove}},
 		"two seats of five: move, operation":                    {twoSeatsOfFive, attempts{startMove, changeValue}},
-		"two seats of five: move, doubt":                        {twoSeatsOfFive, attempts{startMove, repairValue}},
-		"two seats of five: move, settle, operation":            {twoSeatsOfFive, attempts{startMove, finishMove, changeValue}},
-		"one seat of five: move, settle, operation":             {oneSeatOfFive, attempts{startMove, finishMove, changeValue}},
-		"five shrink to three: move, operation, doubt":          {fiveShrinkToThree, attempts{startMove, changeValue, repairValue}},
+		"two seats of five: move, repair":                       {twoSeatsOfFive, attempts{startMove, repairValue}},
+		"two seats of five: move, finish, operation":            {twoSeatsOfFive, attempts{startMove, finishMove, changeValue}},
+		"one seat of five: move, finish, operation":             {oneSeatOfFive, attempts{startMove, finishMove, changeValue}},
+		"five shrink to three: move, operation, repair":         {fiveShrinkToThree, attempts{startMove, changeValue, repairValue}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/register/histories_test.go
+++ b/internal/register/histories_test.go
@@ -48,7 +48,7 @@
 	known   Known
 }
 
-type chosen struct {
+type chosenValue struct {
 	ops     []string
 	members Members
 	seq     uint64
@@ -61,7 +61,7 @@
 	disks        []*disk
 	proposers    []*proposer
 	inFlight     []message
-	chosen       []chosen
+	chosen       []chosenValue
 	acknowledged []string
 	ops          int
 	losses       int
@@ -138,7 +138,7 @@
 	if len(w.chosen) == 0 {
 		return false
 	}
-	newest := slices.MaxFunc(w.chosen, func(a, b chosen) int { return cmp.Compare(a.seq, b.seq) })
+	newest := slices.MaxFunc(w.chosen, func(a, b chosenValue) int { return cmp.Compare(a.seq, b.seq) })
 	return !newest.members.Moving() && newest.members.Has(Replica{Address: fmt.Sprint(i), Disk: w.disks[i].id})
 }
 
@@ -294,7 +294,7 @@
 // recordChosen records a chosen value and checks it against all others.
 func (w *simulation) recordChosen(p *proposer) {
 	v := p.round.Value
-	c := chosen{ops: opsOf(v), members: v.Members, seq: v.Sequence}
+	c := chosenValue{ops: opsOf(v), members: v.Members, seq: v.Sequence}
 	for _, other := range w.chosen {
 		short, long := other, c
 		if len(short.ops) > len(long.ops) {
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -117,8 +117,8 @@
 // parseRecords splits a file into its records, up to the first incomplete or corrupt one. rest starts with that one.
 func parseRecords(text []byte) (out [][]byte, rest []byte) {
 	for {
-		body, whole := parseRecord(text)
-		if !whole {
+		body, valid := parseRecord(text)
+		if !valid {
 			return out, text
 		}
 		out = append(out, body)
@@ -128,7 +128,7 @@
 
 // parseRecord reads the record at the start of text. Empty records are invalid: a part of a file that was never written
 // reads as zeros.
-func parseRecord(text []byte) (body []byte, whole bool) {
+func parseRecord(text []byte) (body []byte, valid bool) {
 	if len(text) < headerSize {
 		return nil, false
 	}
@@ -144,7 +144,7 @@
 // time, so no valid record follows a torn one.
 func containsRecord(text []byte) bool {
 	for at := 1; at < len(text); at++ {
-		if _, whole := parseRecord(text[at:]); whole {
+		if _, valid := parseRecord(text[at:]); valid {
 			return true
 		}
 	}
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -340,8 +340,8 @@
 	f.Add(append(encodeRecord([]byte("one")), encodeRecord([]byte("two"))[:5]...))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		size := 0
-		whole, _ := parseRecords(text)
-		for _, r := range whole {
+		valid, _ := parseRecords(text)
+		for _, r := range valid {
 			size += headerSize + len(r)
 		}
 		if size > len(text) {
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -172,9 +172,9 @@
 	return Counts{}
 }
 
-// After calls callback once wait ms have passed, between two events.
-func (n *Net) After(wait float64, callback func()) {
-	n.push(event{at: n.now + wait, callback: callback})
+// After calls callback once delay ms have passed, between two events.
+func (n *Net) After(delay float64, callback func()) {
+	n.push(event{at: n.now + delay, callback: callback})
 }
 
 // Run advances time by forMs and processes the events that fall into it.
--- a/internal/voters/histories_test.go
+++ b/internal/voters/histories_test.go
@@ -61,12 +61,12 @@
 }
 
 type attempt struct {
-	round    *register.Round
-	begun    time.Duration
-	accepts  []register.Accept
-	prepares []register.Prepare
-	done     func(chosen bool)
-	byVoter  bool // proposed by a voter's maintenance, not by the operator
+	round     *register.Round
+	startedAt time.Duration
+	accepts   []register.Accept
+	prepares  []register.Prepare
+	done      func(chosen bool)
+	byVoter   bool // proposed by a voter's maintenance, not by the operator
 }
 
 type simulation struct {
@@ -319,7 +319,7 @@
 	}
 	b.counter = max(b.counter, known.Ballot.Counter) + 1
 	round := register.NewRound(register.Ballot{Counter: b.counter, Proposer: b.proposer}, members, known, m.recordParent(change))
-	b.round = &attempt{round: round, begun: m.now, prepares: round.Prepares(), done: done, byVoter: byVoter}
+	b.round = &attempt{round: round, startedAt: m.now, prepares: round.Prepares(), done: done, byVoter: byVoter}
 }
 
 // deliver delivers the messages of a node's round. A lost message is sent again in a later tick; at times only its answer
@@ -358,7 +358,7 @@
 		b.counter = max(b.counter, a.round.Highest.Counter)
 		b.round = nil
 	default:
-		if m.now-a.begun > roundTimeout {
+		if m.now-a.startedAt > roundTimeout {
 			b.round = nil
 		}
 	}
@@ -540,8 +540,8 @@
 		b.side = 1
 	}
 	for end := m.now + time.Duration(2+m.rng.IntN(18))*time.Second; m.now < end && m.err == nil; {
-		begun, acked := m.now, len(m.acknowledged)
-		for m.err == nil && len(m.acknowledged) == acked && m.now-begun < catchUp {
+		started, acked := m.now, len(m.acknowledged)
+		for m.err == nil && len(m.acknowledged) == acked && m.now-started < catchUp {
 			m.submitOrderAt(live[m.rng.IntN(greater)])
 			m.step()
 		}
@@ -549,7 +549,7 @@
 			m.err = fmt.Errorf("%v: no order is taken in the larger part, %d of %d machines", m.now, greater, len(live))
 		}
 		if steady {
-			m.partitionLatencies = append(m.partitionLatencies, m.now-begun)
+			m.partitionLatencies = append(m.partitionLatencies, m.now-started)
 		}
 		m.advanceTime(time.Duration(m.rng.IntN(1000)) * time.Millisecond)
 	}
@@ -652,22 +652,22 @@
 }
 
 func runHistories(t *testing.T, histories int, loss float64, slow bool) {
-	var waits, split []time.Duration
+	var recoveryTimes, partitionLatencies []time.Duration
 	orders := 0
 	for seed := range histories {
 		m := runHistory(uint64(seed), injectedFaults{}, loss, slow)
 		if m.err != nil {
 			t.Fatalf("seed %d: %v", seed, m.err)
 		}
-		waits, split = append(waits, m.recoveryTimes...), append(split, m.partitionLatencies...)
+		recoveryTimes, partitionLatencies = append(recoveryTimes, m.recoveryTimes...), append(partitionLatencies, m.partitionLatencies...)
 		orders += len(m.acknowledged)
 	}
-	slices.SortFunc(waits, func(a, b time.Duration) int { return cmp.Compare(a, b) })
+	slices.SortFunc(recoveryTimes, func(a, b time.Duration) int { return cmp.Compare(a, b) })
 	t.Logf("%d histories, %d orders taken; recovered after %v (p50), %v (p99), %v (max), limit %v", histories, orders,
-		waits[len(waits)/2], waits[len(waits)*99/100], waits[len(waits)-1], catchUp)
-	slices.Sort(split)
-	t.Logf("%d orders in the larger part of a partitioned core took %v (p50), %v (p99), %v (max)", len(split),
-		split[len(split)/2], split[len(split)*99/100], split[len(split)-1])
+		recoveryTimes[len(recoveryTimes)/2], recoveryTimes[len(recoveryTimes)*99/100], recoveryTimes[len(recoveryTimes)-1], catchUp)
+	slices.Sort(partitionLatencies)
+	t.Logf("%d orders in the larger part of a partitioned core took %v (p50), %v (p99), %v (max)", len(partitionLatencies),
+		partitionLatencies[len(partitionLatencies)/2], partitionLatencies[len(partitionLatencies)*99/100], partitionLatencies[len(partitionLatencies)-1])
 }
 
 func TestPlantedFaultsAreFound(t *testing.T) {
--- a/internal/voters/voters_test.go
+++ b/internal/voters/voters_test.go
@@ -117,8 +117,8 @@
 func TestGreaterHalf(t *testing.T) {
 	for total := 3; total <= 9; total++ {
 		for machinesLost := 1; 2*machinesLost+1 <= total; machinesLost++ {
-			for begin := 3; begin <= total; begin += 2 {
-				present, learners := settledFleet(total, begin)
+			for initial := 3; initial <= total; initial += 2 {
+				present, learners := settledFleet(total, initial)
 				for range total {
 					next, due := Plan(present, learners, Tolerance{Machines: machinesLost})
 					if !due {
@@ -127,7 +127,7 @@
 					present, learners = partition(slices.Concat(present, learners), next)
 				}
 				if missing := withoutMajority(total, present); missing != 0 {
-					t.Errorf("%d machines, %d losses, %d initial voters: ended with %d voters; the group %b has no majority", total, machinesLost, begin, len(present), missing)
+					t.Errorf("%d machines, %d losses, %d initial voters: ended with %d voters; the group %b has no majority", total, machinesLost, initial, len(present), missing)
 				}
 				if len(present)-machinesLost <= len(present)/2 {
 					t.Errorf("%d machines: %d voters do not tolerate the loss of %d", total, len(present), machinesLost)
