--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,9 +1,11 @@
-// Package balance stands between the data plane and the decision module. It has no I/O, clock or goroutine: requests,
-// ended sends, lists of instances and configurations go in, commands come out. It owns the numbers of requests and
-// instances, the timers and the settings in the module's terms. What to do is the module's to say.
+// Package balance adapts the data plane to the decision module (package logic). It does no I/O and has no clock or
+// goroutine: it turns requests, results of attempts, instance lists and configurations into events of the module, and
+// the module's actions into commands. It assigns the numbers of requests and instances, keeps the timers and translates
+// the settings into the module's terms. All decisions are the module's.
 //
-// A request becomes a scan of one part; the services are the cells, and a part's shard is its service. The module
-// then covers it as it covers a scan: by one runner, and with a prompt by at most one source to fetch from.
+// A request becomes a scan with one part; each service is a cell, and the shard of a part is its service. The module
+// places the part as it places any scan: on one instance that runs it and, for a prompt, with at most one source to
+// fetch cached parts from.
 package balance
 
 import (
@@ -17,7 +19,7 @@
 	"gullstair/logic"
 )
 
-// Instance is one instance of a service as the registry has it.
+// Instance is one instance of a service, as registered.
 type Instance struct {
 	ID      string
 	Service string
@@ -25,92 +27,93 @@
 	Zone    string
 	Slots   int
 	State   logic.Readiness
-	Cold    float64 // ms for which it is still slow from its start
+	Cold    float64 // ms of slow start that remain
 }
 
-// Prompt is what a request reads, and who keeps how much of it; instances and stores by their ids.
+// Prompt describes the prompt of a request and which instances and stores cache how much of it. Instances and stores are
+// named by their ids.
 type Prompt struct {
-	Tokens float64
-	Shared float64
-	Held   map[string]float64
-	Home   []string
-	Group  map[string]int64  // version of the weights that an instance or store keeps parts of
-	Stores map[string]string // zones of the stores, by id
-	// FetchTime is the ms that one token takes from a source in the runner's zone; AcrossTime from another zone.
+	Tokens float64            // length of the prompt
+	Shared float64            // tokens of the parts that other requests may share
+	Held   map[string]float64 // leading tokens of the prompt that are cached, by id
+	Home   []string           // placement order of the instances for the shared parts
+	Group  map[string]int64   // version of the weights that the cached parts belong to, by id
+	Stores map[string]string  // zones of the stores, by id
+	// The time in ms to fetch one token from a source in the zone of the running instance, and from another zone.
 	FetchTime  float64
 	AcrossTime float64
 }
 
-// Request is what arrives from a client.
+// Request is a request of a client.
 type Request struct {
 	Route     *configuration.Route
 	Service   string
-	Budget    float64 // ms that are left for it
+	Budget    float64 // ms until its deadline
 	Permitted []string
-	Limited   bool // only Permitted may run it
+	Limited   bool // only the instances in Permitted may run it
 	Prompt    *Prompt
 }
 
-// CommandKind says what is to be done with a request.
+// CommandKind is the kind of a Command.
 type CommandKind int
 
 const (
-	Send   CommandKind = iota + 1 // to Instance, fetching from Source
-	Recall                        // stop waiting for the send with number Attempt
-	Finish                        // its answer is whole
-	Refuse                        // it never ran: tell the client when to come back
-	Fail                          // give it up; it may have run
+	Send   CommandKind = iota + 1 // send the request to Instance, which fetches cached parts from Source
+	Recall                        // cancel the attempt with number Attempt
+	Finish                        // the answer is complete
+	Refuse                        // the request never ran: tell the client when to retry
+	Fail                          // give the request up; it may have run
 )
 
-// Command is what the module wants done with one request.
+// Command is a decision of the module about one request.
 type Command struct {
 	Kind     CommandKind
 	Request  int64
 	Attempt  int
 	Instance string
-	Source   string  // id of the instance or store to fetch from; empty: none
-	Save     bool    // a store is to keep what is read
-	Timeout  float64 // ms; of a send
-	Backlog  float64 // ms; work that is taken to be outstanding at the instance before this
-	Work     float64 // ms; what this adds to it
-	After    float64 // ms; when a refused client may come back
+	Source   string  // id of the instance or store to fetch cached parts from; empty if none
+	Save     bool    // the instance saves the prompt's parts in the store
+	Timeout  float64 // ms; timeout of the attempt
+	Backlog  float64 // ms; estimated work outstanding at the instance before this request
+	Work     float64 // ms; estimated work of this request
+	After    float64 // ms after which a refused client may retry
 }
 
-// Fleet is what the module is told about the brokers and their deployment.
+// Fleet describes the brokers and their deployment to the module.
 type Fleet struct {
 	Brokers      float64
 	Zone         string
 	BudgetWindow float64 // ms
 	BudgetRatio  float64
-	BudgetSlack  float64 // of this broker's share
-	Notes        bool    // brokers tell each other of the work that they send
-	RetryAfter   float64 // ms; the longest that a refused client is told to wait
+	BudgetSlack  float64 // attempts of this broker's share, beside the ratio
+	Notes        bool    // brokers notify each other of the work that they send to instances
+	RetryAfter   float64 // ms; upper bound of the retry delay that a refused client gets
 }
 
-// Balancer is one broker's. One goroutine at a time may call it.
+// Balancer drives the decision module of one broker. It is not safe for concurrent use.
 type Balancer struct {
 	module logic.Broker
 	fleet  Fleet
 	seed   uint64
 
-	started   bool
-	now       float64
-	last      int64
-	scans     map[int64]int64 // part of a request, by the request's number
-	requests  map[int64]int64 // request, by its part's number
-	timers    timerHeap
-	services  map[string]int
-	zones     map[string]int
-	types     map[typeKey]int
-	terms     map[string]any
-	numbers   map[string]int64 // instances and stores, by id
-	ids       map[int64]string
-	instances []Instance
-	notes     []Note // for the other brokers
+	started    bool
+	now        float64
+	lastNumber int64
+	partOf     map[int64]int64 // number of a request's part, by the request's number
+	requestOf  map[int64]int64 // number of a request, by its part's number
+	timers     timerHeap
+	services   map[string]int
+	zones      map[string]int
+	routeTypes map[routeTypeKey]int
+	terms      map[string]any
+	numberByID map[string]int64 // numbers of instances and stores, by id
+	idByNumber map[int64]string
+	instances  []Instance
+	notes      []Note // notes for the other brokers that Notes has not returned yet
 }
 
-// typeKey tells routes apart as far as the module's figures of them go.
-type typeKey struct {
+// routeTypeKey identifies a type of routes: the module keeps one set of statistics for all routes with the same key.
+type routeTypeKey struct {
 	kind            configuration.Kind
 	service         string
 	timeout, target float64 // ms
@@ -119,15 +122,15 @@
 	priority        int
 }
 
-const mostServices = 256
+const maxServices = 256
 
-// New makes a balancer that waits for its first configuration.
+// New returns a balancer that ignores all events until its first configuration.
 func New(seed uint64, fleet Fleet) *Balancer {
-	return &Balancer{fleet: fleet, seed: seed, scans: map[int64]int64{}, requests: map[int64]int64{}, services: map[string]int{},
-		zones: map[string]int{}, types: map[typeKey]int{}, numbers: map[string]int64{}, ids: map[int64]string{}}
+	return &Balancer{fleet: fleet, seed: seed, partOf: map[int64]int64{}, requestOf: map[int64]int64{}, services: map[string]int{},
+		zones: map[string]int{}, routeTypes: map[routeTypeKey]int{}, numberByID: map[string]int64{}, idByNumber: map[int64]string{}}
 }
 
-// SetFleet tells how many brokers there are now.
+// SetFleet updates the number of brokers and the settings of the deployment.
 func (b *Balancer) SetFleet(now float64, fleet Fleet) []Command {
 	if fleet == b.fleet {
 		return nil
@@ -136,43 +139,43 @@
 	if !b.started {
 		return nil
 	}
-	return b.restate(now)
+	return b.updateTerms(now)
 }
 
-// SetConfiguration tells the routes.
+// SetConfiguration updates the services and routes.
 func (b *Balancer) SetConfiguration(now float64, c *configuration.Configuration) []Command {
 	for _, name := range slices.Sorted(maps.Keys(c.Services)) {
 		b.serviceNumber(name)
 	}
 	for _, route := range c.Routes {
-		b.typeOf(route)
+		b.routeType(route)
 	}
-	if len(b.types) == 0 {
+	if len(b.routeTypes) == 0 {
 		return nil
 	}
 	if !b.started {
 		b.started = true
 		b.terms = b.newTerms()
-		return append(b.step(now, logic.Event{Kind: logic.Started, Seed: b.seed, Terms: b.terms}), b.tellInstances(now)...)
+		return append(b.step(now, logic.Event{Kind: logic.Started, Seed: b.seed, Terms: b.terms}), b.reportInstances(now)...)
 	}
-	return b.restate(now)
+	return b.updateTerms(now)
 }
 
-func (b *Balancer) restate(now float64) []Command {
+func (b *Balancer) updateTerms(now float64) []Command {
 	b.terms = b.newTerms()
 	return b.step(now, logic.Event{Kind: logic.TermsChanged, Terms: b.terms})
 }
 
-// SetInstances tells all instances that are known.
+// SetInstances replaces the list of known instances.
 func (b *Balancer) SetInstances(now float64, instances []Instance) []Command {
 	b.instances = instances
 	if !b.started {
 		return nil
 	}
-	return b.tellInstances(now)
+	return b.reportInstances(now)
 }
 
-func (b *Balancer) tellInstances(now float64) []Command {
+func (b *Balancer) reportInstances(now float64) []Command {
 	entries := make([]logic.Entry, 0, len(b.instances))
 	known := map[string]bool{}
 	for _, i := range b.instances {
@@ -184,12 +187,12 @@
 	return b.step(now, logic.Event{Kind: logic.ListArrived, List: logic.ListWhole, Entries: entries})
 }
 
-// Arrive takes a request and returns its number.
+// Arrive registers a request and returns its number.
 func (b *Balancer) Arrive(now float64, r Request) (int64, []Command) {
-	b.last += 2
-	request, part := b.last-1, b.last
-	b.scans[request], b.requests[part] = part, request
-	scan := logic.Event{Kind: logic.ScanArrived, ID: request, Scan: request, TableType: b.typeOf(r.Route), Budget: r.Budget}
+	b.lastNumber += 2
+	request, part := b.lastNumber-1, b.lastNumber
+	b.partOf[request], b.requestOf[part] = part, request
+	scan := logic.Event{Kind: logic.ScanArrived, ID: request, Scan: request, TableType: b.routeType(r.Route), Budget: r.Budget}
 	if r.Limited {
 		scan.Permitted = map[int64]bool{}
 		for _, id := range r.Permitted {
@@ -223,65 +226,66 @@
 	return out
 }
 
-// Began tells that the first event of a request's stream has come.
+// Began reports that the first event of a request's stream has arrived.
 func (b *Balancer) Began(now float64, request int64, attempt int, elapsed float64) []Command {
-	part, open := b.scans[request]
+	part, open := b.partOf[request]
 	if !open {
 		return nil
 	}
 	return b.step(now, logic.Event{Kind: logic.StreamBegan, ID: part, Dispatch: attempt, Elapsed: elapsed})
 }
 
-// Ended tells how a send ended.
+// Ended reports the outcome of an attempt.
 func (b *Balancer) Ended(now float64, request int64, attempt int, outcome logic.Outcome, elapsed float64) []Command {
-	part, known := b.scans[request]
+	part, known := b.partOf[request]
 	if !known {
 		return nil
 	}
 	return b.step(now, logic.Event{Kind: logic.DispatchEnded, ID: part, Dispatch: attempt, Outcome: outcome, Elapsed: elapsed})
 }
 
-// Left tells that a request's client has gone.
+// Left reports that the client of a request has disconnected.
 func (b *Balancer) Left(now float64, request int64) []Command {
 	return b.step(now, logic.Event{Kind: logic.ClientLeft, ID: request})
 }
 
-// Forget drops a request whose last send has ended and that needs nothing more.
+// Forget drops a request whose last attempt has ended and that gets no further events.
 func (b *Balancer) Forget(request int64) {
-	delete(b.requests, b.scans[request])
-	delete(b.scans, request)
+	delete(b.requestOf, b.partOf[request])
+	delete(b.partOf, request)
 }
 
-// Heard takes what another broker told.
+// Heard processes a note received from another broker.
 func (b *Balancer) Heard(now float64, note []byte) []Command {
 	return b.step(now, logic.Event{Kind: logic.PeerNote, Note: note})
 }
 
-// Note is what other brokers are to be told: all of them, or as many as usual.
+// Note is a message for other brokers about work that this one sent. A wide note goes to all of them, others to the usual
+// number of peers.
 type Note struct {
 	Text []byte
 	Wide bool
 }
 
-// Notes returns what the other brokers are to be told, once.
+// Notes returns the pending notes for the other brokers and clears them.
 func (b *Balancer) Notes() []Note {
 	notes := b.notes
 	b.notes = nil
 	return notes
 }
 
-// Due is the moment at which Advance is wanted; +Inf if there is none.
+// Due returns the time in ms of the earliest timer, at which Advance must be called; +Inf if no timer is set.
 func (b *Balancer) Due() float64 {
 	if len(b.timers) == 0 {
 		return math.Inf(1)
 	}
-	return b.timers[0].at
+	return b.timers[0].dueAt
 }
 
-// Advance fires the timers that are due.
+// Advance fires the timers that have expired.
 func (b *Balancer) Advance(now float64) []Command {
 	var events []logic.Event
-	for len(b.timers) > 0 && b.timers[0].at <= now {
+	for len(b.timers) > 0 && b.timers[0].dueAt <= now {
 		fired := heap.Pop(&b.timers).(timer)
 		events = append(events, logic.Event{Kind: logic.TimerDue, Timer: fired.number})
 	}
@@ -300,10 +304,10 @@
 	for _, a := range b.module.Step(b.now, events) {
 		switch a.Kind {
 		case logic.Dispatch:
-			commands = append(commands, Command{Kind: Send, Request: b.requests[a.ID], Instance: b.ids[a.Node], Source: b.ids[a.Source],
+			commands = append(commands, Command{Kind: Send, Request: b.requestOf[a.ID], Instance: b.idByNumber[a.Node], Source: b.idByNumber[a.Source],
 				Save: a.Save, Backlog: a.Load, Work: a.Work, Timeout: a.After})
 		case logic.Recall:
-			commands = append(commands, Command{Kind: Recall, Request: b.requests[a.ID], Attempt: a.Dispatch})
+			commands = append(commands, Command{Kind: Recall, Request: b.requestOf[a.ID], Attempt: a.Dispatch})
 		case logic.Answer:
 			commands = append(commands, Command{Kind: Finish, Request: a.ID})
 		case logic.Throttle:
@@ -313,13 +317,13 @@
 		case logic.Tell:
 			b.notes = append(b.notes, Note{Text: a.Note, Wide: a.Wide})
 		case logic.SetTimer:
-			heap.Push(&b.timers, timer{at: b.now + a.After, number: a.Timer})
+			heap.Push(&b.timers, timer{dueAt: b.now + a.After, number: a.Timer})
 		}
 	}
 	return commands
 }
 
-func (b *Balancer) serviceNumber(name string) int { return numberOf(b.services, name) % mostServices }
+func (b *Balancer) serviceNumber(name string) int { return numberOf(b.services, name) % maxServices }
 func (b *Balancer) zoneNumber(name string) int    { return numberOf(b.zones, name) }
 
 func numberOf(numbers map[string]int, name string) int {
@@ -331,30 +335,31 @@
 	return n
 }
 
-// number is an instance's number, made of its id: brokers tell each other of instances by it.
+// number returns the number of an instance or store. It is a hash of the id, so that all brokers use the same number in
+// their notes.
 func (b *Balancer) number(id string) int64 {
-	n, known := b.numbers[id]
+	n, known := b.numberByID[id]
 	if !known {
 		h := fnv.New64a()
 		h.Write([]byte(id))
 		n = int64(h.Sum64()>>1) | 1
-		b.numbers[id], b.ids[n] = n, id
+		b.numberByID[id], b.idByNumber[n] = n, id
 	}
 	return n
 }
 
-func (b *Balancer) typeOf(r *configuration.Route) int {
-	key := typeKey{kind: r.Kind, service: r.Splits[0].Service, timeout: milliseconds(r.Timeout), target: milliseconds(r.Target),
+func (b *Balancer) routeType(r *configuration.Route) int {
+	key := routeTypeKey{kind: r.Kind, service: r.Splits[0].Service, timeout: milliseconds(r.Timeout), target: milliseconds(r.Target),
 		attempts: r.MaxAttempts, repeatable: repeatable(r), priority: r.Priority}
-	n, known := b.types[key]
+	n, known := b.routeTypes[key]
 	if !known {
-		n = len(b.types)
-		b.types[key] = n
+		n = len(b.routeTypes)
+		b.routeTypes[key] = n
 	}
 	return n
 }
 
-// repeatable says whether requests of a route may run more than once.
+// repeatable reports whether requests of a route may run more than once.
 func repeatable(r *configuration.Route) bool {
 	return r.Kind == configuration.Safe || r.Kind == configuration.Streaming && r.Resumable
 }
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -10,7 +10,7 @@
 	"gullstair/logic"
 )
 
-// fleet is a balancer with instances and routes, in virtual time.
+// fleet is a balancer with instances and routes that runs in virtual time.
 type fleet struct {
 	t   *testing.T
 	b   *Balancer
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestUnsafeIsNotSentAgain fails a request that may run once in each way. Only where it never ran another instance
-// gets it.
+// TestUnsafeIsNotSentAgain ends the attempt of an unsafe request with each outcome. Only a request that never ran is sent
+// to another instance.
 func TestUnsafeIsNotSentAgain(t *testing.T) {
 	for outcome, want := range map[logic.Outcome]CommandKind{
 		logic.Severed: Fail, logic.Errored: Fail, logic.Overdue: Fail, logic.ConnRefused: Send, logic.Saturated: Send, logic.Superseded: Send,
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestAttempts breaks a stream that may be resumed again and again: as many instances run it as the route allows.
+// TestAttempts breaks every attempt of a resumable stream: it is attempted as often as the route's max_attempts allows.
 func TestAttempts(t *testing.T) {
 	f := newFleet(t, limits())
 	number, _ := f.arrive("chat", nil)
@@ -117,21 +117,22 @@
 		runs++
 	}
 	if runs != 2 {
-		t.Errorf("%d instances ran it", runs)
+		t.Errorf("%d attempts, want 2", runs)
 	}
 }
 
-// TestRetryBudget refuses every send: over a window no more is sent again than this broker's share allows, by service.
+// TestRetryBudget has every attempt rejected: within a window the retries of each service stay within this broker's share
+// of the retry budget.
 func TestRetryBudget(t *testing.T) {
 	f := newFleet(t, limits())
-	requests, again := 0, 0
+	requests, retries := 0, 0
 	for range 300 {
 		number, out := f.b.Arrive(f.now, Request{Route: f.route("chat"), Service: "llm", Budget: 10000})
 		requests++
 		for attempt := 0; len(out) == 1 && out[0].Kind == Send; attempt++ {
 			out = f.b.Ended(f.now, number, attempt, logic.Saturated, 1)
 			if len(out) == 1 && out[0].Kind == Send {
-				again++
+				retries++
 			}
 		}
 		f.b.Left(f.now, number)
@@ -139,18 +140,18 @@
 		f.now += 10
 		f.b.Advance(f.now)
 	}
-	if most := 0.2*float64(requests) + 5; float64(again) > most || again == 0 {
-		t.Errorf("%d were sent again for %d requests, the share is %.0f", again, requests, most)
+	if most := 0.2*float64(requests) + 5; float64(retries) > most || retries == 0 {
+		t.Errorf("%d retries for %d requests, the budget is %.0f", retries, requests, most)
 	}
-	f.now += 5000 // the refusals are forgotten, the window is not over
+	f.now += 5000 // the rejections have expired, the budget window has not
 	number, _ := f.arrive("post", nil)
 	if out := f.b.Ended(f.now, number, 0, logic.Saturated, 1); len(out) != 1 || out[0].Kind != Send {
-		t.Errorf("another service's budget was used: %+v", out)
+		t.Errorf("the retry budget of another service was used: %+v", out)
 	}
 }
 
-// TestSource checks that a runner without the parts fetches them from the holder, that the holder is preferred, and
-// that nothing is fetched from one with other weights.
+// TestSource checks that the instance which caches the prompt's parts is preferred, that any other instance fetches the
+// parts from it, and that nothing is fetched from an instance with another version of the weights.
 func TestSource(t *testing.T) {
 	prompt := func(group int64) *Prompt {
 		p := &Prompt{Tokens: 8000, Shared: 6000, Held: map[string]float64{"l3": 6000}, Group: map[string]int64{}, FetchTime: 0.002, AcrossTime: 0.004}
@@ -163,13 +164,13 @@
 	f := newFleet(t, limits())
 	_, c := f.arrive("chat", prompt(1))
 	if c.Instance != "l3" || c.Source != "" {
-		t.Errorf("the holder is idle: %+v", c)
+		t.Errorf("the request does not run on the idle holder: %+v", c)
 	}
 	fetched := 0
-	for range 20 { // the holder fills up
+	for range 20 { // the holder's slots fill up
 		if _, c = f.arrive("chat", prompt(1)); c.Instance != "l3" {
 			if c.Source != "l3" {
-				t.Errorf("runner without the parts: %+v", c)
+				t.Errorf("an instance without the parts does not fetch them: %+v", c)
 			}
 			fetched++
 		}
@@ -180,12 +181,12 @@
 	f = newFleet(t, limits())
 	for range 20 {
 		if _, c := f.arrive("chat", prompt(2)); c.Source != "" {
-			t.Fatalf("fetched from other weights: %+v", c)
+			t.Fatalf("fetched from an instance with other weights: %+v", c)
 		}
 	}
 }
 
-// TestPermitted keeps requests to the instances that may run them.
+// TestPermitted checks that a request goes only to instances that may run it.
 func TestPermitted(t *testing.T) {
 	f := newFleet(t, limits())
 	r := f.route("chat")
@@ -197,8 +198,8 @@
 	}
 }
 
-// TestNobodyThere refuses in the end, with a time to come back, what could be sent nowhere.
-func TestNobodyThere(t *testing.T) {
+// TestNoInstances checks that a request without any instance is refused eventually, with a retry delay.
+func TestNoInstances(t *testing.T) {
 	f := newFleet(t, limits())
 	f.b.SetInstances(f.now, nil)
 	r := f.route("chat")
@@ -206,7 +207,7 @@
 	for len(commands) == 0 && f.now < 20000 {
 		due := f.b.Due()
 		if math.IsInf(due, 1) {
-			t.Fatal("nothing is due and the request is open")
+			t.Fatal("no timer is set while the request is open")
 		}
 		f.now = due
 		commands = f.b.Advance(f.now)
--- a/internal/balance/terms.go
+++ b/internal/balance/terms.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// newTerms states the deployment in the module's terms.
+// newTerms translates the deployment and the types of routes into the module's terms.
 func (b *Balancer) newTerms() map[string]any {
 	t := map[string]any{
 		"turn":                  1.0,
@@ -18,9 +18,9 @@
 		"rules.spareDispatches": b.fleet.BudgetSlack,
 		"rules.spareShare":      b.fleet.BudgetRatio,
 		"rules.budgetByShard":   true,
-		"layout.cells":          float64(mostServices),
+		"layout.cells":          float64(maxServices),
 		"layout.reach":          1.0,
-		"layout.shards":         float64(mostServices),
+		"layout.shards":         float64(maxServices),
 		"layout.batch":          1.0,
 		"brokers":               max(1, b.fleet.Brokers),
 		"zone":                  float64(b.zoneNumber(b.fleet.Zone)),
@@ -29,46 +29,46 @@
 		"limit.cancelling":      true,
 		"limit.peers":           b.fleet.Notes,
 		"limit.maxRetryAfter":   b.fleet.RetryAfter,
-		"tableType.count":       float64(len(b.types)),
+		"tableType.count":       float64(len(b.routeTypes)),
 	}
-	for key, i := range b.types {
+	for key, i := range b.routeTypes {
 		b.typeTerms(t, key, i)
 	}
 	return t
 }
 
-func (b *Balancer) typeTerms(t map[string]any, key typeKey, i int) {
-	at := func(name string) string { return fmt.Sprintf("tableType.%d.%s", i, name) }
-	in := func(name string) string { return fmt.Sprintf("layout.%s.%d", name, i) }
+func (b *Balancer) typeTerms(t map[string]any, key routeTypeKey, i int) {
+	tableType := func(name string) string { return fmt.Sprintf("tableType.%d.%s", i, name) }
+	layout := func(name string) string { return fmt.Sprintf("layout.%s.%d", name, i) }
 	target := key.target
 	if target <= 0 {
 		target = key.timeout
 	}
-	t[at("target")] = min(target, key.timeout)
-	t[at("timeout")] = key.timeout
-	t[at("benefit")] = 1 / float64(1+max(0, key.priority))
-	t[at("lateBenefit")] = 0.0
-	t[at("dispatches")] = float64(key.attempts)
-	t[at("effect")] = "none"
+	t[tableType("target")] = min(target, key.timeout)
+	t[tableType("timeout")] = key.timeout
+	t[tableType("benefit")] = 1 / float64(1+max(0, key.priority))
+	t[tableType("lateBenefit")] = 0.0
+	t[tableType("dispatches")] = float64(key.attempts)
+	t[tableType("effect")] = "none"
 	if key.repeatable {
-		t[at("effect")] = "replayable"
+		t[tableType("effect")] = "replayable"
 	}
-	t[in("need")] = 1.0
-	t[in("floor")] = 1.0
+	t[layout("need")] = 1.0
+	t[layout("floor")] = 1.0
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// timer is a moment at which the module wants to be called.
+// timer is a timer that the module has set.
 type timer struct {
-	at     float64
+	dueAt  float64
 	number int64
 }
 
 type timerHeap []timer
 
 func (h timerHeap) Len() int           { return len(h) }
-func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Less(i, j int) bool { return h[i].dueAt < h[j].dueAt }
 func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
 func (h *timerHeap) Push(x any)        { *h = append(*h, x.(timer)) }
 func (h *timerHeap) Pop() any {
