--- a/internal/instances/displaced_test.go
+++ b/internal/instances/displaced_test.go
@@ -9,50 +9,50 @@
 	"gullstair/internal/dissemination"
 )
 
-// TestDisplaced has another instance answer at an instance's address. Renewals that were under way do not bring it back; its
-// next heartbeat does, wherever it is heard, until another one answers again.
+// TestDisplaced displaces an instance. Renewals that are still in flight do not bring it back; its next heartbeat does, at
+// whichever broker it arrives, until the instance is displaced again.
 func TestDisplaced(t *testing.T) {
 	r := New()
 	r.Heartbeat(instance("a", 5), start)
-	displaced, news := r.Displace("a", start)
-	if !news || displaced.State != Displaced || len(r.All()) != 0 || len(r.Known()) != 1 {
-		t.Fatalf("displaced: %+v, news %t, used %v", displaced, news, r.All())
+	displaced, changed := r.Displace("a", start)
+	if !changed || displaced.State != Displaced || len(r.All()) != 0 || len(r.Known()) != 1 {
+		t.Fatalf("displaced: %+v, changed %t, used %v", displaced, changed, r.All())
 	}
-	if _, news := r.Displace("a", start); news {
-		t.Error("it is news again")
+	if _, changed := r.Displace("a", start); changed {
+		t.Error("a repeated Displace reports a change")
 	}
 	other := New()
-	other.Take(instance("a", 7), start) // a renewal that the first broker has not heard of
+	other.Take(instance("a", 7), start) // a renewal that the first broker has not received
 	if !other.Take(displaced, start) || len(other.All()) != 0 {
-		t.Error("a renewal from before holds over the word that it is displaced")
+		t.Error("an earlier renewal takes precedence over the displaced record")
 	}
 	if r.Take(instance("a", 9), start) || len(r.All()) != 0 {
-		t.Error("another broker's renewal from before brought it back")
+		t.Error("an earlier renewal from another broker brought it back")
 	}
-	if heard := other.Heartbeat(instance("a", 7), start); !heard.Late || len(other.All()) != 0 {
-		t.Error("a heartbeat that had been heard of brought it back")
+	if result := other.Heartbeat(instance("a", 7), start); !result.Late || len(other.All()) != 0 {
+		t.Error("a heartbeat that was already known brought it back")
 	}
-	if heard := other.Heartbeat(instance("a", 8), start); !heard.Tell || len(other.All()) != 1 {
+	if result := other.Heartbeat(instance("a", 8), start); !result.Tell || len(other.All()) != 1 {
 		t.Error("its next heartbeat does not bring it back")
 	}
 	back, _ := other.Get("a")
 	if !r.Take(back, start) || len(r.All()) != 1 {
-		t.Error("another broker does not take it back")
+		t.Error("the record of its return was not applied at another broker")
 	}
 	if r.Take(displaced, start) {
-		t.Error("an old word displaces it again")
+		t.Error("an outdated record displaces it again")
 	}
-	again, news := r.Displace("a", start)
-	if !news || !back.Record().Version.Less(again.Record().Version) || !other.Take(again, start) {
-		t.Errorf("it is not displaced again: %+v, %t", again, news)
+	again, changed := r.Displace("a", start)
+	if !changed || !back.Record().Version.Less(again.Record().Version) || !other.Take(again, start) {
+		t.Errorf("it cannot be displaced a second time: %+v, %t", again, changed)
 	}
 	gone, _ := r.Leave("a", start)
 	if !other.Take(gone, start) || other.Take(again, start) {
-		t.Error("its end does not come after all")
+		t.Error("the gone record does not take precedence over all others")
 	}
 }
 
-// TestDisplacedIsForgotten: one that is displaced is forgotten as one that is gone.
+// TestDisplacedIsForgotten checks that a displaced instance expires after the same time as one that is gone.
 func TestDisplacedIsForgotten(t *testing.T) {
 	r := New()
 	r.Heartbeat(instance("a", 5), start)
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestDisplacedEverywhere draws heartbeats, answers of other instances, ends and exchanges between brokers that lose some. Once
-// all has been exchanged all brokers agree on each instance, and one that told of itself last of all is used.
-func TestDisplacedEverywhere(t *testing.T) {
+// TestDisplacedConverges mixes random heartbeats, displacements and exchanges of records between some of the brokers. After
+// every instance has sent one more heartbeat and all records have been exchanged, all brokers list each instance as ready.
+func TestDisplacedConverges(t *testing.T) {
 	const brokers, known, steps = 5, 4, 400
 	for seed := range uint64(300) {
 		random, now := rand.New(rand.NewPCG(seed, 3)), start
@@ -100,7 +100,7 @@
 			case 0, 1:
 				beat(id, at)
 			case 2:
-				if i, news := registries[at].Displace(id, now); news {
+				if i, changed := registries[at].Displace(id, now); changed {
 					stores[at].Put(i.Record())
 				}
 			default:
--- a/internal/instances/instances.go
+++ b/internal/instances/instances.go
@@ -1,5 +1,5 @@
-// Package instances is the registry of service instances. They tell any broker of themselves by heartbeats; the
-// brokers tell each other. It has no I/O, clock or goroutine: times are given by the caller.
+// Package instances provides the registry of service instances. An instance sends its heartbeats to any broker, and the
+// brokers disseminate them as records. The package does no I/O and has no clock or goroutine: the caller passes the time.
 package instances
 
 import (
@@ -15,40 +15,42 @@
 	"gullstair/internal/dissemination"
 )
 
-// RecordKind is the kind of the instances' records.
+// RecordKind is the kind of the dissemination records that describe instances.
 const RecordKind = 'i'
 
 const (
-	// ReportEvery is how often an unchanged instance is told of anew, so that the others know it lives.
+	// ReportEvery is the interval at which the record of an unchanged instance is published again, so that the other brokers
+	// know that it is alive.
 	ReportEvery = 4 * time.Second
-	staleAfter  = 20 * time.Second // an instance that nobody has heard of for so long is gone
-	forgetAfter = 60 * time.Second // one that is gone is forgotten after so long
+	staleAfter  = 20 * time.Second // an instance without heartbeats or records for longer is removed
+	forgetAfter = 60 * time.Second // an instance that is gone or displaced is removed after this time
 
-	// goneEpoch is the epoch of records which say that an instance is gone. Earlier releases write 1.
+	// goneEpoch is the epoch of records of instances that are gone. Earlier releases write 1.
 	goneEpoch = math.MaxUint64
-	// firstDisplaced is the epoch of the first record which says that an instance is displaced; 1 is what earlier releases give
-	// to records of those that are gone. When the instance tells of itself again the epoch rises by one, and so on.
+	// firstDisplaced is the epoch of the first record that marks an instance as displaced; it is not 1 because earlier
+	// releases use 1 for instances that are gone. The next heartbeat of the instance raises the epoch by one, as does every
+	// later change between the two states.
 	firstDisplaced = 2
 )
 
-// State is what an instance says of itself.
+// State is the state of an instance.
 type State int
 
 const (
 	Ready State = iota + 1
 	Draining
 	Gone
-	// Displaced: another instance answers at its address. It is used no more until it tells of itself again.
+	// Displaced means that another instance answers at its address. It gets no requests until its next heartbeat.
 	Displaced
 )
 
-// Model is a model that an instance runs, with the version of its weights.
+// Model is a model that an instance serves, with the version of its weights.
 type Model struct {
 	Name    string `json:"name"`
 	Version int64  `json:"version"`
 }
 
-// Instance is what the fleet knows of one instance.
+// Instance describes one service instance.
 type Instance struct {
 	ID       string
 	Service  string
@@ -56,13 +58,13 @@
 	Zone     string
 	Slots    int
 	State    State
-	Cold     time.Duration // how much longer it is slow from its start
+	Cold     time.Duration // how much longer its slow start lasts
 	Models   []Model
-	Sequence uint64 // of the heartbeat that told this
-	Epoch    uint64 // rises when the instance is displaced, and when it tells of itself after that
+	Sequence uint64 // number of the heartbeat that this description comes from
+	Epoch    uint64 // rises when the instance is displaced and at its first heartbeat after that
 }
 
-// VersionOf is the version of a model's weights that the instance runs; 0: it has not told.
+// VersionOf returns the version of a model's weights that the instance serves, or 0 if it has not reported one.
 func (i *Instance) VersionOf(model string) int64 {
 	for _, m := range i.Models {
 		if m.Name == model {
@@ -72,7 +74,7 @@
 	return 0
 }
 
-// heartbeat is the body of a heartbeat.
+// heartbeat is the JSON body of a heartbeat request.
 type heartbeat struct {
 	Service         string  `json:"service"`
 	Address         string  `json:"address"`
@@ -86,7 +88,7 @@
 
 func init() { dissemination.RegisterBody("i", Instance{}) }
 
-// ParseHeartbeat reads the body of a heartbeat.
+// ParseHeartbeat parses the body of a heartbeat of the instance id.
 func ParseHeartbeat(id string, body []byte) (Instance, error) {
 	h := heartbeat{}
 	if err := json.Unmarshal(body, &h); err != nil {
@@ -106,10 +108,10 @@
 	return i, nil
 }
 
-// used says whether requests may go to the instance, as far as its state goes.
-func (i *Instance) used() bool { return i.State != Gone && i.State != Displaced }
+// usable reports whether the state of the instance allows requests to it.
+func (i *Instance) usable() bool { return i.State != Gone && i.State != Displaced }
 
-// Record is the instance as it is told to the other brokers.
+// Record returns the record by which the other brokers learn of the instance.
 func (i Instance) Record() dissemination.Record {
 	version := dissemination.Version{Epoch: i.Epoch, Sequence: i.Sequence}
 	if i.State == Gone {
@@ -118,77 +120,79 @@
 	return dissemination.Record{Kind: RecordKind, Key: i.ID, Version: version, Body: i}
 }
 
-// Renews implements dissemination.Renewer.
+// Renews implements dissemination.Renewer: it reports whether i is equivalent to the earlier body.
 func (i Instance) Renews(earlier any) bool {
 	before, ok := earlier.(Instance)
-	return ok && same(before, i)
+	return ok && equivalent(before, i)
 }
 
-// entry is an instance with what this broker knows of its life.
+// entry is an instance with the times and acknowledgements that this broker keeps for it.
 type entry struct {
 	Instance
-	heard     time.Time // that it lives
-	told      time.Time // by this broker to the others
-	unused    time.Time // since when it is gone or displaced
-	ending    time.Time // when this broker first knew that it drains or has gone
-	confirmed State     // Draining or Gone, once enough brokers were told by this one
+	lastSeen      time.Time // last heartbeat or record
+	lastPublished time.Time // last time that its record was published or received
+	unusedSince   time.Time // when it became gone or displaced
+	endingSince   time.Time // when this broker first learned that it is draining or gone
+	confirmed     State     // Draining or Gone, once enough brokers have acknowledged that state to this one
 }
 
-// Registry holds all instances that this broker knows. One goroutine at a time may use it.
+// Registry holds all instances that this broker knows. It is not safe for concurrent use.
 type Registry struct {
 	entries map[string]*entry
 	changes uint64
 }
 
-// New makes an empty registry.
+// New returns an empty registry.
 func New() *Registry { return &Registry{entries: map[string]*entry{}} }
 
-// Heard is what follows from a heartbeat.
+// Heard is the result of a heartbeat.
 type Heard struct {
-	Tell      bool       // the other brokers are to be told of the instance
-	Late      bool       // a newer heartbeat has been heard, or the instance is gone
-	Displaced []Instance // earlier instances at its address; the others are to be told of them
+	Tell      bool       // the instance's record is to be published to the other brokers
+	Late      bool       // the heartbeat is ignored: a newer one has been received, or the instance is gone
+	Displaced []Instance // earlier instances at its address, whose records are to be published
 }
 
-// Heartbeat takes what an instance said to this broker.
+// Heartbeat processes a heartbeat that an instance sent to this broker.
 func (r *Registry) Heartbeat(i Instance, now time.Time) Heard {
 	e := r.entries[i.ID]
 	if e != nil && (e.State == Gone || i.Sequence <= e.Sequence) {
 		return Heard{Late: true}
 	}
-	heard := Heard{Tell: e == nil || !same(e.Instance, i) || now.Sub(e.told) >= ReportEvery}
+	result := Heard{Tell: e == nil || !equivalent(e.Instance, i) || now.Sub(e.lastPublished) >= ReportEvery}
 	switch {
 	case e == nil:
-		heard.Displaced = r.displaceOthers(i, now)
+		result.Displaced = r.displaceAtSameAddress(i, now)
 	case e.State == Displaced:
 		i.Epoch = e.Epoch + 1
 	default:
 		i.Epoch = e.Epoch
 	}
 	r.put(i, now)
-	if heard.Tell {
-		r.entries[i.ID].told = now
+	if result.Tell {
+		r.entries[i.ID].lastPublished = now
 	}
-	return heard
+	return result
 }
 
-// Take takes what another broker told. changed: something other than the time it was heard.
+// Take applies a record received from another broker. It reports whether anything but the time of the last sign of life
+// has changed.
 func (r *Registry) Take(i Instance, now time.Time) (changed bool) {
 	e := r.entries[i.ID]
 	if e != nil && (e.State == Gone || !e.Record().Version.Less(i.Record().Version)) {
 		return false
 	}
-	changed = e == nil || !same(e.Instance, i)
+	changed = e == nil || !equivalent(e.Instance, i)
 	if e != nil {
-		i.Sequence = max(i.Sequence, e.Sequence) // earlier heartbeats that are on their way say nothing any more
+		i.Sequence = max(i.Sequence, e.Sequence) // heartbeats that were sent earlier and arrive later are ignored
 	}
 	r.put(i, now)
-	r.entries[i.ID].told = now
+	r.entries[i.ID].lastPublished = now
 	return changed
 }
 
-// Displace notes that another instance answered at an instance's address. news: the others are to be told.
-func (r *Registry) Displace(id string, now time.Time) (displaced Instance, news bool) {
+// Displace marks an instance as displaced because another one answered at its address. It returns the changed instance and
+// whether its record is to be published.
+func (r *Registry) Displace(id string, now time.Time) (displaced Instance, changed bool) {
 	e := r.entries[id]
 	if e == nil || e.State == Gone || e.State == Displaced {
 		return Instance{}, false
@@ -200,9 +204,9 @@
 	return i, true
 }
 
-// Leave notes that an instance has ended, also one that is not known here. It returns what the others are to be told, and
-// whether that is news here.
-func (r *Registry) Leave(id string, now time.Time) (gone Instance, news bool) {
+// Leave marks an instance as gone, including one that is not known here. It returns the instance to publish and whether its
+// state has changed.
+func (r *Registry) Leave(id string, now time.Time) (gone Instance, changed bool) {
 	e := r.entries[id]
 	if e != nil && e.State == Gone {
 		return e.Instance, false
@@ -216,23 +220,23 @@
 	return i, true
 }
 
-// EndingSince is when this broker first knew that an instance drains or has gone.
+// EndingSince returns when this broker first learned that an instance is draining or gone; the zero time if it has not.
 func (r *Registry) EndingSince(id string) time.Time {
 	if e := r.entries[id]; e != nil {
-		return e.ending
+		return e.endingSince
 	}
 	return time.Time{}
 }
 
-// Confirm notes that enough brokers know that an instance drains, or that it has gone.
+// Confirm records that enough brokers have acknowledged the draining or gone state of an instance.
 func (r *Registry) Confirm(i Instance) {
 	if e := r.entries[i.ID]; e != nil {
 		e.confirmed = max(e.confirmed, i.State)
 	}
 }
 
-// Confirmed says whether enough brokers know the state that an instance is in, told by this broker. What it heard from
-// another broker is not known to be acknowledged by anybody.
+// Confirmed reports whether enough brokers have acknowledged to this broker the draining or gone state that the instance is
+// in. A state that this broker received from another one counts as unacknowledged until Confirm is called here.
 func (r *Registry) Confirmed(id string) bool {
 	e := r.entries[id]
 	return e != nil && e.State != Ready && e.confirmed >= e.State
@@ -240,46 +244,46 @@
 
 func (r *Registry) put(i Instance, now time.Time) {
 	e := r.entries[i.ID]
-	if e == nil || !same(e.Instance, i) {
+	if e == nil || !equivalent(e.Instance, i) {
 		r.changes++
 	}
 	if e == nil {
 		e = &entry{}
 		r.entries[i.ID] = e
 	}
-	e.Instance, e.heard = i, now
-	if !i.used() {
-		e.unused = now
+	e.Instance, e.lastSeen = i, now
+	if !i.usable() {
+		e.unusedSince = now
 	}
-	if (i.State == Draining || i.State == Gone) && e.ending.IsZero() {
-		e.ending = now
+	if (i.State == Draining || i.State == Gone) && e.endingSince.IsZero() {
+		e.endingSince = now
 	}
 }
 
-// displaceOthers displaces earlier instances at the same address: one process holds an address. Only an instance's own word
-// does that; what other brokers tell may be older than what is here.
-func (r *Registry) displaceOthers(i Instance, now time.Time) (displaced []Instance) {
+// displaceAtSameAddress marks earlier instances at the same address as displaced: an address belongs to one process. It is called
+// only for heartbeats, because records from other brokers may be older than the local state.
+func (r *Registry) displaceAtSameAddress(i Instance, now time.Time) (displaced []Instance) {
 	for id, other := range r.entries {
 		if other.Address != i.Address || id == i.ID || i.State == Gone {
 			continue
 		}
-		if earlier, news := r.Displace(id, now); news {
+		if earlier, changed := r.Displace(id, now); changed {
 			displaced = append(displaced, earlier)
 		}
 	}
 	return displaced
 }
 
-// Expire forgets instances that nobody has heard of, and those that have long been gone or displaced. It returns their ids and
-// whether any was used.
+// Expire removes instances without a recent sign of life, and those that have been gone or displaced for long. It returns
+// the ids of the removed instances and whether any of them could still get requests.
 func (r *Registry) Expire(now time.Time) (forgotten []string, changed bool) {
 	for id, e := range r.entries {
 		switch {
-		case !e.used() && now.Sub(e.unused) > forgetAfter:
+		case !e.usable() && now.Sub(e.unusedSince) > forgetAfter:
 			delete(r.entries, id)
 			r.changes++
 			forgotten = append(forgotten, id)
-		case e.used() && now.Sub(e.heard) > staleAfter:
+		case e.usable() && now.Sub(e.lastSeen) > staleAfter:
 			delete(r.entries, id)
 			r.changes++
 			forgotten, changed = append(forgotten, id), true
@@ -288,15 +292,15 @@
 	return forgotten, changed
 }
 
-// Changes counts what has changed in the registry, apart from the times of heartbeats.
+// Changes returns a counter that rises with every change of the registry other than the times and sequences of heartbeats.
 func (r *Registry) Changes() uint64 { return r.changes }
 
-// All returns the instances that are neither gone nor displaced, by id.
+// All returns the instances that are neither gone nor displaced, sorted by id.
 func (r *Registry) All() []Instance {
-	return slices.DeleteFunc(r.Known(), func(i Instance) bool { return !i.used() })
+	return slices.DeleteFunc(r.Known(), func(i Instance) bool { return !i.usable() })
 }
 
-// Known returns all instances that are not forgotten, also those that are gone or displaced, by id.
+// Known returns all instances in the registry, including those that are gone or displaced, sorted by id.
 func (r *Registry) Known() []Instance {
 	var out []Instance
 	for _, e := range r.entries {
@@ -306,7 +310,7 @@
 	return out
 }
 
-// Get returns one instance, also one that is gone.
+// Get returns an instance, even if it is gone or displaced.
 func (r *Registry) Get(id string) (Instance, bool) {
 	e := r.entries[id]
 	if e == nil {
@@ -315,7 +319,7 @@
 	return e.Instance, true
 }
 
-// SetVersion notes a version of weights that an instance was seen to run.
+// SetVersion records the version of a model's weights that an instance was observed to serve.
 func (r *Registry) SetVersion(id, model string, version int64) (changed bool) {
 	e := r.entries[id]
 	if e == nil || e.VersionOf(model) == version {
@@ -332,8 +336,8 @@
 	return true
 }
 
-// same says whether two heartbeats tell the same, apart from their time.
-func same(a, b Instance) bool {
+// equivalent reports whether two descriptions of an instance are equal apart from sequence, epoch and the remaining slow start.
+func equivalent(a, b Instance) bool {
 	return a.Service == b.Service && a.Address == b.Address && a.Zone == b.Zone && a.Slots == b.Slots && a.State == b.State &&
 		(a.Cold > 0) == (b.Cold > 0) && slices.Equal(a.Models, b.Models)
 }
--- a/internal/instances/instances_test.go
+++ b/internal/instances/instances_test.go
@@ -18,29 +18,29 @@
 
 func TestHeartbeats(t *testing.T) {
 	r := New()
-	if heard := r.Heartbeat(instance("a", 5), start); !heard.Tell || heard.Late {
-		t.Fatalf("the first: %+v", heard)
+	if result := r.Heartbeat(instance("a", 5), start); !result.Tell || result.Late {
+		t.Fatalf("the first heartbeat: %+v", result)
 	}
-	if heard := r.Heartbeat(instance("a", 4), start); heard.Tell || !heard.Late {
-		t.Errorf("a late one: %+v", heard)
+	if result := r.Heartbeat(instance("a", 4), start); result.Tell || !result.Late {
+		t.Errorf("a heartbeat out of order: %+v", result)
 	}
 	if r.Heartbeat(instance("a", 6), start.Add(time.Second)).Tell {
-		t.Error("an unchanged one is told at once")
+		t.Error("an unchanged instance is published again at once")
 	}
 	if !r.Heartbeat(instance("a", 7), start.Add(ReportEvery)).Tell {
-		t.Error("an unchanged one is not told after a while")
+		t.Error("an unchanged instance is not published again after ReportEvery")
 	}
 	draining := instance("a", 8)
 	draining.State = Draining
 	if !r.Heartbeat(draining, start.Add(ReportEvery)).Tell {
-		t.Error("a drain is not told at once")
+		t.Error("a drain is not published at once")
 	}
 	if r.Take(instance("a", 7), start) {
-		t.Error("what is older than a drain was taken")
+		t.Error("a record older than a drain was applied")
 	}
 }
 
-func TestGoneComesAfterAll(t *testing.T) {
+func TestGoneIsFinal(t *testing.T) {
 	r := New()
 	r.Heartbeat(instance("a", 5), start)
 	i, was := r.Leave("a", start)
@@ -48,34 +48,34 @@
 		t.Fatalf("left: %t, %+v", was, i.Record())
 	}
 	if !r.Heartbeat(instance("a", 99), start).Late || len(r.All()) > 0 {
-		t.Error("an instance that has ended came back")
+		t.Error("a heartbeat brought back an instance that is gone")
 	}
 	if r.Take(instance("a", 100), start) || len(r.All()) > 0 {
-		t.Error("another broker's word brought an instance back that has ended")
+		t.Error("a record from another broker brought back an instance that is gone")
 	}
 	other := New()
 	other.Heartbeat(instance("a", 50), start)
 	i.State = Gone
 	if !other.Take(i, start) || len(other.All()) > 0 {
-		t.Error("the end of an instance was not taken from another broker")
+		t.Error("a gone record from another broker was not applied")
 	}
 }
 
-func TestAddressIsHandedOn(t *testing.T) {
+func TestAddressReuseDisplaces(t *testing.T) {
 	r := New()
 	r.Heartbeat(instance("old", 5), start)
-	heard := r.Heartbeat(instance("new", 1), start.Add(time.Second))
-	if len(heard.Displaced) != 1 || heard.Displaced[0].ID != "old" || heard.Displaced[0].State != Displaced {
-		t.Errorf("the others are told of %+v", heard.Displaced)
+	result := r.Heartbeat(instance("new", 1), start.Add(time.Second))
+	if len(result.Displaced) != 1 || result.Displaced[0].ID != "old" || result.Displaced[0].State != Displaced {
+		t.Errorf("displaced: %+v", result.Displaced)
 	}
 	if all := r.All(); len(all) != 1 || all[0].ID != "new" {
 		t.Errorf("known: %+v", all)
 	}
 	r = New()
 	r.Heartbeat(instance("new", 1), start)
-	r.Take(instance("old", 5), start) // told by a broker that has not heard of the new one
+	r.Take(instance("old", 5), start) // from a broker that does not know the new instance yet
 	if all := r.All(); !slices.ContainsFunc(all, func(i Instance) bool { return i.ID == "new" }) {
-		t.Errorf("an old word displaced the new instance: %+v", all)
+		t.Errorf("an outdated record displaced the new instance: %+v", all)
 	}
 }
 
@@ -88,13 +88,13 @@
 		t.Errorf("too early: %v", forgotten)
 	}
 	if forgotten, changed := r.Expire(start.Add(staleAfter + time.Second)); !slices.Equal(forgotten, []string{"a"}) || !changed {
-		t.Errorf("nobody has heard of it: %v %t", forgotten, changed)
+		t.Errorf("no sign of life for staleAfter: %v %t", forgotten, changed)
 	}
 	if forgotten, _ := r.Expire(start.Add(forgetAfter + time.Second)); !slices.Equal(forgotten, []string{"b"}) {
-		t.Errorf("long gone: %v", forgotten)
+		t.Errorf("gone for forgetAfter: %v", forgotten)
 	}
-	if heard := r.Heartbeat(instance("a", 6), start.Add(time.Hour)); !heard.Tell || heard.Late {
-		t.Error("one that was cut off for long does not come back")
+	if result := r.Heartbeat(instance("a", 6), start.Add(time.Hour)); !result.Tell || result.Late {
+		t.Error("an expired instance does not come back with its next heartbeat")
 	}
 }
 
@@ -102,7 +102,7 @@
 	r := New()
 	r.Heartbeat(instance("a", 1), start)
 	if !r.SetVersion("a", "m", 2) || r.SetVersion("a", "m", 2) || r.SetVersion("a", "other", 2) {
-		t.Error("versions are not noted as they change")
+		t.Error("SetVersion does not report changes of known models only")
 	}
 	if i, _ := r.Get("a"); i.VersionOf("m") != 2 || i.VersionOf("other") != 0 {
 		t.Errorf("versions: %+v", i.Models)
@@ -115,44 +115,44 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		i, err := ParseHeartbeat("id", body)
 		if err == nil && (i.Service == "" || i.Address == "") {
-			t.Fatalf("taken without service or address: %q", body)
+			t.Fatalf("accepted without service or address: %q", body)
 		}
 	})
 }
 
-// TestEndsAreConfirmedHere has an instance drain and go: what this broker only heard of is not confirmed, what it told
-// enough others is, each state by itself. One that is unknown goes too, and stays known as gone.
-func TestEndsAreConfirmedHere(t *testing.T) {
+// TestConfirmedStates drains an instance and ends it. A state received from another broker is not confirmed, and each
+// state needs a confirmation of its own. An unknown instance that leaves is kept as gone.
+func TestConfirmedStates(t *testing.T) {
 	r := New()
 	draining := instance("a", 5)
 	draining.State = Draining
 	r.Take(draining, start)
 	if r.Confirmed("a") || r.EndingSince("a") != start {
-		t.Errorf("heard of: confirmed %t since %v", r.Confirmed("a"), r.EndingSince("a"))
+		t.Errorf("received from another broker: confirmed %t since %v", r.Confirmed("a"), r.EndingSince("a"))
 	}
 	r.Confirm(draining)
 	if !r.Confirmed("a") {
-		t.Error("a drain that enough know is not confirmed")
+		t.Error("a drain is not confirmed after Confirm")
 	}
-	gone, news := r.Leave("a", start.Add(time.Second))
-	if !news || gone.State != Gone || r.Confirmed("a") || r.EndingSince("a") != start {
-		t.Errorf("gone: %+v %t, confirmed %t", gone, news, r.Confirmed("a"))
+	gone, changed := r.Leave("a", start.Add(time.Second))
+	if !changed || gone.State != Gone || r.Confirmed("a") || r.EndingSince("a") != start {
+		t.Errorf("gone: %+v %t, confirmed %t", gone, changed, r.Confirmed("a"))
 	}
 	r.Confirm(gone)
-	if again, news := r.Leave("a", start); news || !r.Confirmed("a") || again.State != Gone {
-		t.Error("an end that enough know is not confirmed again")
+	if again, changed := r.Leave("a", start); changed || !r.Confirmed("a") || again.State != Gone {
+		t.Error("a repeated Leave changes a confirmed gone state")
 	}
-	if unknown, news := r.Leave("b", start); !news || unknown.State != Gone || unknown.ID != "b" {
-		t.Errorf("an unknown one: %+v %t", unknown, news)
+	if unknown, changed := r.Leave("b", start); !changed || unknown.State != Gone || unknown.ID != "b" {
+		t.Errorf("an unknown instance leaves: %+v %t", unknown, changed)
 	}
 	if known := r.Known(); len(known) != 2 || len(r.All()) != 0 {
 		t.Errorf("known: %+v", known)
 	}
 }
 
-// TestChangesAreCounted draws what instances and brokers tell. The count rises when and only when the instances are not what
-// they were, apart from the times of heartbeats.
-func TestChangesAreCounted(t *testing.T) {
+// TestChangesCounter applies random heartbeats, records and other events. The counter rises if and only if the
+// instances change in something other than the times and sequences of heartbeats.
+func TestChangesCounter(t *testing.T) {
 	random, now := rand.New(rand.NewPCG(7, 1)), time.Unix(0, 0)
 	r := New()
 	sequence := uint64(0)
@@ -191,7 +191,7 @@
 		after := plain()
 		differs := !reflect.DeepEqual(before, after)
 		if counted := r.Changes() != count; counted != differs {
-			t.Fatalf("step %d: counted as changed: %t, it is: %t\n%v\n%v", step, counted, differs, before, after)
+			t.Fatalf("step %d: counter changed: %t, instances changed: %t\n%v\n%v", step, counted, differs, before, after)
 		}
 		if !differs {
 			kept++
