--- a/internal/holders/holders.go
+++ b/internal/holders/holders.go
@@ -1,6 +1,6 @@
-// Package holders is the table of which instance keeps which parts of prompts. It is fed by the changes that instances
-// tell, which come late, with gaps and from the start again after a restart, and by what this broker's own requests
-// have had read. It has no I/O, clock or goroutine; times are in ms.
+// Package holders provides the table of which instance caches which parts of prompts. Its sources are the changes that
+// instances report, which arrive late, may have gaps and start over after a restart, and the prompts that instances have
+// read for requests of this broker. The package does no I/O and has no clock or goroutine; times are in ms.
 package holders
 
 import (
@@ -8,15 +8,15 @@
 )
 
 const (
-	mostParts  = 8192    // of one instance; the oldest go first
-	trustFor   = 15000.0 // ms; a part that this broker had read may have given way to others after so long
-	confirmFor = 2500.0  // ms; for so long what this broker had read counts before the instance has told of it
+	maxParts      = 8192    // per instance; the oldest are dropped first
+	unsyncedTTL   = 15000.0 // ms; lifetime of a part while its instance is not synced: it may have been evicted unnoticed
+	unreportedTTL = 2500.0  // ms; lifetime of a part that was read but that its synced instance has not reported
 )
 
-// Key identifies a part under the salt that it is cached under.
+// Key identifies a part of a prompt together with the salt that it is cached under.
 type Key uint64
 
-// KeyOf makes the key of a part.
+// KeyOf returns the key of a part: a hash of salt and id.
 func KeyOf(salt, id string) Key {
 	h := fnv.New64a()
 	h.Write([]byte(salt))
@@ -25,148 +25,151 @@
 	return Key(h.Sum64())
 }
 
-// Change is one thing that an instance told: it keeps so many tokens of a part now.
+// Change is a reported change: the instance now caches this many tokens of the part; 0 if the part was evicted.
 type Change struct {
 	Key    Key
 	Tokens float64
 }
 
-// Table holds what each instance keeps. One goroutine at a time may use it.
+// Table holds the cached parts of each instance. It is not safe for concurrent use.
 type Table struct {
 	now       float64
-	instances map[string]*kept
+	instances map[string]*cache
 }
 
-// kept is what one instance keeps.
-type kept struct {
+// cache holds the cached parts of one instance.
+type cache struct {
 	parts  map[Key]part
-	order  []Key // as they came; keys that have gone meanwhile are passed over
-	synced bool  // all changes up to now have been told
+	order  []Key // in order of insertion; may contain keys that have been removed
+	synced bool  // parts contains all reported changes up to epoch and token
 	epoch  uint64
 	token  uint64
 }
 
 type part struct {
-	tokens float64
-	at     float64
-	told   bool // by the instance
+	tokens    float64
+	updatedAt float64
+	reported  bool // reported by the instance
 }
 
-// New makes an empty table.
-func New() *Table { return &Table{instances: map[string]*kept{}} }
+// New returns an empty table.
+func New() *Table { return &Table{instances: map[string]*cache{}} }
 
-// Advance sets the time.
+// Advance sets the current time; it never moves back.
 func (t *Table) Advance(now float64) { t.now = max(t.now, now) }
 
-func (t *Table) of(instance string) *kept {
-	k := t.instances[instance]
-	if k == nil {
-		k = &kept{parts: map[Key]part{}}
-		t.instances[instance] = k
+func (t *Table) cacheOf(instance string) *cache {
+	cached := t.instances[instance]
+	if cached == nil {
+		cached = &cache{parts: map[Key]part{}}
+		t.instances[instance] = cached
 	}
-	return k
+	return cached
 }
 
-// Read notes that an instance has read parts for a request of this broker.
+// Read records that an instance has read parts for a request of this broker.
 func (t *Table) Read(instance string, keys []Key, tokens []float64) {
-	k := t.of(instance)
+	cached := t.cacheOf(instance)
 	for i, key := range keys {
-		p, known := k.parts[key]
+		p, known := cached.parts[key]
 		if !known {
-			k.order = append(k.order, key)
+			cached.order = append(cached.order, key)
 		}
-		k.parts[key] = part{tokens: max(p.tokens, tokens[i]), at: t.now, told: p.told}
+		cached.parts[key] = part{tokens: max(p.tokens, tokens[i]), updatedAt: t.now, reported: p.reported}
 	}
-	k.shrink()
+	cached.shrink()
 }
 
-func (k *kept) shrink() {
-	for len(k.order) > mostParts {
-		delete(k.parts, k.order[0])
-		k.order = k.order[1:]
+func (cached *cache) shrink() {
+	for len(cached.order) > maxParts {
+		delete(cached.parts, cached.order[0])
+		cached.order = cached.order[1:]
 	}
 }
 
-// Told returns what an instance told that it keeps; false: that is not known whole.
+// Told returns the parts that an instance has reported. synced is false if the table misses some of its changes.
 func (t *Table) Told(instance string) (held map[Key]float64, synced bool) {
-	k := t.instances[instance]
-	if k == nil || !k.synced {
+	cached := t.instances[instance]
+	if cached == nil || !cached.synced {
 		return nil, false
 	}
-	held = make(map[Key]float64, len(k.parts))
-	for key, p := range k.parts {
-		if p.told {
+	held = make(map[Key]float64, len(cached.parts))
+	for key, p := range cached.parts {
+		if p.reported {
 			held[key] = p.tokens
 		}
 	}
 	return held, true
 }
 
-// Position says up to where an instance's changes are in the table; false: the whole list is needed.
+// Position returns the position up to which an instance's changes have been applied. If synced is false, the complete list
+// is needed.
 func (t *Table) Position(instance string) (epoch, token uint64, synced bool) {
-	k := t.instances[instance]
-	if k == nil {
+	cached := t.instances[instance]
+	if cached == nil {
 		return 0, 0, false
 	}
-	return k.epoch, k.token, k.synced
+	return cached.epoch, cached.token, cached.synced
 }
 
-// Apply takes changes that follow on a position. false: they do not follow on what is here, and the whole is needed.
+// Apply applies the changes between two positions. It returns false if there is a gap between them and the current
+// position: then the complete list is needed.
 func (t *Table) Apply(instance string, epoch, from, to uint64, changes []Change) bool {
-	k := t.of(instance)
-	if !k.synced || k.epoch != epoch || from > k.token {
-		k.synced = false
+	cached := t.cacheOf(instance)
+	if !cached.synced || cached.epoch != epoch || from > cached.token {
+		cached.synced = false
 		return false
 	}
-	if to <= k.token {
-		return true // known already
+	if to <= cached.token {
+		return true // already applied
 	}
 	for _, c := range changes {
-		t.set(k, c)
+		t.set(cached, c)
 	}
-	k.token = to
-	k.shrink()
+	cached.token = to
+	cached.shrink()
 	return true
 }
 
-func (t *Table) set(k *kept, c Change) {
+func (t *Table) set(cached *cache, c Change) {
 	if c.Tokens <= 0 {
-		delete(k.parts, c.Key)
+		delete(cached.parts, c.Key)
 		return
 	}
-	if _, known := k.parts[c.Key]; !known {
-		k.order = append(k.order, c.Key)
+	if _, known := cached.parts[c.Key]; !known {
+		cached.order = append(cached.order, c.Key)
 	}
-	k.parts[c.Key] = part{tokens: c.Tokens, at: t.now, told: true}
+	cached.parts[c.Key] = part{tokens: c.Tokens, updatedAt: t.now, reported: true}
 }
 
-// Replace takes the whole of what an instance keeps.
+// Replace replaces the cached parts of an instance by a complete list.
 func (t *Table) Replace(instance string, epoch, token uint64, held []Change) {
-	k := &kept{parts: make(map[Key]part, len(held)), synced: true, epoch: epoch, token: token}
-	t.instances[instance] = k
+	cached := &cache{parts: make(map[Key]part, len(held)), synced: true, epoch: epoch, token: token}
+	t.instances[instance] = cached
 	for _, c := range held {
-		t.set(k, c)
+		t.set(cached, c)
 	}
-	k.shrink()
+	cached.shrink()
 }
 
-// Lost notes that changes of an instance were missed.
+// Lost records that changes of an instance were missed.
 func (t *Table) Lost(instance string) {
-	if k := t.instances[instance]; k != nil {
-		k.synced = false
+	if cached := t.instances[instance]; cached != nil {
+		cached.synced = false
 	}
 }
 
-// Held is how many leading tokens of a prompt an instance keeps: a part counts if all before it are kept whole.
+// Held returns how many leading tokens of a prompt an instance caches: a part counts if all parts before it are cached
+// completely.
 func (t *Table) Held(instance string, keys []Key, tokens []float64) float64 {
-	k := t.instances[instance]
-	if k == nil {
+	cached := t.instances[instance]
+	if cached == nil {
 		return 0
 	}
 	held := 0.0
 	for i, key := range keys {
-		p, known := k.parts[key]
-		if !known || !t.counts(k, p) {
+		p, known := cached.parts[key]
+		if !known || !t.likelyCached(cached, p) {
 			break
 		}
 		held += min(p.tokens, tokens[i])
@@ -177,25 +180,25 @@
 	return held
 }
 
-// counts says whether a part is likely to be kept still.
-func (t *Table) counts(k *kept, p part) bool {
+// likelyCached reports whether a part is likely to be cached still.
+func (t *Table) likelyCached(cached *cache, p part) bool {
 	switch {
-	case k.synced && p.told:
+	case cached.synced && p.reported:
 		return true
-	case k.synced:
-		return t.now-p.at <= confirmFor
+	case cached.synced:
+		return t.now-p.updatedAt <= unreportedTTL
 	}
-	return t.now-p.at <= trustFor
+	return t.now-p.updatedAt <= unsyncedTTL
 }
 
-// Synced says whether what an instance keeps is known whole.
+// Synced reports whether all changes of an instance have been applied.
 func (t *Table) Synced(instance string) bool {
-	k := t.instances[instance]
-	return k != nil && k.synced
+	cached := t.instances[instance]
+	return cached != nil && cached.synced
 }
 
-// Forget drops all that is known of an instance.
+// Forget removes an instance from the table.
 func (t *Table) Forget(instance string) { delete(t.instances, instance) }
 
-// Instances is the number of instances that something is known of.
+// Instances returns the number of instances in the table.
 func (t *Table) Instances() int { return len(t.instances) }
--- a/internal/holders/holders_test.go
+++ b/internal/holders/holders_test.go
@@ -8,13 +8,13 @@
 	table := New()
 	held := func() float64 { return table.Held("i", keys, tokens) }
 	if held() != 0 {
-		t.Error("an unknown instance keeps something")
+		t.Error("an unknown instance caches something")
 	}
 	table.Read("i", keys, tokens)
 	if held() != 60 {
 		t.Errorf("after a read: %v", held())
 	}
-	table.Advance(trustFor + 1)
+	table.Advance(unsyncedTTL + 1)
 	if held() != 0 {
 		t.Errorf("long after a read: %v", held())
 	}
@@ -23,47 +23,47 @@
 		t.Errorf("a part is missing in the middle: %v", held())
 	}
 	if !table.Apply("i", 7, 100, 102, []Change{{b, 16}}) || held() != 26 {
-		t.Errorf("a part is kept in part: %v", held())
+		t.Errorf("a part is cached partially: %v", held())
 	}
 	if !table.Apply("i", 7, 90, 101, []Change{{a, 0}}) || held() != 26 {
-		t.Errorf("old changes count: %v", held())
+		t.Errorf("changes were applied twice: %v", held())
 	}
 	if table.Apply("i", 7, 105, 107, nil) || table.Synced("i") {
-		t.Error("a gap was not noticed")
+		t.Error("a gap between changes was not detected")
 	}
 	table.Replace("i", 7, 107, nil)
 	if table.Apply("i", 8, 107, 108, nil) {
-		t.Error("a restart was not noticed")
+		t.Error("a restart of the instance was not detected")
 	}
 	if KeyOf("s", "a") == KeyOf("t", "a") {
-		t.Error("a part has one key under two salts")
+		t.Error("a part has the same key under two salts")
 	}
 }
 
-func TestReadCountsUntilTold(t *testing.T) {
+func TestUnreportedReadExpires(t *testing.T) {
 	table := New()
 	key := []Key{KeyOf("s", "a")}
 	table.Replace("i", 1, 1, nil)
 	table.Read("i", key, []float64{10})
 	if table.Held("i", key, []float64{10}) != 10 {
-		t.Error("what was just read does not count")
+		t.Error("a part that was just read does not count")
 	}
-	table.Advance(confirmFor + 1)
+	table.Advance(unreportedTTL + 1)
 	if table.Held("i", key, []float64{10}) != 0 {
-		t.Error("what the instance never told counts on")
+		t.Error("a part that the instance never reported still counts")
 	}
 }
 
-func TestBound(t *testing.T) {
+func TestMaxParts(t *testing.T) {
 	table := New()
-	for i := range mostParts * 2 {
+	for i := range maxParts * 2 {
 		table.Read("i", []Key{Key(i)}, []float64{1})
 	}
-	if n := len(table.instances["i"].parts); n > mostParts {
-		t.Errorf("%d parts are kept", n)
+	if n := len(table.instances["i"].parts); n > maxParts {
+		t.Errorf("the table holds %d parts of one instance", n)
 	}
 	table.Forget("i")
 	if table.Instances() != 0 {
-		t.Error("a forgotten instance is there")
+		t.Error("an instance is still in the table after Forget")
 	}
 }
