--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,5 +1,5 @@
-// Package rendezvous orders members for a key by highest random weight: alike wherever it is computed, spread evenly
-// over the members, and changed little when one comes or goes.
+// Package rendezvous implements rendezvous (highest random weight) hashing: it orders members for a key. The order is the
+// same wherever it is computed, keys spread evenly over the members, and few keys move when a member joins or leaves.
 package rendezvous
 
 import (
@@ -13,7 +13,7 @@
 	hashPrime  = 1099511628211
 )
 
-// Score is the weight of a member for a key.
+// Score returns the weight of a member for a key.
 func Score(key, member string) uint64 {
 	h := hash(hashOffset, key)
 	h = hash(h, "\x00")
@@ -33,27 +33,28 @@
 	score  uint64
 }
 
-// before orders by weight, the highest first.
-func before(a, b scored) int {
+// compareScores compares members by weight, the highest first, and by name for equal weights.
+func compareScores(a, b scored) int {
 	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.member, b.member))
 }
 
-// Order returns the members, the one with the highest weight first.
+// Order returns the members sorted by descending weight.
 func Order(key string, members []string) []string {
 	return First(key, members, len(members))
 }
 
-// First returns those that come first in the order, so many at most. Where these are few it takes time with the members.
-func First(key string, members []string, most int) []string {
-	first := make([]scored, 0, min(most, len(members))+1)
+// First returns at most limit members from the start of the order. For a small limit its time is linear in
+// the number of members.
+func First(key string, members []string, limit int) []string {
+	first := make([]scored, 0, min(limit, len(members))+1)
 	for _, m := range members {
 		next := scored{m, Score(key, m)}
-		if len(first) == most && (most == 0 || before(next, first[most-1]) > 0) {
+		if len(first) == limit && (limit == 0 || compareScores(next, first[limit-1]) > 0) {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(first, next, before)
+		at, _ := slices.BinarySearchFunc(first, next, compareScores)
 		first = slices.Insert(first, at, next)
-		first = first[:min(most, len(first))]
+		first = first[:min(limit, len(first))]
 	}
 	order := make([]string, len(first))
 	for at, s := range first {
@@ -62,7 +63,7 @@
 	return order
 }
 
-// mix spreads a hash over all bits (the finalizer of MurmurHash3).
+// mix is the finalizer of MurmurHash3. It spreads the hash over all bits.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -16,7 +16,7 @@
 		key := fmt.Sprint("key", i)
 		order := Order(key, members)
 		if !slices.Equal(order, Order(key, []string{"e", "d", "c", "b", "a"})) {
-			t.Fatal("the order depends on that of the members")
+			t.Fatal("the order depends on the order of the argument")
 		}
 		first[order[0]]++
 		without := Order(key, members[:4])
@@ -34,7 +34,8 @@
 	}
 }
 
-// TestFirst draws keys and members; the first ones are those of the whole order, whatever order the members come in.
+// TestFirst uses random keys and members: First returns the start of the complete order, whatever order the members are
+// passed in.
 func TestFirst(t *testing.T) {
 	random := rand.New(rand.NewPCG(4, 1))
 	for range 500 {
@@ -54,11 +55,12 @@
 	}
 }
 
-// TestScoreStays has the weights be those of earlier releases: brokers of two releases agree on who is first.
-func TestScoreStays(t *testing.T) {
+// TestScoreIsStable checks that the weights equal those of earlier releases, so that brokers of different releases agree on
+// the order.
+func TestScoreIsStable(t *testing.T) {
 	h := fnv.New64a()
 	h.Write([]byte("index/i-7\x00front-3"))
 	if got, want := Score("index/i-7", "front-3"), mix(h.Sum64()); got != want {
-		t.Errorf("a weight is %x, want %x", got, want)
+		t.Errorf("the weight is %x, want %x", got, want)
 	}
 }
