--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -1,9 +1,9 @@
-// Package keepalive closes the connections of an HTTP server that rest, without closing one under a request.
+// Package keepalive provides a listener that closes idle connections of an HTTP server without losing a request.
 //
-// net/http calls a connection idle until a request has been parsed. Whoever closes it by that state alone, as the server's
-// own Shutdown and IdleTimeout do, may close it when a request has arrived, or has been read: the request is then lost, or
-// runs with nobody to answer. Here a connection is closed only while the server waits for bytes and none have arrived;
-// bytes that come at that very moment are never handed to the server.
+// net/http regards a connection as idle until a request has been parsed. Closing by that state alone, as the server's own
+// Shutdown and IdleTimeout do, may close a connection on which a request has arrived or has been read: the request is then
+// lost, or runs without a response. Here a connection is closed only while the server is blocked in a read and no bytes have
+// arrived; bytes that arrive during the close are never passed to the server.
 package keepalive
 
 import (
@@ -16,7 +16,7 @@
 	"gullstair/internal/netio"
 )
 
-// Listener accepts connections and knows which of them rest. Its ConnState is to be the server's.
+// Listener accepts connections and tracks which of them are idle. Its ConnState must be set as the server's ConnState.
 type Listener struct {
 	net.Listener
 
@@ -24,7 +24,7 @@
 	conns map[*conn]bool
 }
 
-// NewListener makes a listener of one.
+// NewListener wraps a listener.
 func NewListener(l net.Listener) *Listener {
 	return &Listener{Listener: l, conns: map[*conn]bool{}}
 }
@@ -35,14 +35,14 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &conn{Conn: inner, rests: true, since: time.Now()}
+	c := &conn{Conn: inner, idle: true, idleSince: time.Now()}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns[c] = true
 	return c, nil
 }
 
-// ConnState takes what the server says of a connection.
+// ConnState is the server's callback for state changes of connections.
 func (l *Listener) ConnState(of net.Conn, state http.ConnState) {
 	c, ours := of.(*conn)
 	if !ours {
@@ -50,7 +50,7 @@
 	}
 	switch state {
 	case http.StateIdle:
-		c.rest()
+		c.markIdle()
 	case http.StateClosed, http.StateHijacked:
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -58,15 +58,15 @@
 	}
 }
 
-// Open is the number of connections that the server has not closed.
+// Open returns the number of connections that the server has not closed.
 func (l *Listener) Open() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
 }
 
-// CloseResting closes the connections that have rested for at least so long, and returns how many.
-func (l *Listener) CloseResting(least time.Duration) (closed int) {
+// CloseResting closes the connections that have been idle for at least minIdle and returns their number.
+func (l *Listener) CloseResting(minIdle time.Duration) (closed int) {
 	l.mu.Lock()
 	var all []*conn
 	for c := range l.conns {
@@ -74,71 +74,72 @@
 	}
 	l.mu.Unlock()
 	for _, c := range all {
-		if c.closeResting(least) {
+		if c.closeIfIdle(minIdle) {
 			closed++
 		}
 	}
 	return closed
 }
 
-// conn is a connection of a client.
+// conn is a connection from a client.
 type conn struct {
 	net.Conn
 
-	mu      sync.Mutex
-	rests   bool // no byte of a request has been read since the last answer
-	since   time.Time
-	waiting bool          // the server waits for bytes
-	ended   bool          // closed while it rested
-	used    bool          // something has been read
-	later   time.Duration // the server's time for the head of the first request, once that begins
+	mu          sync.Mutex
+	idle        bool // no byte of a request has been read since the last response
+	idleSince   time.Time
+	reading     bool          // the server is blocked in a read
+	ended       bool          // closed by closeIfIdle
+	used        bool          // bytes have been read
+	headTimeout time.Duration // the server's timeout for the head of the first request, which starts with its first byte
 }
 
-func (c *conn) rest() {
+func (c *conn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.rests, c.since = true, time.Now()
+	c.idle, c.idleSince = true, time.Now()
 }
 
-// Read reads for the server.
+// Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
-	c.wait(true)
+	c.setReading(true)
 	n, err := c.Conn.Read(b)
-	if c.wait(false); n == 0 {
+	if c.setReading(false); n == 0 {
 		return n, err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.ended {
-		return 0, io.EOF // a request that meets the close must not run
+		return 0, io.EOF // a request that arrives during the close must not run
 	}
-	c.rests = false
-	if !c.used && c.later > 0 {
-		_ = c.Conn.SetReadDeadline(time.Now().Add(c.later)) // a closed connection tells by its next read
+	c.idle = false
+	if !c.used && c.headTimeout > 0 {
+		_ = c.Conn.SetReadDeadline(time.Now().Add(c.headTimeout)) // if the connection is closed, the next read reports it
 	}
 	c.used = true
 	return n, err
 }
 
-// SetReadDeadline sets the deadline of the server. Until the first byte has come a connection rests: the time that it may do
-// so is not the one that a request's head may take.
+// SetReadDeadline implements net.Conn. Before the first byte it only stores the time left: a new connection is idle, and the
+// time that it may stay so differs from the timeout for the head of a request.
 func (c *conn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if left := time.Until(t); !c.used && left > 0 {
-		c.later = left
+		c.headTimeout = left
 		return nil
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
-func (c *conn) wait(waiting bool) {
+func (c *conn) setReading(reading bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.waiting = waiting
+	c.reading = reading
 }
 
-// CloseWrite ends this side of the connection: the server lets its client read a last answer.
+// CloseWrite closes the writing side, if the connection supports it. The server uses it to let its client read the last
+// response.
 func (c *conn) CloseWrite() error {
 	if half, can := c.Conn.(interface{ CloseWrite() error }); can {
 		return half.CloseWrite()
@@ -146,11 +147,11 @@
 	return nil
 }
 
-// closeResting closes the connection if it has rested for at least so long and nothing has arrived.
-func (c *conn) closeResting(least time.Duration) bool {
+// closeIfIdle closes the connection if it has been idle for at least minIdle and no bytes have arrived.
+func (c *conn) closeIfIdle(minIdle time.Duration) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended || !c.rests || !c.waiting || time.Since(c.since) < least || !netio.Quiet(c.Conn) {
+	if c.ended || !c.idle || !c.reading || time.Since(c.idleSince) < minIdle || !netio.Quiet(c.Conn) {
 		return false
 	}
 	c.ended = true
--- a/internal/keepalive/keepalive_test.go
+++ b/internal/keepalive/keepalive_test.go
@@ -22,7 +22,7 @@
 	headTime = 2 * time.Second
 )
 
-// served is a server on a network in memory whose connections rest, and a client's connection to it.
+// served is a server on an in-memory network and a client's connection to it.
 type served struct {
 	network  *memnet.Net
 	listener *Listener
@@ -58,7 +58,7 @@
 	_, _ = fmt.Fprint(s.client, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbody")
 }
 
-// answered says whether an answer comes before the connection ends.
+// answered reports whether a complete response arrives before the connection ends.
 func (s *served) answered() bool {
 	response, err := http.ReadResponse(s.reader, nil)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return err == nil && string(text) == "body"
 }
 
-func TestClosesWhatHasRestedForLong(t *testing.T) {
+func TestClosesIdleConnections(t *testing.T) {
 	serve(t, func(s *served) {
 		s.send()
 		require.True(t, s.answered())
@@ -76,31 +76,32 @@
 		assert.Zero(t, s.listener.CloseResting(2*time.Second))
 		time.Sleep(time.Second)
 		assert.Equal(t, 1, s.listener.CloseResting(2*time.Second))
-		assert.Zero(t, s.listener.CloseResting(0), "closed once")
+		assert.Zero(t, s.listener.CloseResting(0), "a connection is closed only once")
 		assert.False(t, s.answered())
 	})
 }
 
-func TestANewConnectionRests(t *testing.T) {
+func TestNewConnectionIsIdle(t *testing.T) {
 	serve(t, func(s *served) {
-		time.Sleep(3 * headTime) // as long as it may rest, not as long as a head may take
+		time.Sleep(3 * headTime) // longer than the timeout of a head, which does not apply yet
 		assert.Equal(t, 1, s.listener.Open())
 		assert.Equal(t, 1, s.listener.CloseResting(time.Second))
 	})
 }
 
-func TestAHeadHasItsOwnTime(t *testing.T) {
+func TestHeadTimeout(t *testing.T) {
 	serve(t, func(s *served) {
 		time.Sleep(2 * headTime)
 		_, _ = fmt.Fprint(s.client, "POST / HT")
 		time.Sleep(headTime + 100*time.Millisecond)
-		assert.Zero(t, s.listener.Open(), "half a head is not waited for")
+		assert.Zero(t, s.listener.Open(), "the timeout of an incomplete head closes the connection")
 		assert.Zero(t, s.handled)
 	})
 }
 
-// TestARequestThatHasArrived is in the socket when its connection would be closed: it is answered.
-func TestARequestThatHasArrived(t *testing.T) {
+// TestArrivedRequestIsAnswered checks that a connection is not closed, and the request is answered, if a request is in the
+// socket but has not been read.
+func TestArrivedRequestIsAnswered(t *testing.T) {
 	serve(t, func(s *served) {
 		s.send()
 		require.True(t, s.answered())
@@ -113,9 +114,9 @@
 	})
 }
 
-// TestARequestThatMeetsTheClose has left the socket and not come to the server when its connection is closed: it does not
-// run.
-func TestARequestThatMeetsTheClose(t *testing.T) {
+// TestRequestDuringCloseDoesNotRun checks that a request does not run if the connection is closed after the request has been
+// read from the socket and before it is passed to the server.
+func TestRequestDuringCloseDoesNotRun(t *testing.T) {
 	serve(t, func(s *served) {
 		s.send()
 		require.True(t, s.answered())
@@ -130,7 +131,7 @@
 	})
 }
 
-func TestARequestUnderWayIsLeftAlone(t *testing.T) {
+func TestPartialRequestIsNotIdle(t *testing.T) {
 	serve(t, func(s *served) {
 		_, _ = fmt.Fprint(s.client, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbo")
 		time.Sleep(time.Second)
@@ -140,7 +141,7 @@
 	})
 }
 
-// TestOnLoopback does the same on real sockets: a reader that waits does not hold up the look at what has arrived.
+// TestOnLoopback uses real sockets: the check for bytes that have arrived works while a read is blocked.
 func TestOnLoopback(t *testing.T) {
 	inner, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
