--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -53,7 +53,7 @@
 			to.Del(name)
 		}
 	}
-	if _, told := from["Content-Type"]; !told {
+	if _, present := from["Content-Type"]; !present {
 		to["Content-Type"] = nil // otherwise net/http would guess one
 	}
 	to.Del("Content-Length")
--- a/internal/gateway/exchange_test.go
+++ b/internal/gateway/exchange_test.go
@@ -163,51 +163,51 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 421 No\r\nX-Instance-Id: other\r\nContent-Length: 0\r\nX-Request-Id: "+r.Header.Get("X-Request-Id")+"\r\n\r\n")
 			return true
 		},
-		"closes without an answer": func(c net.Conn, r *http.Request) bool { ran(r); return false },
-		"resets without an answer": func(c net.Conn, r *http.Request) bool { ran(r); reset(c); return false },
-		"fails": func(c net.Conn, r *http.Request) bool {
+		"closes without a response": func(c net.Conn, r *http.Request) bool { ran(r); return false },
+		"resets without a response": func(c net.Conn, r *http.Request) bool { ran(r); reset(c); return false },
+		"responds with an error": func(c net.Conn, r *http.Request) bool {
 			instance := ran(r)
 			_, _ = io.WriteString(c, "HTTP/1.1 500 Error\r\nX-Server-Stamp: "+instance+"\r\nContent-Length: 4\r\nX-Request-Id: "+r.Header.Get("X-Request-Id")+"\r\n\r\noops")
 			return true
 		},
-		"answers to another request": func(c net.Conn, r *http.Request) bool {
+		"responds to another request": func(c net.Conn, r *http.Request) bool {
 			ran(r)
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Server-Stamp: x\r\nX-Request-Id: other\r\nContent-Length: 9\r\n\r\nnot yours")
 			return false
 		},
-		"answers late to another, then whole": func(c net.Conn, r *http.Request) bool {
+		"responds late to another request, then completely": func(c net.Conn, r *http.Request) bool {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nX-Server-Stamp: x\r\nX-Request-Id: other\r\nContent-Length: 9\r\n\r\nnot yours")
 			sendComplete(c, r, ran(r))
 			return true
 		},
-		"answers whole, twice": func(c net.Conn, r *http.Request) bool {
+		"responds completely, twice": func(c net.Conn, r *http.Request) bool {
 			instance := ran(r)
 			sendComplete(c, r, instance)
 			sendComplete(c, r, instance)
 			return true
 		},
-		"head alone, framed, then closes": func(c net.Conn, r *http.Request) bool {
+		"sends the head with a length, then closes": func(c net.Conn, r *http.Request) bool {
 			_, _ = io.WriteString(c, responseHead(r, ran(r), kind(r), 50))
 			return false
 		},
-		"head alone, unframed, then resets": func(c net.Conn, r *http.Request) bool {
+		"sends the head without a length, then resets": func(c net.Conn, r *http.Request) bool {
 			_, _ = io.WriteString(c, responseHead(r, ran(r), kind(r), -1))
 			reset(c)
 			return false
 		},
-		"begins, framed, then closes": func(c net.Conn, r *http.Request) bool {
+		"sends part of the body, then closes": func(c net.Conn, r *http.Request) bool {
 			_, _ = io.WriteString(c, responseHead(r, ran(r), kind(r), length(r))+begin(r))
 			return false
 		},
-		"begins within an event, framed, then closes": func(c net.Conn, r *http.Request) bool {
+		"sends part of an event, then closes": func(c net.Conn, r *http.Request) bool {
 			_, _ = io.WriteString(c, responseHead(r, ran(r), kind(r), length(r))+begin(r)+"id: 3\nda")
 			return false
 		},
-		"begins without an event id, framed, then closes": func(c net.Conn, r *http.Request) bool {
+		"sends an event without id, then closes": func(c net.Conn, r *http.Request) bool {
 			_, _ = io.WriteString(c, responseHead(r, ran(r), kind(r), length(r))+"data: unnamed\n\n")
 			return false
 		},
-		"sends what is no answer": func(c net.Conn, r *http.Request) bool {
+		"sends a malformed response": func(c net.Conn, r *http.Request) bool {
 			ran(r)
 			_, _ = io.WriteString(c, "rubbish\r\n\r\n")
 			return false
@@ -273,9 +273,9 @@
 	stamp := response.Header.Get("X-Server-Stamp")
 	switch {
 	case err != nil:
-		return "broken off"
+		return "aborted"
 	case response.StatusCode == http.StatusServiceUnavailable && response.Header.Get("Retry-After") == "":
-		return "without a time to come back"
+		return "without Retry-After"
 	case response.StatusCode != http.StatusOK:
 		return strings.TrimSpace(body + " " + stampWord(stamp))
 	case response.Header.Get("X-Request-Id") != "r":
@@ -284,7 +284,7 @@
 		if body != "body by "+stamp || !slices.Contains(s.runs, stamp) {
 			return "MIXED " + body
 		}
-		return "whole"
+		return "complete"
 	}
 	want := ""
 	for n := 1; n <= eventCount; n++ {
@@ -296,7 +296,7 @@
 	if stamp == s.runs[0] && len(s.runs) > 1 {
 		return "resumed"
 	}
-	return "whole"
+	return "complete"
 }
 
 func stampWord(stamp string) string {
@@ -309,24 +309,24 @@
 // TestCallTable checks each cell of the table: rows are behaviors of the first instance, columns kinds of routes. A request
 // that may not be repeated is sent once whatever happens, unless the instance reports that it did not run it.
 func TestCallTable(t *testing.T) {
-	const again, once = "200 whole, 2 runs", "200 whole, 1 runs"
-	const broken, lost = "200 broken off, 1 runs", "502 unstamped, 1 runs"
+	const again, once = "200 complete, 2 runs", "200 complete, 1 runs"
+	const broken, lost = "200 aborted, 1 runs", "502 unstamped, 1 runs"
 	table := map[string][4]string{ //                       safe    unsafe  stream  resumable
-		"rejects":                                         {once, once, once, once},
-		"is another instance":                             {once, once, once, once},
-		"closes without an answer":                        {again, lost, lost, again},
-		"resets without an answer":                        {again, lost, lost, again},
-		"fails":                                           {again, "500 oops stamped, 1 runs", "500 oops stamped, 1 runs", again},
-		"answers to another request":                      {again, lost, lost, again},
-		"answers late to another, then whole":             {once, once, once, once},
-		"answers whole, twice":                            {once, once, once, once},
-		"head alone, framed, then closes":                 {again, lost, lost, again},
-		"head alone, unframed, then resets":               {again, lost, lost, again},
-		"begins, framed, then closes":                     {broken, broken, broken, "200 resumed, 2 runs"},
-		"begins within an event, framed, then closes":     {broken, broken, broken, "200 resumed, 2 runs"},
-		"begins without an event id, framed, then closes": {broken, broken, broken, broken},
-		"sends what is no answer":                         {again, lost, lost, again},
-		"encodes the body":                                {again, lost, lost, again},
+		"rejects":                                           {once, once, once, once},
+		"is another instance":                               {once, once, once, once},
+		"closes without a response":                         {again, lost, lost, again},
+		"resets without a response":                         {again, lost, lost, again},
+		"responds with an error":                            {again, "500 oops stamped, 1 runs", "500 oops stamped, 1 runs", again},
+		"responds to another request":                       {again, lost, lost, again},
+		"responds late to another request, then completely": {once, once, once, once},
+		"responds completely, twice":                        {once, once, once, once},
+		"sends the head with a length, then closes":         {again, lost, lost, again},
+		"sends the head without a length, then resets":      {again, lost, lost, again},
+		"sends part of the body, then closes":               {broken, broken, broken, "200 resumed, 2 runs"},
+		"sends part of an event, then closes":               {broken, broken, broken, "200 resumed, 2 runs"},
+		"sends an event without id, then closes":            {broken, broken, broken, broken},
+		"sends a malformed response":                        {again, lost, lost, again},
+		"encodes the body":                                  {again, lost, lost, again},
 	}
 	if len(table) != len((&script{}).behaviors()) {
 		t.Fatal("the table and the script have different rows")
--- a/internal/instances/instances_test.go
+++ b/internal/instances/instances_test.go
@@ -170,7 +170,7 @@
 		}
 		return all
 	}
-	before, count, kept := plain(), r.Changes(), 0
+	before, count, unchanged := plain(), r.Changes(), 0
 	for step := range 20000 {
 		now = now.Add(time.Duration(random.IntN(100)) * time.Millisecond)
 		switch random.IntN(20) {
@@ -194,11 +194,11 @@
 			t.Fatalf("step %d: counter changed: %t, instances changed: %t\n%v\n%v", step, counted, differs, before, after)
 		}
 		if !differs {
-			kept++
+			unchanged++
 		}
 		before, count = after, r.Changes()
 	}
-	if kept < 2000 || kept > 18000 {
-		t.Errorf("%d of 20000 steps changed nothing", kept)
+	if unchanged < 2000 || unchanged > 18000 {
+		t.Errorf("%d of 20000 steps changed nothing", unchanged)
 	}
 }
