--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -226,7 +226,7 @@
 	return out
 }
 
-// Began reports that the first event of a request's stream has arrived.
+// StreamBegan reports that the first event of a request's stream has arrived.
 func (b *Balancer) Began(now float64, request int64, attempt int, elapsed float64) []Command {
 	part, open := b.partOf[request]
 	if !open {
@@ -235,7 +235,7 @@
 	return b.step(now, logic.Event{Kind: logic.StreamBegan, ID: part, Dispatch: attempt, Elapsed: elapsed})
 }
 
-// Ended reports the outcome of an attempt.
+// AttemptEnded reports the outcome of an attempt.
 func (b *Balancer) Ended(now float64, request int64, attempt int, outcome logic.Outcome, elapsed float64) []Command {
 	part, known := b.partOf[request]
 	if !known {
@@ -244,7 +244,7 @@
 	return b.step(now, logic.Event{Kind: logic.DispatchEnded, ID: part, Dispatch: attempt, Outcome: outcome, Elapsed: elapsed})
 }
 
-// Left reports that the client of a request has disconnected.
+// ClientLeft reports that the client of a request has disconnected.
 func (b *Balancer) Left(now float64, request int64) []Command {
 	return b.step(now, logic.Event{Kind: logic.ClientLeft, ID: request})
 }
@@ -255,12 +255,12 @@
 	delete(b.partOf, request)
 }
 
-// Heard processes a note received from another broker.
+// ReceiveNote processes a note received from another broker.
 func (b *Balancer) Heard(now float64, note []byte) []Command {
 	return b.step(now, logic.Event{Kind: logic.PeerNote, Note: note})
 }
 
-// Note is a message for other brokers about work that this one sent. A wide note goes to all of them, others to the usual
+// Note is a message for other brokers about work that this one sent. A broadcast note goes to all of them, others to the usual
 // number of peers.
 type Note struct {
 	Text []byte
@@ -274,7 +274,7 @@
 	return notes
 }
 
-// Due returns the time in ms of the earliest timer, at which Advance must be called; +Inf if no timer is set.
+// NextTimer returns the time in ms of the earliest timer, at which Advance must be called; +Inf if no timer is set.
 func (b *Balancer) Due() float64 {
 	if len(b.timers) == 0 {
 		return math.Inf(1)
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -330,7 +330,8 @@
 // forward forwards a response to the client.
 func (c *call) forward(response *upstream.Response, instance instances.Instance, number int, begun time.Time) logic.Outcome {
 	if c.answer == nil {
-		c.answer = &answer{writer: c.writer, stream: c.route.Kind == configuration.Streaming, resumable: c.route.Resumable, lastSentID: c.incoming.Header.Get(lastEventID)}
+		c.answer = &answer{writer: c.writer, stream: c.route.Kind == configuration.Streaming, resumable: c.route.Resumable,
+			lastSentID: c.incoming.Header.Get(lastEventID)}
 	}
 	began := false
 	onData := func() {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -100,10 +100,10 @@
 	}
 }
 
-// SetTell sets the function that sends notes to other brokers; to all of them if wide is true.
+// SetNoteSender sets the function that sends notes to other brokers; to all of them if wide is true.
 func (s *Server) SetTell(f func(note []byte, wide bool)) { s.dispatcher.sendNotes = f }
 
-// Heard processes a note received from another broker.
+// ReceiveNote processes a note received from another broker.
 func (s *Server) Heard(note []byte) { s.dispatcher.receiveNote(note) }
 
 // SetBrokers sets the number of live brokers, which share the retry budget.
@@ -154,10 +154,10 @@
 	s.dispatcher.setInstances(list)
 }
 
-// Leave makes all further responses ask their clients to close the connection.
+// RequestConnectionClose makes all further responses ask their clients to close the connection.
 func (s *Server) Leave() { s.leaving.Store(true) }
 
-// Close makes the server refuse all further requests, because the broker may shut down before their responses are complete.
+// RefuseRequests makes the server refuse all further requests, because the broker may shut down before their responses are complete.
 func (s *Server) Close() { s.closing.Store(true) }
 
 // InFlight returns the number of requests without a complete response.
--- a/internal/gateway/streams.go
+++ b/internal/gateway/streams.go
@@ -28,7 +28,7 @@
 	p.lastEvent = now
 }
 
-// Streams counts how the completely forwarded responses of one streaming route met its latency targets at this broker.
+// StreamStats counts how the completely forwarded responses of one streaming route met its latency targets at this broker.
 type Streams struct {
 	Route string `json:"route"`
 	// Served counts all completely forwarded responses.
--- a/internal/holders/holders.go
+++ b/internal/holders/holders.go
@@ -67,7 +67,7 @@
 	return cached
 }
 
-// Read records that an instance has read parts for a request of this broker.
+// RecordRead records that an instance has read parts for a request of this broker.
 func (t *Table) Read(instance string, keys []Key, tokens []float64) {
 	cached := t.cacheOf(instance)
 	for i, key := range keys {
@@ -87,7 +87,7 @@
 	}
 }
 
-// Told returns the parts that an instance has reported. synced is false if the table misses some of its changes.
+// Reported returns the parts that an instance has reported. synced is false if the table misses some of its changes.
 func (t *Table) Told(instance string) (held map[Key]float64, synced bool) {
 	cached := t.instances[instance]
 	if cached == nil || !cached.synced {
@@ -152,14 +152,14 @@
 	cached.shrink()
 }
 
-// Lost records that changes of an instance were missed.
+// MarkUnsynced records that changes of an instance were missed.
 func (t *Table) Lost(instance string) {
 	if cached := t.instances[instance]; cached != nil {
 		cached.synced = false
 	}
 }
 
-// Held returns how many leading tokens of a prompt an instance caches: a part counts if all parts before it are cached
+// CachedTokens returns how many leading tokens of a prompt an instance caches: a part counts if all parts before it are cached
 // completely.
 func (t *Table) Held(instance string, keys []Key, tokens []float64) float64 {
 	cached := t.instances[instance]
--- a/internal/instances/instances.go
+++ b/internal/instances/instances.go
@@ -19,7 +19,7 @@
 const RecordKind = 'i'
 
 const (
-	// ReportEvery is the interval at which the record of an unchanged instance is published again, so that the other brokers
+	// PublishInterval is the interval at which the record of an unchanged instance is published again, so that the other brokers
 	// know that it is alive.
 	ReportEvery = 4 * time.Second
 	staleAfter  = 20 * time.Second // an instance without heartbeats or records for longer is removed
@@ -145,7 +145,7 @@
 // New returns an empty registry.
 func New() *Registry { return &Registry{entries: map[string]*entry{}} }
 
-// Heard is the result of a heartbeat.
+// HeartbeatResult is the result of a heartbeat.
 type Heard struct {
 	Tell      bool       // the instance's record is to be published to the other brokers
 	Late      bool       // the heartbeat is ignored: a newer one has been received, or the instance is gone
@@ -174,7 +174,7 @@
 	return result
 }
 
-// Take applies a record received from another broker. It reports whether anything but the time of the last sign of life
+// ApplyRecord applies a record received from another broker. It reports whether anything but the time of the last sign of life
 // has changed.
 func (r *Registry) Take(i Instance, now time.Time) (changed bool) {
 	e := r.entries[i.ID]
@@ -190,7 +190,7 @@
 	return changed
 }
 
-// Displace marks an instance as displaced because another one answered at its address. It returns the changed instance and
+// MarkDisplaced marks an instance as displaced because another one answered at its address. It returns the changed instance and
 // whether its record is to be published.
 func (r *Registry) Displace(id string, now time.Time) (displaced Instance, changed bool) {
 	e := r.entries[id]
@@ -204,7 +204,7 @@
 	return i, true
 }
 
-// Leave marks an instance as gone, including one that is not known here. It returns the instance to publish and whether its
+// MarkGone marks an instance as gone, including one that is not known here. It returns the instance to publish and whether its
 // state has changed.
 func (r *Registry) Leave(id string, now time.Time) (gone Instance, changed bool) {
 	e := r.entries[id]
@@ -220,7 +220,7 @@
 	return i, true
 }
 
-// EndingSince returns when this broker first learned that an instance is draining or gone; the zero time if it has not.
+// DrainingOrGoneSince returns when this broker first learned that an instance is draining or gone; the zero time if it has not.
 func (r *Registry) EndingSince(id string) time.Time {
 	if e := r.entries[id]; e != nil {
 		return e.endingSince
@@ -295,7 +295,7 @@
 // Changes returns a counter that rises with every change of the registry other than the times and sequences of heartbeats.
 func (r *Registry) Changes() uint64 { return r.changes }
 
-// All returns the instances that are neither gone nor displaced, sorted by id.
+// Active returns the instances that are neither gone nor displaced, sorted by id.
 func (r *Registry) All() []Instance {
 	return slices.DeleteFunc(r.Known(), func(i Instance) bool { return !i.usable() })
 }
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -65,7 +65,7 @@
 	return len(l.conns)
 }
 
-// CloseResting closes the connections that have been idle for at least minIdle and returns their number.
+// CloseIdle closes the connections that have been idle for at least minIdle and returns their number.
 func (l *Listener) CloseResting(minIdle time.Duration) (closed int) {
 	l.mu.Lock()
 	var all []*conn
--- a/internal/kvindex/index.go
+++ b/internal/kvindex/index.go
@@ -29,9 +29,9 @@
 type Index struct {
 	client Client
 	table  func(func(*holders.Table))
-	// Took is called with the changes that were applied to the table; complete means that they replaced it. It may be nil.
+	// OnChanges is called with the changes that were applied to the table; complete means that they replaced it. It may be nil.
 	Took func(name string, c Changes, complete bool)
-	// Displaced is called with the id of an instance at whose address another one answered. It may be nil.
+	// OnDisplaced is called with the id of an instance at whose address another one answered. It may be nil.
 	Displaced func(id string)
 
 	mu      sync.Mutex
--- a/internal/kvindex/sharing.go
+++ b/internal/kvindex/sharing.go
@@ -114,7 +114,7 @@
 	return note
 }
 
-// Take applies a note of another broker.
+// ApplyNote applies a note of another broker.
 func (s *Sharing) Take(note []byte, now time.Time) error {
 	if len(note) < noteHeader || len(note) < noteHeader+int(note[noteHeader-1]) {
 		return ErrNote
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// Sweep closes connections whose idle timeout has passed. It must be called periodically.
+// CloseExpired closes connections whose idle timeout has passed. It must be called periodically.
 func (p *Pool) Sweep() {
 	now := time.Now()
 	p.mu.Lock()
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// RequestID is the header that identifies the request a response belongs to.
+// RequestIDHeader is the header that identifies the request a response belongs to.
 const RequestID = "X-Request-Id"
 
 // instanceIDHeader is the header that identifies the responding instance.
@@ -41,7 +41,7 @@
 	Body   []byte
 	ID     string // value of X-Request-Id; if empty, a late response to an earlier request cannot be detected
 	Once   bool   // use a connection of its own, which is closed after the response
-	// Complete sets headers whose values depend on the time of sending. It may be nil.
+	// SetHeaders sets headers whose values depend on the time of sending. It may be nil.
 	Complete func(http.Header)
 }
 
@@ -133,7 +133,7 @@
 	return nil, ErrWrongResponse
 }
 
-// FromAnother reports whether another instance than the intended one received the request and refused it for that reason. A
+// Misdirected reports whether another instance than the intended one received the request and refused it for that reason. A
 // refusal without the id of the responding instance does not count.
 func (r *Response) FromAnother(instance string) bool {
 	other := r.Header.Get(instanceIDHeader)
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -237,7 +237,7 @@
 	}
 }
 
-// TestOnce checks that a request with Once gets a connection of its own, which is not used before or after it.
+// TestOnce checks that a request with DedicatedConn gets a connection of its own, which is not used before or after it.
 func TestOnce(t *testing.T) {
 	address, opened := startServer(t, func(int, *http.Request) string { return "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n" })
 	p := New(netio.Host{})
