--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -157,7 +157,7 @@
 // RequestConnectionClose makes all further responses ask their clients to close the connection.
 func (s *Server) Leave() { s.leaving.Store(true) }
 
-// RefuseRequests makes the server refuse all further requests, because the broker may shut down before their responses are complete.
+// Close makes the server refuse all further requests, because the broker may shut down before their responses are complete.
 func (s *Server) Close() { s.closing.Store(true) }
 
 // InFlight returns the number of requests without a complete response.
--- a/internal/holders/holders.go
+++ b/internal/holders/holders.go
@@ -67,7 +67,7 @@
 	return cached
 }
 
-// RecordRead records that an instance has read parts for a request of this broker.
+// Read records that an instance has read parts for a request of this broker.
 func (t *Table) Read(instance string, keys []Key, tokens []float64) {
 	cached := t.cacheOf(instance)
 	for i, key := range keys {
