--- a/internal/cluster/announce.go
+++ b/internal/cluster/announce.go
@@ -13,34 +13,36 @@
 )
 
 const (
-	fetchAgain   = 20 * time.Millisecond // when a holder did not have an announced value yet
-	fetchTimeout = time.Minute           // for a value that comes without a pause
+	fetchRetryDelay = 20 * time.Millisecond // delay before the next fetch when a holder does not have an announced value yet
+	fetchTimeout    = time.Minute           // for a value whose bytes keep arriving
 )
 
-// registerID names the record of the register's value.
+// registerID identifies the record of the register's value.
 var registerID = dissemination.ID{Kind: RegisterRecord, Key: registerKey}
 
-// announce tells all brokers that a value is chosen, and waits until all who are alive have it or the context ends. A small one
-// goes along; a large one they have from the replicas that accepted it, since whoever proposed it may have a thin link.
+// announce notifies all brokers that a value is chosen, and blocks until every live broker has it or the context ends.
+// A small value is part of the announcement. Brokers fetch a large value from the replicas that accepted it, since the
+// proposer's link may be slow.
 func (n *Node) announce(ctx context.Context, known register.Known, holders []string) Told {
 	record := recordOf(known)
-	announced := &peerlink.Announced{Version: record.Version, Ballot: known.Ballot, Holders: holders, Chosen: n.chosen(known)}
-	n.putQuietly([]dissemination.Record{record})
-	return n.tellEverybody(ctx, peerlink.Message{Announced: announced}, Told.All)
+	announced := &peerlink.Announced{Version: record.Version, Ballot: known.Ballot, Holders: holders, Chosen: n.inlineValue(known)}
+	n.putWithoutPush([]dissemination.Record{record})
+	return n.callAll(ctx, peerlink.Message{Announced: announced}, Told.All)
 }
 
-// mostChosen is the most bytes of a value that goes along with its announcement.
-const mostChosen = 8 << 10
+// maxInlineValue is the maximum size in bytes of a value that is sent within its announcement.
+const maxInlineValue = 8 << 10
 
-// chosen is a value as it differs from the one before it, which most brokers have; nil: it is not small.
-func (n *Node) chosen(known register.Known) *peerlink.Chosen {
+// inlineValue returns a value as the difference from the previous one, which most brokers have, or nil if it is not
+// small.
+func (n *Node) inlineValue(known register.Known) *peerlink.Chosen {
 	before, _ := n.Known()
 	base, isDocument := n.payloads.remember(before.Value.Payload)
 	if !isDocument {
 		return nil
 	}
 	patch := n.payloads.patch(known.Value.Payload, base.Sum())
-	if patch == nil || len(patch) > mostChosen {
+	if patch == nil || len(patch) > maxInlineValue {
 		return nil
 	}
 	c := &peerlink.Chosen{From: before.Value.Sequence, Patch: patch}
@@ -50,8 +52,9 @@
 	return c
 }
 
-// takeChosen puts a value in force that came with its announcement; false: what it is made from is not here.
-func (n *Node) takeChosen(m *peerlink.Announced) bool {
+// applyInlineValue rebuilds a value that came with its announcement and stores it. It returns false if the base of the
+// difference is not here.
+func (n *Node) applyInlineValue(m *peerlink.Announced) bool {
 	before, _ := n.Known()
 	if m.Chosen == nil || before.Value.Sequence != m.Chosen.From || len(before.Value.Members.Sets) == 0 {
 		return false
@@ -63,65 +66,67 @@
 	if !n.payloads.unpack(&value, m.Chosen.Patch) {
 		return false
 	}
-	n.putQuietly([]dissemination.Record{recordOf(register.Known{Ballot: m.Ballot, Value: value})})
+	n.putWithoutPush([]dissemination.Record{recordOf(register.Known{Ballot: m.Ballot, Value: value})})
 	return true
 }
 
-// answerAnnounced takes an announced value, from this machine's replica or from another one's if it does not go along, and answers
-// once it is here; Lacks: it is not to be had in time.
+// answerAnnounced obtains an announced value and replies once it is stored. The value comes with the announcement,
+// from this machine's replica or from another holder. The reply sets Lacks if the value cannot be obtained in time.
 func (n *Node) answerAnnounced(m *peerlink.Announced) *peerlink.Message {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	heading := dissemination.Heading{ID: registerID, Version: m.Version}
-	if !n.stillLacks(heading) || n.takeChosen(m) {
+	if !n.missing(heading) || n.applyInlineValue(m) {
 		return &peerlink.Message{}
 	}
 	if n.replica != nil {
 		if accepted := n.replica.accepted(); accepted.Ballot == m.Ballot {
-			n.putQuietly([]dissemination.Record{recordOf(accepted)})
+			n.putWithoutPush([]dissemination.Record{recordOf(accepted)})
 		}
 	}
 	holders := slices.DeleteFunc(slices.Clone(m.Holders), func(ip string) bool { return ip == n.self.IP })
-	for n.stillLacks(heading) {
+	for n.missing(heading) {
 		if len(holders) == 0 || ctx.Err() != nil {
 			return &peerlink.Message{Lacks: true}
 		}
 		_, changed := n.Known()
-		go n.fetchRegister(holders[rand.IntN(len(holders))], false) // which goes on when this call has been answered
+		go n.fetchRegister(holders[rand.IntN(len(holders))], false) // the fetch continues after this call is answered
 		select {
 		case <-ctx.Done():
 		case <-changed:
-		case <-time.After(fetchAgain):
+		case <-time.After(fetchRetryDelay):
 		}
 	}
 	return &peerlink.Message{}
 }
 
-func (n *Node) stillLacks(heading dissemination.Heading) bool {
+func (n *Node) missing(heading dissemination.Heading) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.lacks(heading)
+	return n.missingLocked(heading)
 }
 
-// fetchRegister takes the newest value of the register that another broker knows; from one at a time, since two copies would
-// share the link. If that fails others are asked for it, and reconciliation brings it. push: others are to be offered it.
+// fetchRegister fetches the newest register value that another broker knows. Only one fetch runs at a time, since two
+// copies would share the link. If it fails, other brokers are queried, and reconciliation delivers the value in the
+// end. push says whether the value is then offered to other brokers.
 func (n *Node) fetchRegister(from string, push bool) {
-	if !n.fetching.CompareAndSwap(false, true) {
+	if !n.fetchingRegister.CompareAndSwap(false, true) {
 		return
 	}
-	defer n.fetching.Store(false)
+	defer n.fetchingRegister.Store(false)
 	ctx, cancel := context.WithTimeout(context.Background(), fetchTimeout)
 	defer cancel()
 	message := peerlink.Message{Records: &peerlink.Records{From: n.self.IP, Wanted: []dissemination.ID{registerID}}}
-	message.Has = n.base()
+	message.Has = n.basePayload()
 	answer, err := n.client.CallWhile(ctx, n.settings.PeerAddress(from), message, callTimeout)
-	if err == nil && answer.Records != nil && n.restore(answer) {
+	if err == nil && answer.Records != nil && n.restorePayloads(answer) {
 		n.put(answer.Records.Records, from, push)
 	}
 }
 
-// give returns records that are asked for; the register's value as a patch, where the asker has a payload that is known here.
-func (n *Node) give(wanted []dissemination.ID, has *delta.Sum) *peerlink.Message {
+// serveRecords returns the requested records. The register's value is sent as a patch if the requester has a payload
+// that is known here.
+func (n *Node) serveRecords(wanted []dissemination.ID, has *delta.Sum) *peerlink.Message {
 	n.mu.Lock()
 	records := n.store.Take(wanted)
 	n.mu.Unlock()
@@ -137,8 +142,9 @@
 	return reply
 }
 
-// restore puts the payload back into the register's value among records; false: its base is not here any more.
-func (n *Node) restore(reply *peerlink.Message) bool {
+// restorePayloads rebuilds the payload of a register value among the records of a reply. It returns false if the
+// patch's base is no longer here.
+func (n *Node) restorePayloads(reply *peerlink.Message) bool {
 	for at, r := range reply.Records.Records {
 		known, ok := r.Body.(register.Known)
 		if !ok {
--- a/internal/cluster/announce_test.go
+++ b/internal/cluster/announce_test.go
@@ -11,7 +11,7 @@
 	"gullstair/internal/sections"
 )
 
-// unpacked writes payloads as they are.
+// unpacked is a Packing that leaves payloads as they are.
 type unpacked struct{}
 
 var errNoDocument = errors.New("no document")
@@ -25,14 +25,14 @@
 	return text, nil
 }
 
-// knowing is a node that knows a value and talks to nobody.
-func knowing(known register.Known) *Node {
-	n := &Node{store: dissemination.New(), changed: make(chan struct{}), payloads: payloads{packing: unpacked{}}}
-	n.putQuietly([]dissemination.Record{recordOf(known)})
+// newNodeWithValue returns a node that knows a value and makes no calls.
+func newNodeWithValue(known register.Known) *Node {
+	n := &Node{store: dissemination.New(), knownChanged: make(chan struct{}), payloads: payloads{packing: unpacked{}}}
+	n.putWithoutPush([]dissemination.Record{recordOf(known)})
 	return n
 }
 
-// valueOf is a value with a long section and a short one.
+// valueOf returns a value with a long section and a short one.
 func valueOf(sequence uint64, lease string, voters ...string) register.Known {
 	var set []register.Replica
 	for _, ip := range voters {
@@ -43,16 +43,16 @@
 	return register.Known{Ballot: register.Ballot{Counter: sequence + 2, Proposer: 1}, Value: register.Value{Sequence: sequence, Members: register.Single(set...), Payload: payload}}
 }
 
-// announcedBy is how a node that knows one value announces the next.
+// announcedBy returns the announcement of a value by a node that knows the one before it.
 func announcedBy(before, next register.Known) *peerlink.Announced {
-	return &peerlink.Announced{Version: recordOf(next).Version, Ballot: next.Ballot, Chosen: knowing(before).chosen(next)}
+	return &peerlink.Announced{Version: recordOf(next).Version, Ballot: next.Ballot, Chosen: newNodeWithValue(before).inlineValue(next)}
 }
 
-// TestChosenIsMadeFromItsBase has a node take values that come with their announcement: it has what was chosen, with its voters, or
-// does not take it and fetches it.
+// TestChosenIsMadeFromItsBase applies values that come with their announcement. The node must end up with exactly the
+// chosen value and its voters, or refuse the value and fetch it.
 func TestChosenIsMadeFromItsBase(t *testing.T) {
 	first, renewed := valueOf(4, "one", "a", "b", "c"), valueOf(5, "two", "a", "b", "c")
-	moved := valueOf(6, "two", "a", "b", "d") // of the same payload, but for its section's version
+	moved := valueOf(6, "two", "a", "b", "d") // the payload of renewed, but with the section version of moved
 	moved.Value.Payload = renewed.Value.Payload
 	later := valueOf(7, "three", "a", "b", "d")
 	for name, c := range map[string]struct {
@@ -67,11 +67,11 @@
 		"made from the value that names others": {moved, moved, later, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			n, announced := knowing(c.has), announcedBy(c.before, c.next)
+			n, announced := newNodeWithValue(c.has), announcedBy(c.before, c.next)
 			if announced.Chosen == nil || len(announced.Chosen.Patch) > 120 {
 				t.Fatalf("announced: %+v", announced.Chosen)
 			}
-			taken := n.takeChosen(announced)
+			taken := n.applyInlineValue(announced)
 			known, _ := n.Known()
 			want := c.has
 			if c.taken {
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,6 +1,7 @@
-// Package cluster connects a broker to the others: it keeps the partial view, spreads records, knows who is alive, and
-// drives the rounds of the register. Decisions are in the packages peers, dissemination and register; this one holds
-// the connections, the clock and the goroutines.
+// Package cluster connects a broker to the other brokers. It keeps the partial view of the fleet, disseminates
+// records, detects which brokers are alive, and runs the consensus rounds of the register. The algorithms are in the
+// packages peers, dissemination and register, which do no I/O; this package holds the connections, the clock and the
+// goroutines.
 package cluster
 
 import (
@@ -25,7 +26,8 @@
 	"gullstair/internal/voters"
 )
 
-// protocolSections is the protocol of brokers that let all disks vote, patch payloads by sections and relay calls.
+// protocolSections is the protocol number of brokers whose releases count every disk among the voters, patch payloads
+// by sections and relay calls.
 const protocolSections = 1
 
 // Kinds of records.
@@ -38,100 +40,101 @@
 const (
 	registerKey = "control"
 
-	exchangeEvery  = 300 * time.Millisecond // between reconciliations with one random peer
-	firstExchanges = 60                     // at most so many after a start
-	firstSpacing   = 60 * time.Millisecond  // follow each other so
-	pushDelay      = 3 * time.Millisecond   // what is new in this time is pushed together
-	pushFanout     = 4                      // peers that a new record is pushed to, or offered
-	offerPatience  = 150 * time.Millisecond // for a record that was offered to come by another way, before it is asked for
-	callTimeout    = 600 * time.Millisecond
-	beatEvery      = time.Second           // a member's record is renewed no more often,
-	beatPerMember  = 20 * time.Millisecond // and in a large fleet once in so much for each member
-	beatsMissed    = 4                     // renewals after which a member counts as gone
-	forgetAfter    = 60 * time.Second      // a member that is gone for longer is forgotten
-	mostDropped    = 4096
-	seedEvery      = 2 * time.Second
+	exchangeInterval       = 300 * time.Millisecond // interval between reconciliations with one random peer
+	startupExchanges       = 60                     // maximum number of exchanges right after a start,
+	startupSpacing         = 60 * time.Millisecond  // and the interval between two of them
+	pushDelay              = 3 * time.Millisecond   // records that arrive within this time are pushed together
+	pushFanout             = 4                      // number of peers that a new record is pushed or offered to
+	offerGrace             = 150 * time.Millisecond // time for an offered record to arrive by another way before it is fetched
+	callTimeout            = 600 * time.Millisecond
+	renewInterval          = time.Second           // minimum interval between renewals of a member's record;
+	renewIntervalPerMember = 20 * time.Millisecond // a large fleet uses this much per member instead
+	maxMissedRenewals      = 4                     // number of missed renewals after which a member counts as gone
+	forgetAfter            = 60 * time.Second      // a member that has been gone for longer is removed
+	maxDropped             = 4096
+	seedInterval           = 2 * time.Second
 )
 
-// Member is one broker as it tells of itself.
+// Member is what a broker publishes about itself.
 type Member struct {
 	Name    string
 	IP      string
 	Zone    string
 	Region  string
 	Control string // address for the operator and for heartbeats
-	Core    bool   // holds, or may hold, a replica of the register
+	Core    bool   // whether it holds, or may hold, a replica of the register
 	Disk    uint64
 	Leaving bool
-	// Protocol is what its release understands; 0 in those before sections.
+	// Protocol is the protocol number of its release, 0 in releases before protocolSections.
 	Protocol uint64
 }
 
-// Environment is the machine that a broker runs on: its network and its disk.
+// Environment provides the network and the disk of the machine that a broker runs on. Tests replace it.
 type Environment struct {
 	Network  netio.Network
 	OpenDisk func(path string) (journalfile.Disk, error)
 }
 
-// Machine is the real machine.
+// HostEnvironment returns the environment of the real machine.
 func Machine() Environment { return Environment{Network: netio.Host{}, OpenDisk: journalfile.Dir} }
 
-// Node is this broker's place in the cluster.
+// Node is a broker's endpoint in the cluster.
 type Node struct {
 	environment Environment
 
-	settings *settings.Settings
-	logger   *log.Logger
-	client   *peerlink.Client
-	traffic  *peerlink.Traffic
-	listener net.Listener
-	notes    netio.Datagrams
-	paced    *pacer // notes of what instances keep
-	onNote   map[NoteKind]func([]byte)
-	random   *rand.Rand
+	settings     *settings.Settings
+	logger       *log.Logger
+	client       *peerlink.Client
+	traffic      *peerlink.Traffic
+	listener     net.Listener
+	noteSocket   netio.Datagrams
+	pacer        *pacer // rate limiter for notes of cached prefixes
+	noteHandlers map[NoteKind]func([]byte)
+	random       *rand.Rand
 
-	mu        sync.Mutex
-	store     *dissemination.Store
-	view      *peers.View
-	self      Member
-	epoch     uint64
-	beat      uint64
-	heard     map[string]time.Time // when a member's record last advanced, by address
-	alive     aliveMembers
-	fresh     []dissemination.Record
-	pushing   bool
-	offers    map[dissemination.ID]dissemination.Version // the newest that were offered here and are being waited for
-	onRecord  []func(dissemination.Record)
-	started   time.Time
-	seeds     []string
-	known     register.Known // the newest value that is known to be chosen
-	highest   register.Ballot
-	proposer  uint64
-	proposing chan struct{} // holds the turn to make an attempt
-	changed   chan struct{} // closed when known changes
+	mu             sync.Mutex
+	store          *dissemination.Store
+	view           *peers.View
+	self           Member
+	epoch          uint64
+	sequence       uint64
+	lastUpdate     map[string]time.Time // when each member's record last advanced, by address
+	alive          aliveMembers
+	pendingPush    []dissemination.Record
+	pushScheduled  bool
+	pendingOffers  map[dissemination.ID]dissemination.Version // newest version of each offered record whose fetch is scheduled
+	recordHandlers []func(dissemination.Record)
+	started        time.Time
+	seeds          []string
+	known          register.Known // the newest value known to be chosen
+	highestBallot  register.Ballot
+	proposerID     uint64
+	proposalTurn   chan struct{} // semaphore: one attempt at a time
+	knownChanged   chan struct{} // closed when known changes
 
-	payloads  payloads
-	fetching  atomic.Bool // the register's value is on its way here
-	failedAt  time.Time   // when the newest attempt began that found no majority
-	contacts  *voters.Contacts
-	reviewNow chan struct{} // has the voters looked at now
+	payloads          payloads
+	fetchingRegister  atomic.Bool // a fetch of the register's value is in progress
+	lastFailedAttempt time.Time   // start of the newest attempt that found no quorum
+	contacts          *voters.Contacts
+	reviewRequested   chan struct{} // triggers a review of the voters at once
 
-	exchanged    int // exchanges begun
-	neighborTurn int // of the tree, that was picked last for one
+	exchangeCount int // number of exchanges started
+	neighborTurn  int // index of the tree neighbor used for the last neighbor exchange
 
 	replica  *replica  // nil on a machine without a disk
-	founding *founding // the acceptor that decides the first members, while the system starts for the first time
+	founding *founding // in-memory acceptor that decides the first members when the system starts for the first time
 }
 
-// New opens this broker's place; Run makes it take part. packing is how the register's payload is written.
+// New creates a node and opens its replica and its listeners; Run starts it. packing defines how the register's
+// payload is written.
 func New(s *settings.Settings, logger *log.Logger, environment Environment, packing Packing) (*Node, error) {
-	n := &Node{settings: s, logger: logger, environment: environment, traffic: &peerlink.Traffic{}, store: dissemination.New(), heard: map[string]time.Time{},
-		proposer: rand.Uint64() | 1, started: time.Now(), changed: make(chan struct{}), seeds: s.SeedIPs(),
-		proposing: make(chan struct{}, 1), contacts: voters.NewContacts(s.Bounds.CatchUp), reviewNow: make(chan struct{}, 1), onNote: map[NoteKind]func([]byte){},
-		offers: map[dissemination.ID]dissemination.Version{}, paced: newPacer(s.LinkMbps), payloads: payloads{packing: packing}}
+	n := &Node{settings: s, logger: logger, environment: environment, traffic: &peerlink.Traffic{}, store: dissemination.New(), lastUpdate: map[string]time.Time{},
+		proposerID: rand.Uint64() | 1, started: time.Now(), knownChanged: make(chan struct{}), seeds: s.SeedIPs(),
+		proposalTurn: make(chan struct{}, 1), contacts: voters.NewContacts(s.Bounds.CatchUp), reviewRequested: make(chan struct{}, 1), noteHandlers: map[NoteKind]func([]byte){},
+		pendingOffers: map[dissemination.ID]dissemination.Version{}, pacer: newPacer(s.LinkMbps), payloads: payloads{packing: packing}}
 	n.client = peerlink.NewClient(environment.Network, n.traffic)
-	n.random = rand.New(rand.NewPCG(n.proposer, 1))
-	n.view = peers.New(s.IP, n.proposer)
+	n.random = rand.New(rand.NewPCG(n.proposerID, 1))
+	n.view = peers.New(s.IP, n.proposerID)
 	n.epoch = uint64(time.Now().UnixNano())
 	n.self = Member{Name: s.NodeName, IP: s.IP, Zone: s.Zone, Region: s.Region, Control: s.ListenControl, Protocol: protocolSections}
 	if s.CountsForQuorum && s.DataDir != "" {
@@ -154,16 +157,17 @@
 	return n, n.openNotes()
 }
 
-// Incarnation tells this process from earlier ones of the same broker.
-func (n *Node) Incarnation() uint64 { return n.proposer }
+// Incarnation returns a number that distinguishes this process from earlier processes of the same broker.
+func (n *Node) Incarnation() uint64 { return n.proposerID }
 
-// Traffic counts what this broker and the others have sent each other since its start, apart from notes.
+// Traffic returns the messages and bytes exchanged with other brokers since the start, without notes.
 func (n *Node) Traffic() []peerlink.Count { return n.traffic.Counts() }
 
-// OnRecord has f called for each record that is new here, of whatever origin. It is called before Run.
-func (n *Node) OnRecord(f func(dissemination.Record)) { n.onRecord = append(n.onRecord, f) }
+// OnRecord registers f to be called for each new record, including this broker's own. It must be called before Run.
+func (n *Node) OnRecord(f func(dissemination.Record)) { n.recordHandlers = append(n.recordHandlers, f) }
 
-// Replica says what this machine's replica is and the sequence of the value that it holds; false: there is none here.
+// Replica returns the identity of this machine's replica and the sequence of the value that it holds, or false if the
+// machine has no replica.
 func (n *Node) Replica() (replica register.Replica, sequence uint64, has bool) {
 	if n.replica == nil {
 		return register.Replica{}, 0, false
@@ -171,24 +175,24 @@
 	return n.replica.id(), n.replica.accepted().Value.Sequence, true
 }
 
-// Run takes part until the context ends.
+// Run starts the node and blocks until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	go func() {
 		if err := peerlink.Serve(n.listener, n.traffic, n.handle); err != nil {
-			n.logger.Error().Err(err).Msg("serving peers ended")
+			n.logger.Error().Err(err).Msg("stopped serving peers")
 		}
 	}()
-	go n.exchanges(ctx)
-	go n.takeNotes(ctx)
-	go n.beats(ctx)
-	go n.keepRegister(ctx)
+	go n.exchangeLoop(ctx)
+	go n.receiveNotes(ctx)
+	go n.renewLoop(ctx)
+	go n.runReplica(ctx)
 	<-ctx.Done()
 	n.listener.Close()
 	n.client.Close()
 }
 
-// every calls f again and again, at intervals that vary by a fifth.
-func (n *Node) every(ctx context.Context, interval time.Duration, f func(context.Context)) {
+// repeat calls f until the context ends. Each interval is drawn from 90 % to 110 % of the given one.
+func (n *Node) repeat(ctx context.Context, interval time.Duration, f func(context.Context)) {
 	for {
 		wait := time.Duration(float64(interval) * (0.9 + 0.2*rand.Float64()))
 		select {
@@ -200,14 +204,14 @@
 	}
 }
 
-// SetSeeds takes other seeds, after the settings have changed.
+// SetSeeds replaces the seeds after a change of the settings.
 func (n *Node) SetSeeds(seeds []string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.seeds = seeds
 }
 
-// call makes one call; a peer that does not answer gets a new connection next time.
+// call makes one call. After an error it closes the connection, so that the next call opens a new one.
 func (n *Node) call(ip string, m peerlink.Message) (*peerlink.Message, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -219,7 +223,7 @@
 	return reply, err
 }
 
-// handle answers a peer's call.
+// handle dispatches a peer's call and returns the reply.
 func (n *Node) handle(m *peerlink.Message) *peerlink.Message {
 	switch {
 	case m.Relay != nil:
@@ -227,9 +231,9 @@
 	case m.Digest != nil:
 		return n.answerDigest(m.Digest)
 	case m.Records != nil:
-		n.take(m.Records.Records, m.Records.From)
-		n.consider(m.Records.Offered, m.Records.From)
-		return n.give(m.Records.Wanted, m.Has)
+		n.putAndPush(m.Records.Records, m.Records.From)
+		n.scheduleFetch(m.Records.Offered, m.Records.From)
+		return n.serveRecords(m.Records.Wanted, m.Has)
 	case m.Prepare != nil:
 		return n.answerPrepare(*m.Prepare, m.Has)
 	case m.Accept != nil:
--- a/internal/cluster/founding.go
+++ b/internal/cluster/founding.go
@@ -13,21 +13,22 @@
 	"gullstair/internal/voters"
 )
 
-// The first start of the whole system. Nobody is told which machines hold the register, so the brokers find out: those
-// with a disk that have met become its first members. That two groups do not each found a register, the set is
-// decided by a single-decree round among the seeds, which are the same for all at the first start; their acceptors
-// live in memory, and only in processes that were started with the bootstrap flag. A disk is marked when a process first
-// opens it, so one that is started a second time, with whatever flag, does not answer for promises that it has forgotten.
+// This file handles the first start of the whole system. No setting names the machines that hold the register, so the
+// brokers discover them: the machines with a disk that have met become its first members. Two groups must not each
+// found a register, so a single-decree consensus round among the seeds decides the set; the seeds are the same for all
+// brokers at the first start. The seeds' acceptors live in memory, and only in processes that were started with the
+// bootstrap flag. A process marks its disk when it first opens it, so a process that is started a second time, with or
+// without the flag, does not answer for promises that it has lost.
 
 const (
-	foundingDisk  = 0                      // the identity of acceptors in memory
-	anyDisk       = 1                      // in a probe: whatever disk answers; none has this identity
-	foundingAfter = 700 * time.Millisecond // the fleet is taken as met once nobody new with a disk came for so long
-	foundingMost  = 5 * time.Second        // the full number of voters is waited for so long
-	foundingRetry = 300 * time.Millisecond
+	foundingDisk       = 0                      // disk identity of acceptors in memory
+	anyDisk            = 1                      // in a probe: matches any disk; no disk has this identity
+	foundingSettleTime = 700 * time.Millisecond // the fleet counts as complete once no new member with a disk has appeared for this long
+	foundingTimeout    = 5 * time.Second        // maximum wait for the full number of voters
+	foundingRetry      = 300 * time.Millisecond
 )
 
-// founding is the acceptor in memory.
+// founding is the in-memory acceptor for the first members.
 type founding struct {
 	mu       sync.Mutex
 	active   bool
@@ -41,7 +42,8 @@
 	return f
 }
 
-// activate has the acceptor in memory answer: no earlier process has answered in its place.
+// activate makes the in-memory acceptor answer. It must be called only if no earlier process can have answered in its
+// place.
 func (f *founding) activate() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,32 +68,32 @@
 	return f.acceptor.Accept(m)
 }
 
-// found brings the register into being at the first start.
-func (n *Node) found(ctx context.Context) {
+// foundRegister founds the register at the first start.
+func (n *Node) foundRegister(ctx context.Context) {
 	var core []string
 	since := time.Now()
 	begun := since
-	for ctx.Err() == nil && !n.founded() {
+	for ctx.Err() == nil && !n.registerKnown() {
 		time.Sleep(foundingRetry / 3)
 		present := n.coreAddresses()
 		if !slices.Equal(core, present) {
 			core, since = present, time.Now()
 		}
-		if time.Since(since) < foundingAfter || len(core) == 0 {
+		if time.Since(since) < foundingSettleTime || len(core) == 0 {
 			continue
 		}
-		if len(core) < n.tolerance().Seats() && time.Since(begun) < foundingMost {
+		if len(core) < n.tolerance().Seats() && time.Since(begun) < foundingTimeout {
 			continue
 		}
-		if core[0] != n.self.IP && time.Since(since) < 2*foundingAfter {
-			continue // the first of them does it, the others if it does not
+		if core[0] != n.self.IP && time.Since(since) < 2*foundingSettleTime {
+			continue // the member with the lowest address founds; the others step in later if it does not
 		}
-		n.tryToFound(ctx)
+		n.proposeFirstMembers(ctx)
 		time.Sleep(foundingRetry)
 	}
 }
 
-func (n *Node) founded() bool {
+func (n *Node) registerKnown() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.known.Value.Members.Sets) > 0
@@ -108,8 +110,8 @@
 	return out
 }
 
-// tryToFound decides the first members among the seeds and tells these.
-func (n *Node) tryToFound(ctx context.Context) {
+// proposeFirstMembers runs a round among the seeds that decides the first members, then installs the result on them.
+func (n *Node) proposeFirstMembers(ctx context.Context) {
 	var seeds []register.Replica
 	for _, ip := range n.settings.SeedIPs() {
 		seeds = append(seeds, register.Replica{Address: ip, Disk: foundingDisk})
@@ -117,21 +119,21 @@
 	first := n.firstMembers()
 	change := func(present register.Value) (register.Value, bool, error) {
 		if len(present.Payload) > 0 {
-			return present, true, nil // decided already
+			return present, true, nil // already decided
 		}
 		return register.Value{Members: register.Single(seeds...), Payload: encode(first)}, true, nil
 	}
 	value, err := n.round(ctx, register.Single(seeds...), register.Known{}, change)
 	if err != nil {
-		n.logger.Info().Err(err).Msg("the first members are not decided yet")
+		n.logger.Info().Err(err).Msg("could not decide the first members yet")
 		return
 	}
 	members := register.Members{}
 	if err := decode(value.Payload, &members); err != nil {
-		n.logger.Error().Err(err).Msg("the first members cannot be read")
+		n.logger.Error().Err(err).Msg("cannot decode the first members")
 		return
 	}
-	n.tellFirst(ctx, members)
+	n.installFirstMembers(ctx, members)
 }
 
 func (n *Node) firstMembers() register.Members {
@@ -144,40 +146,41 @@
 	return register.Single(voters.First(met)...)
 }
 
-// tellFirst has all first members begin with the value that names them. Only then is the register there.
-func (n *Node) tellFirst(ctx context.Context, members register.Members) {
+// installFirstMembers makes every first member store the value that names them. The register exists once all of them
+// have confirmed.
+func (n *Node) installFirstMembers(ctx context.Context, members register.Members) {
 	for _, replica := range members.Last() {
 		call, cancel := context.WithTimeout(ctx, callTimeout)
 		reply, err := n.client.Call(call, n.settings.PeerAddress(replica.Address), peerlink.Message{Found: &peerlink.Found{Members: members}})
 		cancel()
 		if err != nil || reply.Found == nil || !reply.Found.Taken || reply.Found.Self != replica {
-			n.logger.Info().Str("replica", replica.Address).Msg("a first member does not answer yet")
+			n.logger.Info().Str("replica", replica.Address).Msg("a first member has not confirmed yet")
 			return
 		}
 	}
-	n.logger.Info().Int("members", len(members.Last())).Msg("the register is founded")
+	n.logger.Info().Int("members", len(members.Last())).Msg("register founded")
 	n.publishKnown(register.Known{Ballot: firstBallot, Value: register.Value{Members: members}})
 }
 
-// firstBallot is that of the value which names the first members; no attempt uses it.
+// firstBallot is the ballot of the value that names the first members. No attempt uses it.
 var firstBallot = register.Ballot{Counter: 1}
 
-// answerFound takes the first members on this replica, unless it holds something already or is none of them: members
-// name the disk, so one that came later, empty, takes nothing.
+// answerFound stores the first members on this replica, unless the replica already holds a value or is not one of
+// them. Members include the disk's identity, so a disk that is replaced later, and is empty, is refused.
 func (n *Node) answerFound(m *peerlink.Found) *peerlink.Message {
 	reply := &peerlink.Found{}
 	if n.replica != nil {
 		n.replica.use(func(a *register.Acceptor) {
 			reply.Self = a.Self
-			reply.Taken = takeFirst(a, m.Members)
+			reply.Taken = acceptFirstMembers(a, m.Members)
 		})
 	}
 	return &peerlink.Message{Found: reply}
 }
 
-// takeFirst has an acceptor begin with the value that names the first members. One that holds that value, or one that was
-// made from it, has taken it before.
-func takeFirst(a *register.Acceptor, members register.Members) bool {
+// acceptFirstMembers makes an acceptor store the value that names the first members. It also returns true if the
+// acceptor holds that value or one derived from it, since it has stored it before.
+func acceptFirstMembers(a *register.Acceptor, members register.Members) bool {
 	if !members.Has(a.Self) {
 		return false
 	}
@@ -192,8 +195,8 @@
 	return true
 }
 
-// learn takes a chosen value that was published; n.mu is held.
-func (n *Node) learn(r dissemination.Record) {
+// learnKnown updates the known value from a published record. n.mu is held.
+func (n *Node) learnKnown(r dissemination.Record) {
 	known, ok := r.Body.(register.Known)
 	if !ok {
 		return
@@ -202,11 +205,11 @@
 		return
 	}
 	n.known = known
-	close(n.changed)
-	n.changed = make(chan struct{})
+	close(n.knownChanged)
+	n.knownChanged = make(chan struct{})
 }
 
-// publishKnown spreads a chosen value.
+// publishKnown disseminates a chosen value.
 func (n *Node) publishKnown(known register.Known) { n.Publish(recordOf(known)) }
 
 func recordOf(known register.Known) dissemination.Record {
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -11,17 +11,17 @@
 	"gullstair/internal/register"
 )
 
-// exchanges reconciles with one peer after another. Until it knows the register's value it does so in quick succession
-// and with several at a time: some may not be back yet.
-func (n *Node) exchanges(ctx context.Context) {
-	for range firstExchanges {
-		if n.founded() || ctx.Err() != nil {
+// exchangeLoop reconciles with one peer after another. Until the register's value is known it starts exchanges in
+// quick succession and several at a time, since some peers may not have restarted yet.
+func (n *Node) exchangeLoop(ctx context.Context) {
+	for range startupExchanges {
+		if n.registerKnown() || ctx.Err() != nil {
 			break
 		}
 		go n.exchange(ctx)
-		time.Sleep(firstSpacing)
+		time.Sleep(startupSpacing)
 	}
-	n.every(ctx, exchangeEvery, n.exchange)
+	n.repeat(ctx, exchangeInterval, n.exchange)
 }
 
 // Records returns all records of a kind.
@@ -31,37 +31,37 @@
 	return n.store.Of(kind)
 }
 
-// Publish puts a record in and spreads it.
-func (n *Node) Publish(r dissemination.Record) { n.take([]dissemination.Record{r}, "") }
+// Publish stores a record and disseminates it.
+func (n *Node) Publish(r dissemination.Record) { n.putAndPush([]dissemination.Record{r}, "") }
 
-// Drop forgets a record here.
+// Drop removes a record from the local store.
 func (n *Node) Drop(id dissemination.ID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.store.Drop(id)
 }
 
-// Told says who has confirmed that it has a record.
+// Delivery counts the brokers that have confirmed a record.
 type Told struct {
-	Confirmed int  // of the other brokers that are alive
-	Alive     int  // other brokers that are alive, as far as this one knows
-	Quorum    bool // a majority of the register's voters, alive or not, has confirmed it
+	Confirmed int  // confirmations from other live brokers
+	Alive     int  // other brokers that this one believes alive
+	Quorum    bool // a majority of the register's voters, alive or not, has confirmed
 }
 
-// All says whether everybody who is alive has confirmed.
+// All reports whether every other live broker has confirmed.
 func (t Told) All() bool { return t.Confirmed == t.Alive }
 
-// PublishEverywhere spreads a record and waits until it is known widely enough, all who were asked have it, or the
-// context ends. The voters are asked whether they seem alive or not: a broker that is cut off takes them for dead, and
-// what it then says of all that are alive is about itself alone.
+// PublishAndConfirm disseminates a record and blocks until enough reports true, all calls have completed, or the
+// context ends. It calls the voters whether they seem alive or not: a broker in a minority partition considers them
+// dead, so a count of live brokers alone would be a statement about its own side of the partition.
 func (n *Node) PublishEverywhere(ctx context.Context, r dissemination.Record, enough func(Told) bool) Told {
-	n.putQuietly([]dissemination.Record{r})
-	return n.tellEverybody(ctx, peerlink.Message{Records: &peerlink.Records{From: n.self.IP, Records: []dissemination.Record{r}}}, enough)
+	n.putWithoutPush([]dissemination.Record{r})
+	return n.callAll(ctx, peerlink.Message{Records: &peerlink.Records{From: n.self.IP, Records: []dissemination.Record{r}}}, enough)
 }
 
-// tellEverybody makes a call to all voters, each by itself, and has it passed on to the other brokers that are alive. A reply
-// confirms it.
-func (n *Node) tellEverybody(ctx context.Context, m peerlink.Message, enough func(Told) bool) Told {
+// callAll calls every voter directly and relays the call to the other live brokers. A reply without Lacks is a
+// confirmation.
+func (n *Node) callAll(ctx context.Context, m peerlink.Message, enough func(Told) bool) Told {
 	alive := n.otherAddresses()
 	voters := n.otherVoters()
 	others := slices.DeleteFunc(slices.Clone(alive), func(ip string) bool { return slices.Contains(voters, ip) })
@@ -69,7 +69,7 @@
 	failures := make(chan string, len(voters))
 	for _, ip := range voters {
 		go func() {
-			if n.tellOne(ctx, m, ip) {
+			if n.callConfirmed(ctx, m, ip) {
 				confirmations <- ip
 			} else {
 				failures <- ip
@@ -79,38 +79,38 @@
 	groups := n.relayTree().split(n.self.IP, others)
 	passed := make(chan int, len(groups))
 	for _, group := range groups {
-		go func() { passed <- n.passOn(ctx, m, group) }()
+		go func() { passed <- n.relayGroup(ctx, m, group) }()
 	}
 	has := map[string]bool{n.self.IP: true}
-	told := Told{Alive: len(alive), Quorum: n.quorum(has)}
+	delivery := Told{Alive: len(alive), Quorum: n.quorum(has)}
 	for range len(voters) + len(groups) {
-		if enough(told) {
-			return told
+		if enough(delivery) {
+			return delivery
 		}
 		select {
 		case ip := <-confirmations:
 			has[ip] = true
 			if slices.Contains(alive, ip) {
-				told.Confirmed++
+				delivery.Confirmed++
 			}
-			told.Quorum = n.quorum(has)
+			delivery.Quorum = n.quorum(has)
 		case <-failures:
 		case confirmed := <-passed:
-			told.Confirmed += confirmed
+			delivery.Confirmed += confirmed
 		case <-ctx.Done():
-			return told
+			return delivery
 		}
 	}
-	return told
+	return delivery
 }
 
-// tellOne makes a call and says whether it is confirmed.
-func (n *Node) tellOne(ctx context.Context, m peerlink.Message, ip string) bool {
-	reply, err := n.callAgain(ctx, m, ip)
+// callConfirmed makes a call and reports whether the peer confirmed it.
+func (n *Node) callConfirmed(ctx context.Context, m peerlink.Message, ip string) bool {
+	reply, err := n.callWithRetry(ctx, m, ip)
 	return err == nil && !reply.Lacks
 }
 
-// otherAddresses lists the other brokers that are alive.
+// otherAddresses returns the addresses of the other live brokers.
 func (n *Node) otherAddresses() (out []string) {
 	for _, member := range n.Members() {
 		if member.IP != n.self.IP {
@@ -120,7 +120,7 @@
 	return out
 }
 
-// otherVoters lists the voters that are not this broker, whether they seem alive or not.
+// otherVoters returns the addresses of the other voters, whether they seem alive or not.
 func (n *Node) otherVoters() []string {
 	known, _ := n.Known()
 	voters := known.Value.Members.Addresses()
@@ -128,26 +128,27 @@
 	return slices.DeleteFunc(slices.Compact(voters), func(ip string) bool { return ip == n.self.IP })
 }
 
-// quorum says whether the machines at these addresses are a majority of the voters, of both sets while they change.
+// quorum reports whether the machines at these addresses form a majority of the voters, in both sets during a
+// membership change.
 func (n *Node) quorum(has map[string]bool) bool {
 	known, _ := n.Known()
 	return known.Value.Members.Majority(func(r register.Replica) bool { return has[r.Address] })
 }
 
-// take puts records in that may be new and passes on those that are.
-func (n *Node) take(records []dissemination.Record, from string) { n.put(records, from, true) }
+// putAndPush stores records that may be new and pushes the new ones to peers.
+func (n *Node) putAndPush(records []dissemination.Record, from string) { n.put(records, from, true) }
 
-// putQuietly puts records in that others are told of otherwise.
-func (n *Node) putQuietly(records []dissemination.Record) { n.put(records, "", false) }
+// putWithoutPush stores records that reach the other brokers by other means.
+func (n *Node) putWithoutPush(records []dissemination.Record) { n.put(records, "", false) }
 
 func (n *Node) put(records []dissemination.Record, from string, push bool) {
 	for _, r := range records {
 		if known, isValue := r.Body.(register.Known); isValue {
-			n.payloads.remember(known.Value.Payload) // others may ask for what differs from it
+			n.payloads.remember(known.Value.Payload) // other brokers may request a patch on it
 		}
 	}
 	n.mu.Lock()
-	var news, pushed []dissemination.Record
+	var added, pushed []dissemination.Record
 	for _, r := range records {
 		if r.Kind == MemberRecord && r.Key == n.self.IP && from != "" {
 			n.refute(r)
@@ -157,47 +158,47 @@
 		if !n.store.Put(r) {
 			continue
 		}
-		news = append(news, r)
-		if push && isNews(r, earlier.Body) {
+		added = append(added, r)
+		if push && needsPush(r, earlier.Body) {
 			pushed = append(pushed, r)
 		}
 		switch r.Kind {
 		case MemberRecord:
-			n.hear(r)
+			n.memberUpdated(r)
 		case RegisterRecord:
-			n.learn(r)
+			n.learnKnown(r)
 		}
 	}
 	n.queue(pushed)
 	n.mu.Unlock()
-	for _, r := range news {
-		for _, f := range n.onRecord {
+	for _, r := range added {
+		for _, f := range n.recordHandlers {
 			f(r)
 		}
 	}
 }
 
-// refute outdoes a record of this broker's address that an earlier process left behind.
+// refute raises this broker's epoch above that of a record that an earlier process at its address has published.
 func (n *Node) refute(r dissemination.Record) {
 	if r.Version.Epoch > n.epoch {
 		n.epoch = r.Version.Epoch + 1
-		n.beat++
+		n.sequence++
 	}
 }
 
-// queue has new records pushed soon; n.mu is held.
-func (n *Node) queue(news []dissemination.Record) {
-	n.fresh = append(n.fresh, news...)
-	if len(n.fresh) > 0 && !n.pushing {
-		n.pushing = true
+// queue schedules a push of new records. n.mu is held.
+func (n *Node) queue(records []dissemination.Record) {
+	n.pendingPush = append(n.pendingPush, records...)
+	if len(n.pendingPush) > 0 && !n.pushScheduled {
+		n.pushScheduled = true
 		time.AfterFunc(pushDelay, n.push)
 	}
 }
 
-// isNews says whether a new record is to be pushed. What only renews an earlier one travels by reconciliation: pushed, each
-// renewal costs every broker pushFanout calls, and renewals grow with the fleet. A member's first record and its farewell are
-// news.
-func isNews(r dissemination.Record, earlier any) bool {
+// needsPush reports whether a new record is pushed. Records that only renew earlier ones travel by reconciliation:
+// pushing each renewal would cost every broker pushFanout calls, and the number of renewals grows with the fleet. A
+// member's first records and its leaving record are pushed.
+func needsPush(r dissemination.Record, earlier any) bool {
 	switch body := r.Body.(type) {
 	case Member:
 		return r.Version.Sequence <= 2 || body.Leaving
@@ -207,13 +208,13 @@
 	return true
 }
 
-// push tells a few peers what is new. Values of the register are large, and whoever made one sends it to all: they are
-// offered, and asked for by those whom it did not reach.
+// push sends new records to a few peers. Values of the register are large, and their proposer sends them to all
+// brokers; push only offers them, and brokers that the proposer did not reach fetch them.
 func (n *Node) push() {
 	n.mu.Lock()
 	message := peerlink.Records{From: n.self.IP}
-	message.Records, message.Offered = withoutRegister(n.fresh)
-	n.fresh, n.pushing = nil, false
+	message.Records, message.Offered = withoutRegister(n.pendingPush)
+	n.pendingPush, n.pushScheduled = nil, false
 	targets := n.view.Pick(pushFanout)
 	n.mu.Unlock()
 	for _, ip := range targets {
@@ -221,47 +222,49 @@
 	}
 }
 
-// consider waits for records that a peer offers, and asks that peer for those that have not come by then.
-func (n *Node) consider(offered []dissemination.Heading, from string) {
+// scheduleFetch schedules fetches of the records that a peer offers, for those that do not arrive by another way
+// before offerGrace.
+func (n *Node) scheduleFetch(offered []dissemination.Heading, from string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, heading := range offered {
-		if !n.lacks(heading) || !n.offers[heading.ID].Less(heading.Version) {
+		if !n.missingLocked(heading) || !n.pendingOffers[heading.ID].Less(heading.Version) {
 			continue
 		}
-		n.offers[heading.ID] = heading.Version
-		time.AfterFunc(offerPatience, func() { n.fetch(heading, from) })
+		n.pendingOffers[heading.ID] = heading.Version
+		time.AfterFunc(offerGrace, func() { n.fetch(heading, from) })
 	}
 }
 
-// lacks says whether a record is not here, or is older; n.mu is held.
-func (n *Node) lacks(heading dissemination.Heading) bool {
+// missingLocked reports whether a record is absent or older here. n.mu is held.
+func (n *Node) missingLocked(heading dissemination.Heading) bool {
 	record, known := n.store.Get(heading.ID)
 	return !known || record.Version.Less(heading.Version)
 }
 
-// fetch asks a peer for a record that it has offered, if it is lacking still.
+// fetch requests an offered record from the peer that offered it, if it is still missing.
 func (n *Node) fetch(heading dissemination.Heading, from string) {
 	n.mu.Lock()
-	if n.offers[heading.ID] == heading.Version {
-		delete(n.offers, heading.ID)
+	if n.pendingOffers[heading.ID] == heading.Version {
+		delete(n.pendingOffers, heading.ID)
 	}
-	lacks := n.lacks(heading)
+	missing := n.missingLocked(heading)
 	n.mu.Unlock()
-	if !lacks {
+	if !missing {
 		return
 	}
 	n.fetchRegister(from, true)
 }
 
-// exchange reconciles with one random peer, or with a seed while the view is empty.
+// exchange reconciles with one random peer, with a neighbor in the relay tree, or with a seed. A seed is used while
+// the view is empty, and now and then otherwise.
 func (n *Node) exchange(context.Context) {
 	n.mu.Lock()
 	peer := ""
 	if picked := n.view.Pick(1); len(picked) == 1 {
 		peer = picked[0]
 	}
-	if n.exchanged++; n.exchanged%neighborEvery == 0 {
+	if n.exchangeCount++; n.exchangeCount%neighborEvery == 0 {
 		n.mu.Unlock()
 		neighbor := n.nextNeighbor()
 		n.mu.Lock()
@@ -281,7 +284,7 @@
 	n.mu.Unlock()
 	reply, err := n.call(peer, peerlink.Message{Digest: &peerlink.Digest{From: n.self.IP, Digest: mine, View: sample}})
 	if err != nil || reply.Headings == nil {
-		n.missed(peer)
+		n.peerFailed(peer)
 		return
 	}
 	n.mu.Lock()
@@ -299,11 +302,11 @@
 	}
 	answer, err := n.call(peer, peerlink.Message{Records: &peerlink.Records{From: n.self.IP, Records: small, Wanted: wanted, Offered: offered}})
 	if err == nil && answer.Records != nil {
-		n.take(answer.Records.Records, peer)
+		n.putAndPush(answer.Records.Records, peer)
 	}
 }
 
-// withoutRegister parts records from the register's value, which is large and is only offered.
+// withoutRegister separates records from the register's value, which is large and only offered.
 func withoutRegister(records []dissemination.Record) (small []dissemination.Record, offered []dissemination.Heading) {
 	for _, r := range records {
 		if r.Kind == RegisterRecord {
@@ -319,8 +322,8 @@
 	return slices.DeleteFunc(slices.Clone(n.seeds), func(ip string) bool { return ip == n.self.IP })
 }
 
-// missed takes a peer that does not answer out of the view, unless hardly anyone is left.
-func (n *Node) missed(peer string) {
+// peerFailed removes a peer that does not answer from the view, unless hardly any peers are left.
+func (n *Node) peerFailed(peer string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.view.Len() > 3 {
--- a/internal/cluster/liveness.go
+++ b/internal/cluster/liveness.go
@@ -7,12 +7,12 @@
 	"gullstair/internal/dissemination"
 )
 
-// beats renews this broker's own record.
-func (n *Node) beats(ctx context.Context) {
+// renewLoop renews this broker's own record until the context ends.
+func (n *Node) renewLoop(ctx context.Context) {
 	n.renew()
 	for {
 		n.mu.Lock()
-		interval := max(beatEvery, time.Duration(len(n.heard))*beatPerMember)
+		interval := max(renewInterval, time.Duration(len(n.lastUpdate))*renewIntervalPerMember)
 		n.mu.Unlock()
 		select {
 		case <-ctx.Done():
@@ -26,39 +26,39 @@
 
 func (n *Node) renew() {
 	n.mu.Lock()
-	n.beat++
-	record := dissemination.Record{Kind: MemberRecord, Key: n.self.IP, Version: dissemination.Version{Epoch: n.epoch, Sequence: n.beat},
+	n.sequence++
+	record := dissemination.Record{Kind: MemberRecord, Key: n.self.IP, Version: dissemination.Version{Epoch: n.epoch, Sequence: n.sequence},
 		Body: n.self}
 	n.store.Put(record)
 	n.mu.Unlock()
 }
 
-// Leave tells the others that this broker is about to end.
+// Leave notifies the other brokers that this broker is about to shut down.
 func (n *Node) Leave() {
 	n.mu.Lock()
 	n.self.Leaving = true
-	n.beat++
-	record := dissemination.Record{Kind: MemberRecord, Key: n.self.IP, Version: dissemination.Version{Epoch: n.epoch, Sequence: n.beat},
+	n.sequence++
+	record := dissemination.Record{Kind: MemberRecord, Key: n.self.IP, Version: dissemination.Version{Epoch: n.epoch, Sequence: n.sequence},
 		Body: n.self}
 	n.mu.Unlock()
 	n.Publish(record)
 	select {
-	case n.reviewNow <- struct{}{}: // a seat is handed over at once
+	case n.reviewRequested <- struct{}{}: // its seat as a voter is handed over at once
 	default:
 	}
 }
 
-// expire forgets members that have long been gone.
+// expire removes members that have been gone for a long time.
 func (n *Node) expire(interval time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for ip, at := range n.heard {
+	for ip, at := range n.lastUpdate {
 		if time.Since(at) > max(forgetAfter, 10*interval) {
-			delete(n.heard, ip)
+			delete(n.lastUpdate, ip)
 			n.alive = aliveMembers{}
 			n.store.Drop(dissemination.ID{Kind: MemberRecord, Key: ip})
 			n.view.Remove(ip)
 		}
 	}
-	n.store.ForgetDropped(mostDropped)
+	n.store.ForgetDropped(maxDropped)
 }
--- a/internal/cluster/notes.go
+++ b/internal/cluster/notes.go
@@ -9,48 +9,49 @@
 	"time"
 )
 
-// Notes are datagrams that brokers send each other about the work in hand. They may be lost; nothing rests on one.
+// Notes are UDP datagrams that brokers send each other about requests in progress. They may be lost; no decision
+// depends on a single one.
 
-// mostNote is the most bytes of one datagram.
-const mostNote = 1 << 11
+// maxNote is the maximum size of a datagram in bytes.
+const maxNote = 1 << 11
 
-// receivePause is how long a socket rests that gave an error.
+// receivePause is the delay before the next read after a socket error.
 const receivePause = 10 * time.Millisecond
 
-// NoteKind says what a datagram is about.
+// NoteKind is the kind of a note, its first byte.
 type NoteKind byte
 
 const (
-	WorkNote NoteKind = 'w' // work that was sent, and outcomes
-	KeptNote NoteKind = 'k' // what an instance keeps
+	WorkNote NoteKind = 'w' // dispatched requests and their outcomes
+	KeptNote NoteKind = 'k' // prompt prefixes that an instance has cached
 )
 
 const (
-	// wideFleet is the number of brokers from which on notes of work go to some brokers of the own zone alone.
-	wideFleet = 16
-	// workFanout is how many those are.
+	// largeFleet is the number of brokers above which a note of work goes only to some brokers of the same zone.
+	largeFleet = 16
+	// workFanout is the number of those brokers.
 	workFanout = 8
 )
 
-// OnNote has f called for each note of a kind from another broker. It is called before Run.
-func (n *Node) OnNote(kind NoteKind, f func([]byte)) { n.onNote[kind] = f }
+// OnNote registers f to be called for each note of a kind from another broker. It must be called before Run.
+func (n *Node) OnNote(kind NoteKind, f func([]byte)) { n.noteHandlers[kind] = f }
 
-// openNotes binds the address for notes.
+// openNotes opens the socket for notes.
 func (n *Node) openNotes() error {
 	var err error
-	n.notes, err = n.environment.Network.ListenDatagrams(n.settings.PeerAddress(n.settings.IP))
+	n.noteSocket, err = n.environment.Network.ListenDatagrams(n.settings.PeerAddress(n.settings.IP))
 	return err
 }
 
-// takeNotes receives until the context ends.
-func (n *Node) takeNotes(ctx context.Context) {
+// receiveNotes receives notes until the context ends.
+func (n *Node) receiveNotes(ctx context.Context) {
 	go func() {
 		<-ctx.Done()
-		n.notes.Close()
+		n.noteSocket.Close()
 	}()
-	buffer := make([]byte, mostNote)
+	buffer := make([]byte, maxNote)
 	for ctx.Err() == nil {
-		size, err := n.notes.Receive(buffer)
+		size, err := n.noteSocket.Receive(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -58,66 +59,68 @@
 			time.Sleep(receivePause)
 			continue
 		}
-		if f := n.onNote[NoteKind(buffer[0])]; f != nil {
+		if f := n.noteHandlers[NoteKind(buffer[0])]; f != nil {
 			f(append([]byte(nil), buffer[1:size]...))
 		}
 	}
 }
 
-// TellWork sends a note of work to the other brokers: to all in a small fleet or if it is wide, else to some of the same
-// zone, drawn anew for each note.
+// SendWorkNote sends a note of work to other brokers. It goes to all of them in a small fleet or if wide is set,
+// otherwise to a fresh random sample of the same zone.
 func (n *Node) TellWork(note []byte, wide bool) {
 	near, all := n.neighbors()
-	if all > wideFleet && !wide {
-		n.tell(WorkNote, note, sample(near, workFanout))
+	if all > largeFleet && !wide {
+		n.sendNote(WorkNote, note, sample(near, workFanout))
 		return
 	}
-	n.tell(WorkNote, note, n.Members())
+	n.sendNote(WorkNote, note, n.Members())
 }
 
-// sample draws some of the members, each as likely as the others.
-func sample(members []Member, most int) []Member {
+// sample returns a uniform random sample of the members.
+func sample(members []Member, size int) []Member {
 	drawn := slices.Clone(members)
-	most = min(most, len(drawn))
-	for at := range most {
+	size = min(size, len(drawn))
+	for at := range size {
 		other := at + rand.IntN(len(drawn)-at)
 		drawn[at], drawn[other] = drawn[other], drawn[at]
 	}
-	return drawn[:most]
+	return drawn[:size]
 }
 
-// TellKept sends a note of what an instance keeps to these brokers, as the link has room for it.
+// SendCacheNote queues a note of an instance's cached prefixes for these brokers and sends it when the link has
+// capacity.
 func (n *Node) TellKept(note []byte, members []Member) {
 	datagram := append([]byte{byte(KeptNote)}, note...)
 	for _, member := range members {
 		if member.IP != n.self.IP {
-			n.paced.put(outgoing{datagram, n.settings.PeerAddress(member.IP)})
+			n.pacer.put(outgoing{datagram, n.settings.PeerAddress(member.IP)})
 		}
 	}
 	n.sendPaced(false)
 }
 
-// KeptWaits says whether notes of what instances keep wait for room on the link. What else there is to tell is better told
-// later, as it is by then.
-func (n *Node) KeptWaits() bool { return n.paced.waits() }
+// CacheNotesQueued reports whether notes of cached prefixes are queued for the link. A caller then holds back further
+// notes, since a note that is written later describes the newer state.
+func (n *Node) KeptWaits() bool { return n.pacer.hasQueued() }
 
-// sendPaced sends what the link has room for, and comes back for the rest.
-func (n *Node) sendPaced(back bool) {
-	send, again := n.paced.take(time.Now(), back)
+// sendPaced sends what the token bucket allows and schedules itself for the rest. scheduled says whether a timer made
+// the call.
+func (n *Node) sendPaced(scheduled bool) {
+	send, again := n.pacer.take(time.Now(), scheduled)
 	for _, o := range send {
-		n.notes.Send(o.datagram, o.address)
+		n.noteSocket.Send(o.datagram, o.address)
 	}
 	if again {
 		time.AfterFunc(paceEvery, func() { n.sendPaced(true) })
 	}
 }
 
-func (n *Node) tell(kind NoteKind, note []byte, members []Member) {
+func (n *Node) sendNote(kind NoteKind, note []byte, members []Member) {
 	datagram := append([]byte{byte(kind)}, note...)
 	for _, member := range members {
 		if member.IP == n.self.IP {
 			continue
 		}
-		n.notes.Send(datagram, n.settings.PeerAddress(member.IP))
+		n.noteSocket.Send(datagram, n.settings.PeerAddress(member.IP))
 	}
 }
--- a/internal/cluster/pacing.go
+++ b/internal/cluster/pacing.go
@@ -8,31 +8,32 @@
 )
 
 const (
-	paceEvery      = 20 * time.Millisecond // between two times that waiting notes are sent
-	noteShare      = 0.25                  // of the machine's link that notes of what instances keep may take
-	datagramHeader = 28                    // bytes of IP and UDP
+	paceEvery      = 20 * time.Millisecond // interval between sends while notes are queued
+	cacheNoteShare = 0.25                  // fraction of the machine's link that notes of cached prefixes may use
+	datagramHeader = 28                    // size of the IP and UDP headers in bytes
 	bytesPerMbit   = 1e6 / 8
 )
 
-// outgoing is a datagram on its way to a broker.
+// outgoing is a queued datagram and its destination.
 type outgoing struct {
 	datagram []byte
 	address  string
 }
 
-// pacer has datagrams wait until the link has room for them: a token bucket of what the link carries in paceEvery.
+// pacer queues datagrams until the link has capacity. It is a token bucket with a burst of the bytes that the rate
+// allows in paceEvery.
 type pacer struct {
-	rate float64 // bytes a second
+	rate float64 // bytes per second
 
 	mu        sync.Mutex
 	queue     deque.Deque[outgoing]
 	tokens    float64
-	at        time.Time // when tokens was right
-	scheduled bool      // someone comes back for what waits
+	updatedAt time.Time // when tokens was last updated
+	scheduled bool      // a timer is set for the queued datagrams
 }
 
 func newPacer(linkMbps float64) *pacer {
-	return &pacer{rate: noteShare * linkMbps * bytesPerMbit}
+	return &pacer{rate: cacheNoteShare * linkMbps * bytesPerMbit}
 }
 
 func (p *pacer) put(o outgoing) {
@@ -41,20 +42,21 @@
 	p.queue.PushBack(o)
 }
 
-// waits says whether there is something that found no room.
-func (p *pacer) waits() bool {
+// hasQueued reports whether datagrams are queued.
+func (p *pacer) hasQueued() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.queue.Len() > 0
 }
 
-// take returns what is to be sent now, and whether the caller is to come back after paceEvery. back: it does so.
-func (p *pacer) take(now time.Time, back bool) (send []outgoing, again bool) {
+// take returns the datagrams to send now, and whether the caller must call again after paceEvery. scheduled says
+// whether this call is such a repeated one.
+func (p *pacer) take(now time.Time, scheduled bool) (send []outgoing, again bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.scheduled = p.scheduled && !back
-	p.tokens = min(p.rate*paceEvery.Seconds(), p.tokens+p.rate*now.Sub(p.at).Seconds())
-	p.at = now
+	p.scheduled = p.scheduled && !scheduled
+	p.tokens = min(p.rate*paceEvery.Seconds(), p.tokens+p.rate*now.Sub(p.updatedAt).Seconds())
+	p.updatedAt = now
 	for p.queue.Len() > 0 && p.tokens > 0 {
 		o := p.queue.PopFront()
 		p.tokens -= float64(len(o.datagram) + datagramHeader)
--- a/internal/cluster/pacing_test.go
+++ b/internal/cluster/pacing_test.go
@@ -11,12 +11,12 @@
 	"gullstair/internal/settings"
 )
 
-// recorder notes when how much is sent.
+// recorder is a socket that records the time, size and destination of each datagram.
 type recorder struct {
 	netio.Datagrams
 	mu    sync.Mutex
 	begun time.Time
-	bytes map[time.Duration]int // in each 100 ms
+	bytes map[time.Duration]int // by interval of 100 ms
 	last  time.Duration
 	order []string
 }
@@ -30,8 +30,9 @@
 	r.order = append(r.order, address)
 }
 
-// TestNotesLeaveRoomOnTheLink has a broker on a link of 10 Mbit/s tell ninety others what some instances keep. It takes a
-// quarter of the link, in order, and nothing is lost; on a wide link all goes at once.
+// TestNotesLeaveRoomOnTheLink makes a broker on a link of 10 Mbit/s send notes of cached prefixes to ninety others.
+// The notes must use at most a quarter of the link, stay in order and arrive completely. On a fast link all are sent
+// at once.
 func TestNotesLeaveRoomOnTheLink(t *testing.T) {
 	for _, c := range []struct {
 		mbps         float64
@@ -40,7 +41,7 @@
 	}{{10, 1300 * time.Millisecond, 1500 * time.Millisecond, 40_000}, {1000, 0, 20 * time.Millisecond, 1 << 20}} {
 		synctest.Test(t, func(t *testing.T) {
 			r := &recorder{begun: time.Now(), bytes: map[time.Duration]int{}}
-			n := &Node{settings: &settings.Settings{PortFirst: 7000, PortLast: 7001}, notes: r, paced: newPacer(c.mbps)}
+			n := &Node{settings: &settings.Settings{PortFirst: 7000, PortLast: 7001}, noteSocket: r, pacer: newPacer(c.mbps)}
 			var members []Member
 			for number := range 90 {
 				members = append(members, Member{IP: fmt.Sprintf("10.0.0.%d", number+1)})
@@ -49,7 +50,7 @@
 				n.TellKept(make([]byte, 1200), members)
 			}
 			if waits := n.KeptWaits(); waits != (c.mbps < 100) {
-				t.Errorf("%v Mbit/s: something waits: %t", c.mbps, waits)
+				t.Errorf("%v Mbit/s: notes are queued: %t", c.mbps, waits)
 			}
 			time.Sleep(10 * time.Second)
 			r.mu.Lock()
@@ -58,7 +59,7 @@
 				t.Fatalf("%v Mbit/s: %d datagrams were sent", c.mbps, len(r.order))
 			}
 			if r.last < c.least || r.last > c.most {
-				t.Errorf("%v Mbit/s: it took %v", c.mbps, r.last)
+				t.Errorf("%v Mbit/s: sending took %v", c.mbps, r.last)
 			}
 			for at, bytes := range r.bytes {
 				if bytes > c.mostInTenths {
--- a/internal/cluster/payloads.go
+++ b/internal/cluster/payloads.go
@@ -10,47 +10,49 @@
 	"gullstair/internal/sections"
 )
 
-// The register's payload is a document of sections. What is sent to a broker that has an earlier one is sent as a patch, section
-// by section: the configuration in it is large, and most changes are about something else. Whole it is sent packed.
+// The register's payload is a document of sections. A broker that has an earlier document receives a patch of the
+// changed sections: the configuration section is large, and most changes concern other sections. Other brokers receive
+// the whole payload, packed.
 
 const (
-	mostPayloads     = 4
-	mostPayloadBytes = 8 << 20 // that are kept beside the newest
-	mostPatches      = 8       // that are kept: several brokers have the same base
-	smallPatch       = 4 << 10 // bytes; a larger one is compared with the whole
+	maxPayloads     = 4
+	maxPayloadBytes = 8 << 20 // of the kept payloads except the newest
+	maxPatches      = 8       // cached, since several brokers have the same base
+	smallPatch      = 4 << 10 // a larger patch, in bytes, is compared with the packed payload
 )
 
-// Packing writes payloads for a disk, or for a broker that has nothing to patch, and reads them.
+// Packing encodes payloads for storage and for brokers that have no base for a patch, and decodes them.
 type Packing interface {
 	Pack(payload []byte) []byte
 	Unpack(packed []byte) ([]byte, error)
 }
 
-// payloads are the newest payloads of the register that this broker has seen.
+// payloads caches the newest payloads of the register that this broker has seen, and patches between them.
 type payloads struct {
 	packing Packing
 
-	mu      sync.Mutex
-	kept    []sections.Document // newest last
-	patches []madePatch
+	mu        sync.Mutex
+	documents []sections.Document // newest last
+	patches   []cachedPatch
 }
 
-// madePatch is a patch that was made and how it is written.
-type madePatch struct {
+// cachedPatch is an encoded patch between two payloads. A nil text means that the payload is sent whole.
+type cachedPatch struct {
 	base, result delta.Sum
 	text         []byte
 }
 
-// remember keeps a payload; false: it is no document, and is sent whole.
+// remember parses a payload and keeps it. It returns false if the payload is not a document and can only be sent
+// whole.
 func (p *payloads) remember(text []byte) (sections.Document, bool) {
 	if !sections.Is(text) {
 		return sections.Document{}, false
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, known := range p.kept {
+	for _, known := range p.documents {
 		if kept := known.Text(); len(kept) == len(text) && unsafe.SliceData(kept) == unsafe.SliceData(text) {
-			p.keep(known)
+			p.addNewest(known)
 			return known, true
 		}
 	}
@@ -58,27 +60,28 @@
 	if err != nil {
 		return sections.Document{}, false
 	}
-	return p.keep(document), true
+	return p.addNewest(document), true
 }
 
-// keep puts a document last, or the one that is kept already and says the same; p.mu is held.
-func (p *payloads) keep(d sections.Document) sections.Document {
-	for at, known := range p.kept {
+// addNewest adds a document as the newest. If an equal document is kept already, it moves that one to the end. p.mu is
+// held.
+func (p *payloads) addNewest(d sections.Document) sections.Document {
+	for at, known := range p.documents {
 		if known.Sum() == d.Sum() {
-			p.kept = append(append(p.kept[:at:at], p.kept[at+1:]...), known)
+			p.documents = append(append(p.documents[:at:at], p.documents[at+1:]...), known)
 			return known
 		}
 	}
-	p.kept = append(p.kept, d)
-	for len(p.kept) > mostPayloads || len(p.kept) > 1 && p.bytes() > mostPayloadBytes {
-		p.kept = p.kept[1:]
+	p.documents = append(p.documents, d)
+	for len(p.documents) > maxPayloads || len(p.documents) > 1 && p.olderBytes() > maxPayloadBytes {
+		p.documents = p.documents[1:]
 	}
 	return d
 }
 
-// bytes is the size of all but the newest; p.mu is held.
-func (p *payloads) bytes() (sum int) {
-	for _, known := range p.kept[:len(p.kept)-1] {
+// olderBytes returns the size of all kept documents but the newest. p.mu is held.
+func (p *payloads) olderBytes() (sum int) {
+	for _, known := range p.documents[:len(p.documents)-1] {
 		sum += len(known.Text())
 	}
 	return sum
@@ -87,7 +90,7 @@
 func (p *payloads) get(sum delta.Sum) (sections.Document, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, known := range p.kept {
+	for _, known := range p.documents {
 		if known.Sum() == sum {
 			return known, true
 		}
@@ -95,7 +98,8 @@
 	return sections.Document{}, false
 }
 
-// patch is how a payload is made from a base that its receiver has; nil: it is to be sent whole.
+// patch returns an encoded patch that turns a base of the receiver into the payload, or nil if the payload is to be
+// sent whole.
 func (p *payloads) patch(payload []byte, base delta.Sum) []byte {
 	next, isDocument := p.remember(payload)
 	from, known := p.get(base)
@@ -116,14 +120,14 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.patches = append(p.patches, madePatch{base, next.Sum(), text})
-	if len(p.patches) > mostPatches {
+	p.patches = append(p.patches, cachedPatch{base, next.Sum(), text})
+	if len(p.patches) > maxPatches {
 		p.patches = p.patches[1:]
 	}
 	return text
 }
 
-// apply makes a payload from a patch; false: its base is not here.
+// apply rebuilds a payload from a patch. It returns false if the patch is invalid or its base is not here.
 func (p *payloads) apply(text []byte) ([]byte, bool) {
 	patch, err := sections.UnmarshalPatch(text)
 	if err != nil {
@@ -139,10 +143,11 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.keep(next).Text(), true
+	return p.addNewest(next).Text(), true
 }
 
-// pack takes the payload out of a value for somebody who has the base, and returns the patch; nil: the value has it packed.
+// pack removes the payload from a value and returns a patch on the receiver's base. It returns nil if the value keeps
+// its payload, packed.
 func (p *payloads) pack(v *register.Value, base *delta.Sum) []byte {
 	if base != nil {
 		if text := p.patch(v.Payload, *base); text != nil {
@@ -154,7 +159,8 @@
 	return nil
 }
 
-// unpack puts the payload back into a value; false: it cannot be read, or the patch's base is not here.
+// unpack restores the payload of a value. It returns false if the payload is unreadable or the patch's base is not
+// here.
 func (p *payloads) unpack(v *register.Value, patch []byte) bool {
 	if patch != nil {
 		payload, made := p.apply(patch)
@@ -172,8 +178,8 @@
 	return true
 }
 
-// base names the payload of the newest value that this broker knows; nil: it knows none.
-func (n *Node) base() *delta.Sum {
+// basePayload returns the checksum of the payload of the newest known value, or nil if there is none.
+func (n *Node) basePayload() *delta.Sum {
 	known, _ := n.Known()
 	document, isDocument := n.payloads.remember(known.Value.Payload)
 	if !isDocument {
@@ -183,18 +189,20 @@
 	return &sum
 }
 
-// patched is a call to a replica that has the payload of its value as a patch on what was known before; false: that cannot be.
-func (n *Node) patched(m peerlink.Message, to register.Replica) (peerlink.Message, bool) {
+// asPatch returns an Accept whose value has its payload as a patch on the newest known one, or false if that is not
+// possible.
+func (n *Node) asPatch(m peerlink.Message, to register.Replica) (peerlink.Message, bool) {
 	if to.Disk == foundingDisk || m.Accept == nil || n.protocolOf(to.Address) < protocolSections {
 		return m, false
 	}
 	accept := *m.Accept
-	patch := n.payloads.pack(&accept.Value, n.base())
+	patch := n.payloads.pack(&accept.Value, n.basePayload())
 	return peerlink.Message{Delta: &peerlink.Delta{Accept: accept, Patch: patch}}, patch != nil
 }
 
-// packed is a call to a replica as it is sent whole.
-func (n *Node) packed(m peerlink.Message, to register.Replica) peerlink.Message {
+// asWhole returns a call that needs no base at the receiver: an Accept has its payload packed. A Prepare names the
+// sender's payload, so that the reply may hold a patch on it.
+func (n *Node) asWhole(m peerlink.Message, to register.Replica) peerlink.Message {
 	switch {
 	case to.Disk == foundingDisk:
 	case m.Accept != nil:
@@ -202,36 +210,36 @@
 		n.payloads.pack(&accept.Value, nil)
 		m.Accept = &accept
 	case m.Prepare != nil && !m.Prepare.Probe:
-		m.Has = n.base()
+		m.Has = n.basePayload()
 	}
 	return m
 }
 
-// answerDelta takes an Accept whose value is a patch.
+// answerDelta handles an Accept whose payload is a patch.
 func (n *Node) answerDelta(m *peerlink.Delta) *peerlink.Message {
 	accept := m.Accept
 	if !n.payloads.unpack(&accept.Value, m.Patch) {
 		return &peerlink.Message{Lacks: true}
 	}
-	return n.acceptOwn(accept)
+	return n.acceptLocally(accept)
 }
 
-// answerAccept takes an Accept whose value is packed.
+// answerAccept handles an Accept whose payload is packed.
 func (n *Node) answerAccept(m register.Accept) *peerlink.Message {
 	if m.To.Disk != foundingDisk && !n.payloads.unpack(&m.Value, nil) {
 		return &peerlink.Message{Lacks: true}
 	}
-	return n.acceptOwn(m)
+	return n.acceptLocally(m)
 }
 
-func (n *Node) acceptOwn(m register.Accept) *peerlink.Message {
+func (n *Node) acceptLocally(m register.Accept) *peerlink.Message {
 	accepted := n.acceptor(m.To).accept(m)
 	return &peerlink.Message{Accepted: &accepted}
 }
 
-// answerPrepare answers a Prepare; has, if it is not nil, names a payload that its sender has.
+// answerPrepare handles a Prepare. has, if not nil, is the checksum of a payload that the sender has.
 func (n *Node) answerPrepare(m register.Prepare, has *delta.Sum) *peerlink.Message {
-	reply := n.prepareOwn(m)
+	reply := n.prepareLocally(m)
 	if reply.Promise.Value != nil && m.To.Disk != foundingDisk {
 		value := *reply.Promise.Value
 		reply.Sections = n.payloads.pack(&value, has)
@@ -240,13 +248,13 @@
 	return reply
 }
 
-func (n *Node) prepareOwn(m register.Prepare) *peerlink.Message {
+func (n *Node) prepareLocally(m register.Prepare) *peerlink.Message {
 	promise := n.acceptor(m.To).prepare(m)
 	return &peerlink.Message{Promise: &promise}
 }
 
-// whole puts the payload back into a reply of a replica; false: it cannot be made here.
-func (n *Node) whole(reply *peerlink.Message, to register.Replica) bool {
+// unpackReply restores the payload in a replica's reply. It returns false if that is not possible here.
+func (n *Node) unpackReply(reply *peerlink.Message, to register.Replica) bool {
 	if to.Disk == foundingDisk || reply.Promise == nil || reply.Promise.Value == nil {
 		return !reply.Lacks
 	}
--- a/internal/cluster/relay.go
+++ b/internal/cluster/relay.go
@@ -12,21 +12,22 @@
 	"gullstair/internal/peerlink"
 )
 
-// What all brokers are to have at once is passed on along a tree, so that no link carries it more often than the tree has branches:
-// the brokers that are alive, in the order of their addresses, each the parent of the next relayFanout that have none. Whoever has
-// something to tell is its root for once. Connections along the tree are in use, so that nothing is spent on making them.
+// Messages for all brokers are relayed along a tree, so that no link carries a message more often than the tree has
+// branches. The tree orders the live brokers by address; each is the parent of the next relayFanout brokers that have
+// none. The sender of a message is the root for that message. Connections along the tree are used regularly, so a
+// relay rarely has to open one.
 //
-// A call names those that are still to be told, so brokers that see different members agree. One that does not answer is passed
-// over. Whoever is missed has it by reconciliation.
+// A call lists the brokers that it still has to reach, so brokers with different member lists can relay it. A broker
+// that does not answer is skipped. Brokers that are missed receive the data by reconciliation.
 
 const (
-	relayFanout   = 4
-	relayPatience = 100 * time.Millisecond // for the answer of one broker, and as long for each level of those behind it
-	relayMargin   = 5 * time.Millisecond   // less that a broker has than the one which called it
-	neighborEvery = 8                      // one in so many exchanges is with a neighbor in the tree
+	relayFanout       = 4
+	relayLevelTimeout = 100 * time.Millisecond // timeout for one broker, and for each tree level below it
+	relayMargin       = 5 * time.Millisecond   // each hop has this much less time than its caller
+	neighborEvery     = 8                      // one exchange in this many is with a neighbor in the tree
 )
 
-// tree orders addresses: each but the first has a parent.
+// tree is a complete tree over sorted addresses: each address but the first has a parent.
 type tree struct {
 	order []string
 }
@@ -35,11 +36,11 @@
 
 func parentOf(place int) int { return (place - 1) / relayFanout }
 
-// path lists the addresses that follow from on the way to another.
+// path returns the addresses on the way from one place to another, without the start.
 func (t tree) path(from, to int) (out []string) {
 	var up, down []int
 	for from != to {
-		if from > to { // the later one is no ancestor of the other
+		if from > to { // the later place cannot be an ancestor of the other
 			from = parentOf(from)
 			up = append(up, from)
 		} else {
@@ -56,7 +57,7 @@
 	return out
 }
 
-// neighbors are the parent and the children of an address.
+// neighbors returns the parent and the children of an address.
 func (t tree) neighbors(address string) (out []string) {
 	place, known := t.place(address)
 	if !known {
@@ -71,7 +72,8 @@
 	return out
 }
 
-// split parts addresses by whom a call for them goes to: the first of them on the way there, which comes first in its group.
+// split groups addresses by the next hop that a call for them takes. The next hop is the first of the addresses on the
+// path, and the first in its group.
 func (t tree) split(self string, to []string) [][]string {
 	wanted := make(map[string]bool, len(to))
 	for _, address := range to {
@@ -102,7 +104,7 @@
 	return groups
 }
 
-// relayTree is the tree of the brokers that are alive.
+// relayTree returns the tree of the live brokers.
 func (n *Node) relayTree() tree {
 	members := n.Members()
 	order := make([]string, len(members))
@@ -112,7 +114,7 @@
 	return tree{order}
 }
 
-// protocolOf is what a broker's release understands; 0 where nothing is known of it.
+// protocolOf returns the protocol number of a broker's release, 0 if it is unknown.
 func (n *Node) protocolOf(ip string) uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -121,12 +123,12 @@
 	return member.Protocol
 }
 
-// relay makes a call to all of these, and says how many have confirmed it.
+// relay makes a call to all given brokers along the tree and returns the number of confirmations.
 func (n *Node) relay(ctx context.Context, m peerlink.Message, to []string) int {
 	counts := make(chan int)
 	groups := n.relayTree().split(n.self.IP, to)
 	for _, group := range groups {
-		go func() { counts <- n.passOn(ctx, m, group) }()
+		go func() { counts <- n.relayGroup(ctx, m, group) }()
 	}
 	confirmed := 0
 	for range groups {
@@ -135,20 +137,21 @@
 	return confirmed
 }
 
-// passOn makes a call to the first of a group, which passes it on to the others. If it fails, or takes long, the next one is called
-// in its place; who is called twice confirms what it has.
-func (n *Node) passOn(ctx context.Context, m peerlink.Message, group []string) (confirmed int) {
-	answers := make(chan relayed, len(group))
-	under := 0
+// relayGroup calls the first broker of a group, which relays the call to the others. If the call fails or exceeds its
+// timeout, the next broker of the group is called as a hedge. A broker that is called twice confirms only what it
+// holds, so the largest count is used.
+func (n *Node) relayGroup(ctx context.Context, m peerlink.Message, group []string) (confirmed int) {
+	answers := make(chan relayResult, len(group))
+	inFlight := 0
 	call := func() {
 		head, rest := group[0], group[1:]
 		group = rest
-		under++
-		go func() { answers <- n.callWithRest(ctx, m, head, rest) }()
+		inFlight++
+		go func() { answers <- n.callRelay(ctx, m, head, rest) }()
 	}
 	call()
-	for under > 0 {
-		hedge := time.After(patienceFor(len(group) + 1))
+	for inFlight > 0 {
+		hedge := time.After(relayTimeout(len(group) + 1))
 		if len(group) == 0 {
 			hedge = nil
 		}
@@ -158,12 +161,12 @@
 		case <-hedge:
 			call()
 		case a := <-answers:
-			under--
+			inFlight--
 			confirmed = max(confirmed, a.confirmed)
 			if a.err == nil {
 				return confirmed
 			}
-			if under == 0 && len(group) > 0 {
+			if inFlight == 0 && len(group) > 0 {
 				call()
 			}
 		}
@@ -171,54 +174,54 @@
 	return confirmed
 }
 
-// patienceFor is how long to wait for the answer of so many brokers.
-func patienceFor(brokers int) time.Duration {
+// relayTimeout returns how long to wait for a call that covers this many brokers before the next one is called.
+func relayTimeout(brokers int) time.Duration {
 	levels := 1 + int(math.Log(float64(brokers))/math.Log(relayFanout))
-	return time.Duration(levels) * relayPatience
+	return time.Duration(levels) * relayLevelTimeout
 }
 
-// relayed is the answer to a call that was passed on.
-type relayed struct {
+// relayResult is the outcome of a relayed call.
+type relayResult struct {
 	confirmed int
 	err       error
 }
 
-// errNoTime says that nothing is left of the time for a call.
-var errNoTime = errors.New("no time is left")
+// errDeadlinePassed means that the deadline of a call has passed before it was sent.
+var errDeadlinePassed = errors.New("the deadline of the relayed call has passed")
 
-func (n *Node) callWithRest(ctx context.Context, m peerlink.Message, head string, rest []string) relayed {
+func (n *Node) callRelay(ctx context.Context, m peerlink.Message, head string, rest []string) relayResult {
 	deadline, bounded := ctx.Deadline()
 	within := callTimeout
 	if bounded {
 		within = time.Until(deadline) - relayMargin
 	}
 	if within <= 0 {
-		return relayed{err: errNoTime}
+		return relayResult{err: errDeadlinePassed}
 	}
 	if n.protocolOf(head) < protocolSections {
 		return n.callEarlierRelease(ctx, m, head, rest)
 	}
 	m.Relay = &peerlink.Relay{To: rest, Within: within}
-	reply, err := n.callAgain(ctx, m, head)
+	reply, err := n.callWithRetry(ctx, m, head)
 	if err != nil {
-		return relayed{err: err}
+		return relayResult{err: err}
 	}
-	return relayed{confirmed: reply.Confirmed}
+	return relayResult{confirmed: reply.Confirmed}
 }
 
-// callEarlierRelease makes a call to a broker that does not pass on, and passes it on in its place.
-func (n *Node) callEarlierRelease(ctx context.Context, m peerlink.Message, ip string, rest []string) relayed {
+// callEarlierRelease calls a broker whose release cannot relay calls, and relays the call to the others in its place.
+func (n *Node) callEarlierRelease(ctx context.Context, m peerlink.Message, ip string, rest []string) relayResult {
 	others := make(chan int, 1)
 	go func() { others <- n.relay(ctx, m, rest) }()
 	confirmed := 0
-	if n.tellOne(ctx, m, ip) {
+	if n.callConfirmed(ctx, m, ip) {
 		confirmed = 1
 	}
-	return relayed{confirmed: confirmed + <-others}
+	return relayResult{confirmed: confirmed + <-others}
 }
 
-// callAgain makes a call, once more if its connection was just being closed.
-func (n *Node) callAgain(ctx context.Context, m peerlink.Message, ip string) (*peerlink.Message, error) {
+// callWithRetry makes a call and repeats it once if the connection was being closed.
+func (n *Node) callWithRetry(ctx context.Context, m peerlink.Message, ip string) (*peerlink.Message, error) {
 	address := n.settings.PeerAddress(ip)
 	reply, err := n.client.Call(ctx, address, m)
 	if errors.Is(err, peerlink.ErrClosed) {
@@ -227,7 +230,8 @@
 	return reply, err
 }
 
-// answerRelay answers a call that is to be passed on: with how many have it, this broker among them.
+// answerRelay handles a relayed call. It relays it further and replies with the number of confirmations, its own
+// included.
 func (n *Node) answerRelay(m *peerlink.Message) *peerlink.Message {
 	ctx, cancel := context.WithTimeout(context.Background(), m.Relay.Within)
 	defer cancel()
@@ -243,7 +247,8 @@
 	return &peerlink.Message{Confirmed: own + <-others}
 }
 
-// handleRelayed takes a call that is passed on along the tree: records in it are pushed to nobody.
+// handleRelayed handles the inner call. Its records are stored without a push, since the relay delivers them to the
+// other brokers.
 func (n *Node) handleRelayed(m *peerlink.Message) *peerlink.Message {
 	if m.Records == nil {
 		return n.handle(m)
@@ -252,7 +257,7 @@
 	return &peerlink.Message{}
 }
 
-// nextNeighbor is the neighbor in the tree whose turn it is; empty: there is none.
+// nextNeighbor returns the tree neighbors in turn, or an empty string if there are none.
 func (n *Node) nextNeighbor() string {
 	neighbors := n.relayTree().neighbors(n.self.IP)
 	if len(neighbors) == 0 {
--- a/internal/cluster/relay_test.go
+++ b/internal/cluster/relay_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// someTree is a tree of so many brokers.
-func someTree(size int) tree {
+// newTestTree returns a tree of this many brokers.
+func newTestTree(size int) tree {
 	var order []string
 	for at := range size {
 		order = append(order, fmt.Sprintf("10.0.%03d.%03d", at/250, at%250))
@@ -16,10 +16,11 @@
 	return tree{order}
 }
 
-// TestRelayTree passes a call on from each broker in turn: every other one has it once, by few hops and few calls of each.
+// TestRelayTree relays a call from each broker in turn. Every other broker must receive it exactly once, within few
+// hops and with few calls per broker.
 func TestRelayTree(t *testing.T) {
 	for _, size := range []int{1, 2, 5, 6, 24, 300} {
-		all := someTree(size)
+		all := newTestTree(size)
 		for _, root := range all.order {
 			hops, calls, most := map[string]int{root: 0}, map[string]int{}, 0
 			var pass func(from string, to []string)
@@ -27,7 +28,7 @@
 				for _, group := range all.split(from, to) {
 					head := group[0]
 					if _, had := hops[head]; had {
-						t.Fatalf("%d brokers, from %s: %s is told twice", size, root, head)
+						t.Fatalf("%d brokers, from %s: %s is called twice", size, root, head)
 					}
 					hops[head] = hops[from] + 1
 					calls[from]++
@@ -40,7 +41,7 @@
 			}
 			pass(root, slices.DeleteFunc(slices.Clone(all.order), func(ip string) bool { return ip == root }))
 			if len(hops) != size {
-				t.Fatalf("%d brokers, from %s: %d are told", size, root, len(hops))
+				t.Fatalf("%d brokers, from %s: %d are reached", size, root, len(hops))
 			}
 			for ip, n := range calls {
 				if n > relayFanout+1 {
@@ -54,12 +55,12 @@
 	}
 }
 
-// TestRelayBetweenDifferentViews has each broker know other members than the one that calls it: those that a call names are in one
-// group each, whoever is missing.
+// TestRelayBetweenDifferentViews splits calls by a tree that lacks some members. Each address of a call must be in
+// exactly one group, whoever is missing.
 func TestRelayBetweenDifferentViews(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 6))
 	for range 3000 {
-		all := someTree(1 + random.IntN(60))
+		all := newTestTree(1 + random.IntN(60))
 		known := tree{slices.DeleteFunc(slices.Clone(all.order), func(string) bool { return random.IntN(5) == 0 })}
 		to := slices.DeleteFunc(slices.Clone(all.order), func(string) bool { return random.IntN(3) == 0 })
 		random.Shuffle(len(to), func(i, j int) { to[i], to[j] = to[j], to[i] })
@@ -76,7 +77,7 @@
 			}
 		}
 		if len(seen) > len(to) {
-			t.Fatalf("%d of %d", len(seen), len(to))
+			t.Fatalf("%d addresses in groups, %d in the call", len(seen), len(to))
 		}
 	}
 }
--- a/internal/cluster/replica.go
+++ b/internal/cluster/replica.go
@@ -13,21 +13,21 @@
 	"gullstair/internal/slots"
 )
 
-// diskWait is how long a call waits for an acceptor whose disk is busy with another call.
-const diskWait = 300 * time.Millisecond
+// diskBusyTimeout is how long a call waits for an acceptor whose disk is busy with another call.
+const diskBusyTimeout = 300 * time.Millisecond
 
-// replica is this machine's acceptor on its disk. One call at a time uses it; others give up soon, so that a disk that
-// hangs holds up nothing but itself.
+// replica is this machine's acceptor with its durable state. One call at a time uses it; other calls give up after
+// diskBusyTimeout, so a disk that hangs blocks nothing but itself.
 type replica struct {
 	turn     chan struct{}
 	acceptor register.Acceptor
 	store    *slots.Store
 	logger   *log.Logger
-	empty    bool // its disk held nothing when it started
+	empty    bool // whether the disk was empty at startup
 	packing  Packing
 }
 
-// saved is a record of the log: the whole state, or a promise alone.
+// saved is a record of the log: either the whole state or a promise alone.
 type saved struct {
 	Disk     uint64
 	Promise  bool
@@ -42,7 +42,7 @@
 	}
 	store, contents, err := slots.Open(disk)
 	if errors.Is(err, slots.ErrDamaged) {
-		logger.Error().Err(err).Msg("the replica's disk has lost something; it goes on empty, under another identity")
+		logger.Error().Err(err).Msg("the replica's disk is damaged; the replica restarts empty, with a new identity")
 	} else if err != nil && !errors.Is(err, slots.ErrEmpty) {
 		return nil, errors.Wrap(err, "open the register's replica")
 	}
@@ -58,7 +58,7 @@
 	return r, nil
 }
 
-// restore folds the state from the slot and the records after it.
+// restore rebuilds the state from the checkpoint and the log records after it.
 func (r *replica) restore(contents slots.Contents) error {
 	for i, body := range append([][]byte{contents.State}, contents.Records...) {
 		record := saved{}
@@ -74,13 +74,13 @@
 	}
 	payload, err := r.packing.Unpack(r.acceptor.State.Value.Payload)
 	if err != nil {
-		return errors.Wrap(err, "the register's replica")
+		return errors.Wrap(err, "unpack the payload of the register's replica")
 	}
 	r.acceptor.State.Value.Payload = payload
 	return nil
 }
 
-// persist writes a state before the acceptor answers by it.
+// persist writes a state to the disk. The acceptor calls it before it answers.
 func (r *replica) persist(next register.State) error {
 	record := saved{Disk: r.acceptor.Self.Disk, Promise: true, Promised: next.Promised}
 	if checkpoint := r.store.WantsCheckpoint(); checkpoint || next.Accepted != r.acceptor.State.Accepted {
@@ -91,7 +91,7 @@
 		}
 	}
 	if err := r.store.Append(encode(record)); err != nil {
-		r.logger.Warn().Err(err).Msg("the replica's disk refuses a write")
+		r.logger.Warn().Err(err).Msg("failed to write to the replica's disk")
 		return err
 	}
 	return nil
@@ -99,13 +99,13 @@
 
 func (r *replica) checkpoint(record saved) error {
 	if err := r.store.Checkpoint(encode(record)); err != nil {
-		r.logger.Warn().Err(err).Msg("the replica's disk refuses a checkpoint")
+		r.logger.Warn().Err(err).Msg("failed to write a checkpoint to the replica's disk")
 		return err
 	}
 	return nil
 }
 
-// mark writes the identity to an empty disk, so that a later process knows that there was an earlier one.
+// mark writes the replica's identity to an empty disk, so that a later process can tell that it is not the first one.
 func (r *replica) mark() error {
 	err := errBusy
 	r.use(func(a *register.Acceptor) { err = a.Persist(a.State) })
@@ -114,11 +114,11 @@
 
 func (r *replica) id() register.Replica { return r.acceptor.Self }
 
-// use gives the acceptor to f; false: it is busy.
+// use runs f with the acceptor, or returns false if the acceptor stays busy.
 func (r *replica) use(f func(*register.Acceptor)) bool {
 	select {
 	case <-r.turn:
-	case <-time.After(diskWait):
+	case <-time.After(diskBusyTimeout):
 		return false
 	}
 	defer func() { r.turn <- struct{}{} }()
@@ -138,41 +138,45 @@
 	return answer
 }
 
-// learn takes a value that is known to be chosen.
+// learn stores a value that is known to be chosen.
 func (r *replica) learn(known register.Known) error {
 	err := errBusy
 	r.use(func(a *register.Acceptor) { err = a.Learn(known) })
 	return err
 }
 
-// accepted is the value that this replica accepted last.
+// accepted returns the value that this replica accepted last.
 func (r *replica) accepted() (known register.Known) {
 	r.use(func(a *register.Acceptor) { known = register.Known{Ballot: a.State.Accepted, Value: a.State.Value} })
 	return known
 }
 
-// acceptor is what the handler needs of a replica, on a disk or in memory.
+// acceptor handles the messages of a round, on a disk or in memory.
 type acceptor interface {
 	prepare(register.Prepare) register.Promise
 	accept(register.Accept) register.Accepted
 }
 
-// errBusy says that the disk is busy with another call.
+// errBusy means that the disk is busy with another call.
 var errBusy = errors.New("the replica's disk is busy")
 
-// nobody answers for replicas that are not here.
-type nobody struct{}
+// absentAcceptor rejects messages to replicas that this machine does not have.
+type absentAcceptor struct{}
 
-func (nobody) prepare(register.Prepare) register.Promise { return register.Promise{Foreign: true} }
-func (nobody) accept(register.Accept) register.Accepted  { return register.Accepted{Foreign: true} }
+func (absentAcceptor) prepare(register.Prepare) register.Promise {
+	return register.Promise{Foreign: true}
+}
+func (absentAcceptor) accept(register.Accept) register.Accepted {
+	return register.Accepted{Foreign: true}
+}
 
-// acceptor finds the acceptor that a call is for.
+// acceptor returns the acceptor that a message is addressed to.
 func (n *Node) acceptor(to register.Replica) acceptor {
 	if to.Disk == foundingDisk {
 		return n.founding
 	}
 	if n.replica == nil {
-		return nobody{}
+		return absentAcceptor{}
 	}
 	return n.replica
 }
--- a/internal/cluster/rounds.go
+++ b/internal/cluster/rounds.go
@@ -13,32 +13,33 @@
 )
 
 const (
-	roundTimeout   = 900 * time.Millisecond // an attempt that found no majority by then is given up
-	backoffLeast   = 10 * time.Millisecond
-	backoffMost    = 150 * time.Millisecond
-	spreadDeadline = 400 * time.Millisecond // how long the proposer waits for a chosen value to be known to all
-	askAgain       = 40 * time.Millisecond  // after a connection broke, and twice as long each time
-	readTimeout    = 900 * time.Millisecond // a question about the newest value has its answer by then, or none
+	roundTimeout   = 900 * time.Millisecond // deadline of an attempt to reach a majority
+	minBackoff     = 10 * time.Millisecond
+	maxBackoff     = 150 * time.Millisecond
+	spreadDeadline = 400 * time.Millisecond // maximum wait of the proposer for all brokers to confirm a chosen value
+	callRetryDelay = 40 * time.Millisecond  // first retry delay after a connection broke; it doubles each time
+	readTimeout    = 900 * time.Millisecond // deadline of a read of the newest value
 )
 
-// ErrNoQuorum says that no majority of the register's replicas answered in time.
+// ErrNoQuorum means that no majority of the register's replicas answered in time.
 var ErrNoQuorum = errors.New("no majority of the register's replicas answered")
 
-// ErrNoMembers says that this broker does not know yet who holds the register.
+// ErrNoMembers means that this broker does not know yet which replicas hold the register.
 var ErrNoMembers = errors.New("the register's replicas are not known yet")
 
-// errOutrun says that a newer attempt stands in the way.
-var errOutrun = errors.New("a newer attempt stands in the way")
+// errSuperseded means that an attempt met a higher ballot.
+var errSuperseded = errors.New("a newer attempt has a higher ballot")
 
-// Known is the newest chosen value that this broker has, and a channel that is closed when there is a newer one.
+// Known returns the newest chosen value that this broker has, and a channel that is closed when a newer one arrives.
 func (n *Node) Known() (register.Known, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.known, n.changed
+	return n.known, n.knownChanged
 }
 
-// Change makes the register's next value from its present one. The error is that of the change, after the present
-// value was made sure of, or says why nothing is certain. When the value is chosen it is spread before Change returns.
+// Change derives the register's next value from its present one. It returns the error of change, once the present
+// value is confirmed by a quorum, or an error that leaves the outcome unknown. A chosen value is disseminated before
+// Change returns.
 func (n *Node) Change(ctx context.Context, change func(payload []byte) (next []byte, err error)) (register.Value, error) {
 	return n.propose(ctx, func(present register.Value) (register.Value, bool, error) {
 		next, err := change(present.Payload)
@@ -52,14 +53,14 @@
 	})
 }
 
-// propose tries until a value is chosen or the context ends. Attempts of one broker follow each other.
+// propose repeats attempts until a value is chosen or the context ends. Attempts of one broker run one after another.
 func (n *Node) propose(ctx context.Context, change register.Change) (register.Value, error) {
 	asked := time.Now()
 	if !n.takeTurn(ctx) {
 		return register.Value{}, ErrNoQuorum
 	}
 	defer n.endTurn()
-	backoff := backoffLeast
+	backoff := minBackoff
 	for {
 		known, _ := n.Known()
 		members := known.Value.Members
@@ -70,7 +71,7 @@
 			return register.Value{}, ErrNoQuorum
 		}
 		value, err := n.round(ctx, members, known, change)
-		if !errors.Is(err, errOutrun) {
+		if !errors.Is(err, errSuperseded) {
 			return value, err
 		}
 		select {
@@ -78,59 +79,59 @@
 			return register.Value{}, ErrNoQuorum
 		case <-time.After(time.Duration(float64(backoff) * (0.5 + rand.Float64()))):
 		}
-		backoff = min(2*backoff, backoffMost)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// takeTurn waits until no other attempt of this broker is under way; false: the context ended first.
+// takeTurn waits until no other attempt of this broker is in progress. It returns false if the context ends first.
 func (n *Node) takeTurn(ctx context.Context) bool {
 	select {
-	case n.proposing <- struct{}{}:
+	case n.proposalTurn <- struct{}{}:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-func (n *Node) endTurn() { <-n.proposing }
+func (n *Node) endTurn() { <-n.proposalTurn }
 
-// failedSince says whether an attempt that began after this moment found no majority: one that waited for its turn
-// behind it has its answer with it.
+// failedSince reports whether an attempt that began after this moment found no majority. A proposal that was queued
+// behind such an attempt fails with it and does not try again.
 func (n *Node) failedSince(asked time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.failedAt.After(asked)
+	return n.lastFailedAttempt.After(asked)
 }
 
-func (n *Node) failed(begun time.Time) {
+func (n *Node) recordFailedAttempt(begun time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if begun.After(n.failedAt) {
-		n.failedAt = begun
+	if begun.After(n.lastFailedAttempt) {
+		n.lastFailedAttempt = begun
 	}
 }
 
-// answer is what one replica said.
+// answer is the reply of one replica.
 type answer struct {
 	promise  *register.Promise
 	accepted *register.Accepted
 }
 
-// round makes one attempt. A chosen value that is newer than what is known is spread before it returns.
+// round makes one attempt. A chosen value that is newer than the known one is disseminated before round returns.
 func (n *Node) round(ctx context.Context, members register.Members, known register.Known, change register.Change) (register.Value, error) {
 	begun := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
 	r := register.NewRound(n.nextBallot(known.Ballot), members, known, change)
 	answers := make(chan answer, 64)
-	ask := func(m peerlink.Message, to register.Replica) { go n.ask(ctx, m, to, answers) }
+	ask := func(m peerlink.Message, to register.Replica) { go n.callReplica(ctx, m, to, answers) }
 	for _, m := range r.Prepares() {
 		ask(peerlink.Message{Prepare: &m}, m.To)
 	}
 	for r.Phase == register.Preparing || r.Phase == register.Accepting {
 		select {
 		case <-ctx.Done():
-			n.failed(begun)
+			n.recordFailedAttempt(begun)
 			return register.Value{}, ErrNoQuorum
 		case a := <-answers:
 			if a.accepted != nil {
@@ -146,22 +147,22 @@
 			}
 		}
 	}
-	n.met(r.Highest)
+	n.observeBallot(r.Highest)
 	switch r.Phase {
 	case register.Outrun:
-		return register.Value{}, errOutrun
+		return register.Value{}, errSuperseded
 	case register.Refused:
 		return register.Value{}, r.Err
 	}
 	if len(members.Sets) > 0 && members.Last()[0].Disk != foundingDisk {
-		n.spread(register.Known{Ballot: r.Ballot, Value: r.Value}, r.Holders())
+		n.spreadChosen(register.Known{Ballot: r.Ballot, Value: r.Value}, r.Holders())
 	}
 	return r.Value, r.Err
 }
 
-// spread has all members that are alive take a chosen value, so that it outlasts the broker that made it. A value that
-// changes the members alone goes the ordinary way.
-func (n *Node) spread(known register.Known, holders []string) {
+// spreadChosen makes all live brokers store a chosen value, so that it survives a crash of its proposer. A value that
+// changes only the members is published like other records.
+func (n *Node) spreadChosen(known register.Known, holders []string) {
 	present, _ := n.Known()
 	if len(present.Value.Members.Sets) > 0 && known.Value.Sequence <= present.Value.Sequence {
 		return
@@ -175,22 +176,23 @@
 	n.announce(ctx, known, holders)
 }
 
-// ask sends one message of a round to one replica, which may be this broker's own. It is sent again when its connection
-// breaks: a replica answers the same message under the same ballot in the same way. The first time a value goes as a patch on
-// what is known already, or comes back so; whoever cannot make use of that gets it whole.
-func (n *Node) ask(ctx context.Context, m peerlink.Message, to register.Replica, answers chan<- answer) {
+// callReplica sends one message of a round to one replica, which may be this broker's own. It retries when the
+// connection breaks: a replica answers a repeated message with the same ballot in the same way. The first call sends
+// the value as a patch on the known one, or accepts a patch in the reply. A replica that cannot use the patch receives
+// the value whole.
+func (n *Node) callReplica(ctx context.Context, m peerlink.Message, to register.Replica, answers chan<- answer) {
 	if to.Address == n.self.IP {
-		reply := n.answerOwn(m)
+		reply := n.callOwnReplica(m)
 		answers <- answer{promise: reply.Promise, accepted: reply.Accepted}
 		return
 	}
-	sent, patched := n.patched(m, to)
+	sent, patched := n.asPatch(m, to)
 	if !patched {
-		sent = n.packed(m, to)
+		sent = n.asWhole(m, to)
 	}
-	for wait := askAgain; ; wait *= 2 {
+	for wait := callRetryDelay; ; wait *= 2 {
 		reply, err := n.client.Call(ctx, n.settings.PeerAddress(to.Address), sent)
-		if err == nil && n.whole(reply, to) {
+		if err == nil && n.unpackReply(reply, to) {
 			if reply.Promise != nil || reply.Accepted != nil {
 				answers <- answer{promise: reply.Promise, accepted: reply.Accepted}
 			}
@@ -200,12 +202,12 @@
 			return
 		}
 		if patched {
-			sent, patched = n.packed(m, to), false
+			sent, patched = n.asWhole(m, to), false
 			if err == nil {
 				continue
 			}
 		}
-		sent.Has = nil // what comes as a patch cannot be made here
+		sent.Has = nil // a patch in the reply cannot be applied here
 		select {
 		case <-ctx.Done():
 			return
@@ -214,30 +216,30 @@
 	}
 }
 
-// answerOwn answers a message of a round to this machine's own replica.
-func (n *Node) answerOwn(m peerlink.Message) *peerlink.Message {
+// callOwnReplica passes a message of a round to this machine's own replica.
+func (n *Node) callOwnReplica(m peerlink.Message) *peerlink.Message {
 	if m.Prepare != nil {
-		return n.prepareOwn(*m.Prepare)
+		return n.prepareLocally(*m.Prepare)
 	}
-	return n.acceptOwn(*m.Accept)
+	return n.acceptLocally(*m.Accept)
 }
 
-// nextBallot is above all that this broker has met. Its proposer number was drawn at the start of the process.
+// nextBallot returns a ballot above all that this broker has met. The proposer number is random for each process.
 func (n *Node) nextBallot(known register.Ballot) register.Ballot {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.highest.Counter = max(n.highest.Counter, known.Counter, firstBallot.Counter) + 1
-	return register.Ballot{Counter: n.highest.Counter, Proposer: n.proposer}
+	n.highestBallot.Counter = max(n.highestBallot.Counter, known.Counter, firstBallot.Counter) + 1
+	return register.Ballot{Counter: n.highestBallot.Counter, Proposer: n.proposerID}
 }
 
-func (n *Node) met(b register.Ballot) {
+func (n *Node) observeBallot(b register.Ballot) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.highest.Counter = max(n.highest.Counter, b.Counter)
+	n.highestBallot.Counter = max(n.highestBallot.Counter, b.Counter)
 }
 
-// Read returns the newest value that can have been chosen. It rests on a majority that was reached after the call; where
-// there is none, it says so within readTimeout.
+// Read returns the newest value that can have been chosen. A majority confirms it after the call began; without a
+// majority Read returns an error within readTimeout.
 func (n *Node) Read(ctx context.Context) (register.Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -246,11 +248,11 @@
 		return register.Value{}, ErrNoMembers
 	}
 	begun := time.Now()
-	look := n.look(ctx, known, (*register.Look).Done)
+	look := n.inspect(ctx, known, (*register.Look).Done)
 	switch {
 	case !look.Done():
 		n.logger.Info().Uint64("sequence", known.Value.Sequence).Int("answered", look.Answered()).Dur("took", time.Since(begun)).
-			Msg("no majority answered a question for the newest value")
+			Msg("no majority of the replicas answered a read")
 		return register.Value{}, ErrNoQuorum
 	case look.Current():
 		return known.Value, nil
@@ -262,16 +264,16 @@
 	looked := time.Since(begun)
 	value, err := n.propose(ctx, func(present register.Value) (register.Value, bool, error) { return present, true, nil })
 	n.logger.Info().Err(err).Uint64("sequence", known.Value.Sequence).Uint64("newest", value.Sequence).Dur("looked", looked).
-		Dur("took", time.Since(begun)).Msg("a newer value than the known one was made sure of")
+		Dur("took", time.Since(begun)).Msg("a read completed the choice of a newer value than the known one")
 	return value, err
 }
 
-// VotersStand says whether the voters that this broker knows are those in force: a majority of them has answered after the call,
-// and none of these holds a value that names others. A change of the voters is accepted by a majority of the earlier ones first, so
-// one of any majority tells of it.
+// VotersCurrent reports whether the voters that this broker knows are the current ones: a majority of them has
+// answered after the call, and none of these holds a value with other members. A membership change is first accepted
+// by a majority of the previous voters, so every majority contains a voter that knows of it.
 func (n *Node) VotersStand(ctx context.Context) bool {
 	known, _ := n.Known()
-	look := n.look(ctx, known, (*register.Look).Answers)
+	look := n.inspect(ctx, known, (*register.Look).Answers)
 	if !look.Answers() {
 		return false
 	}
@@ -279,15 +281,15 @@
 	return !any || met.Members.Equal(known.Value.Members)
 }
 
-// look asks the replicas what they hold until that is enough, or none is left to answer.
-func (n *Node) look(ctx context.Context, known register.Known, enough func(*register.Look) bool) *register.Look {
+// inspect queries the replicas for the values that they hold, until enough reports true or every replica has answered.
+func (n *Node) inspect(ctx context.Context, known register.Known, enough func(*register.Look) bool) *register.Look {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
 	look := register.NewLook(known)
 	asked := look.Inspections()
 	answers := make(chan answer, len(asked))
 	for _, m := range asked {
-		go n.ask(ctx, peerlink.Message{Prepare: &m}, m.To, answers)
+		go n.callReplica(ctx, peerlink.Message{Prepare: &m}, m.To, answers)
 	}
 	for range asked {
 		select {
--- a/internal/cluster/settling.go
+++ b/internal/cluster/settling.go
@@ -9,41 +9,41 @@
 )
 
 const (
-	keepEvery     = 500 * time.Millisecond // between looks at values in doubt, at the replica and at the voters
-	settleTries   = 10                     // looks at the value on the disk after a restart,
-	settleSpacing = 25 * time.Millisecond  // and what lies between two of them at least
+	maintenanceInterval = 500 * time.Millisecond // interval between checks of undecided values, of the replica and of the voters
+	settleAttempts      = 10                     // maximum number of checks of the stored value after a restart
+	settleSpacing       = 25 * time.Millisecond  // minimum delay between two of them
 )
 
-// keepRegister looks after this machine's replica: it takes part in the founding, makes sure of values in doubt, and
-// has the replica join the members.
-func (n *Node) keepRegister(ctx context.Context) {
+// runReplica maintains this machine's replica: it founds the register if needed, settles values whose outcome is
+// unknown, learns chosen values, and manages the voters.
+func (n *Node) runReplica(ctx context.Context) {
 	if n.replica == nil {
 		return
 	}
 	if known := n.replica.accepted(); len(known.Value.Members.Sets) > 0 {
 		n.mu.Lock()
-		n.hint(known.Value.Members)
+		n.addMembersToView(known.Value.Members)
 		n.mu.Unlock()
 	} else if n.settings.Bootstrap {
 		if n.replica.empty && n.replica.mark() == nil {
 			n.founding.activate()
 		}
-		go n.found(ctx)
+		go n.foundRegister(ctx)
 	}
 	go n.learnValues(ctx)
-	n.settleFirst(ctx)
-	go n.every(ctx, keepEvery, n.settleDoubt)
-	n.keepVoters(ctx)
+	n.settleAtStart(ctx)
+	go n.repeat(ctx, maintenanceInterval, n.settleUndecided)
+	n.manageVoters(ctx)
 }
 
-// learnValues has the replica hold each value that is known to be chosen, whether it votes or not: a voter that missed
-// the accepts catches up without waiting for a change, a learner is ready to take a seat.
+// learnValues makes the replica store each chosen value, whether the replica votes or not. A voter that missed an
+// Accept catches up without waiting for a change, and a learner is ready to take a seat.
 func (n *Node) learnValues(ctx context.Context) {
 	for {
 		known, changed := n.Known()
 		wait := time.NewTimer(time.Hour)
 		if err := n.replica.learn(known); err != nil {
-			wait.Reset(keepEvery) // its disk is full, or stalls
+			wait.Reset(maintenanceInterval) // its disk is full or stalls
 		}
 		select {
 		case <-ctx.Done():
@@ -55,8 +55,8 @@
 	}
 }
 
-// hint gives a restarted replica someone to talk to, before it knows what is chosen.
-func (n *Node) hint(members register.Members) {
+// addMembersToView gives a restarted replica peers before it knows the chosen value.
+func (n *Node) addMembersToView(members register.Members) {
 	for _, set := range members.Sets {
 		for _, replica := range set {
 			n.view.Add(replica.Address)
@@ -64,14 +64,14 @@
 	}
 }
 
-// settleFirst finds out soon after a restart whether the value on the disk is chosen.
-func (n *Node) settleFirst(ctx context.Context) {
-	for range settleTries {
+// settleAtStart checks soon after a restart whether the value on the disk is chosen.
+func (n *Node) settleAtStart(ctx context.Context) {
+	for range settleAttempts {
 		accepted := n.replica.accepted()
-		if len(accepted.Value.Members.Sets) == 0 || ctx.Err() != nil || n.founded() {
+		if len(accepted.Value.Members.Sets) == 0 || ctx.Err() != nil || n.registerKnown() {
 			return
 		}
-		if n.look(ctx, accepted, (*register.Look).Chosen).Chosen() {
+		if n.inspect(ctx, accepted, (*register.Look).Chosen).Chosen() {
 			n.publishKnown(accepted)
 			return
 		}
@@ -79,8 +79,9 @@
 	}
 }
 
-// settleDoubt chooses the value that this replica accepted, if nobody has said for a while that it is chosen.
-func (n *Node) settleDoubt(ctx context.Context) {
+// settleUndecided runs a round for the value that this replica accepted, if no peer has reported for a while that it
+// is chosen.
+func (n *Node) settleUndecided(ctx context.Context) {
 	accepted := n.replica.accepted()
 	known, _ := n.Known()
 	if len(accepted.Value.Members.Sets) == 0 || len(known.Value.Members.Sets) > 0 && accepted.Value.Sequence <= known.Value.Sequence {
@@ -89,7 +90,7 @@
 	select {
 	case <-ctx.Done():
 		return
-	case <-time.After(time.Duration(rand.Int64N(int64(keepEvery)))):
+	case <-time.After(time.Duration(rand.Int64N(int64(maintenanceInterval)))):
 	}
 	if later, _ := n.Known(); len(later.Value.Members.Sets) > 0 && accepted.Value.Sequence <= later.Value.Sequence {
 		return
@@ -101,6 +102,6 @@
 	defer n.endTurn()
 	sets := register.Members{Sets: accepted.Value.Quorums()}
 	if _, err := n.round(ctx, sets, accepted, keep); err != nil {
-		n.logger.Info().Err(err).Msg("a value in doubt is not settled yet")
+		n.logger.Info().Err(err).Msg("could not settle an undecided value yet")
 	}
 }
--- a/internal/cluster/voting.go
+++ b/internal/cluster/voting.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	probeTimeout = 400 * time.Millisecond
-	quietEvery   = 100 * time.Millisecond // between probes while some replica does not answer, or a change is due
+	probeTimeout         = 400 * time.Millisecond
+	urgentReviewInterval = 100 * time.Millisecond // interval while some replica does not answer or a change is due
 )
 
-// keepVoters completes changes of the voters and begins those that are due, as long as this replica votes.
-func (n *Node) keepVoters(ctx context.Context) {
+// manageVoters completes membership changes and starts those that are due, as long as this replica votes.
+func (n *Node) manageVoters(ctx context.Context) {
 	var dueSince time.Time
 	for ctx.Err() == nil {
-		wait := keepEvery
+		wait := maintenanceInterval
 		if n.Votes() && n.Standing().May(standing.ProposeVoters) {
-			quiet := n.probe(ctx)
+			unanswered := n.probe(ctx)
 			dueSince = n.reviewVoters(ctx, dueSince)
-			if quiet || !dueSince.IsZero() {
-				wait = quietEvery
+			if unanswered || !dueSince.IsZero() {
+				wait = urgentReviewInterval
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-n.reviewNow:
+		case <-n.reviewRequested:
 		case <-time.After(wait):
 		}
 	}
 }
 
-// Standing says where this broker stands towards the register.
+// Role returns this broker's role towards the register.
 func (n *Node) Standing() standing.State {
 	n.mu.Lock()
 	leaving, started := n.self.Leaving, len(n.known.Value.Members.Sets) > 0
@@ -56,7 +56,7 @@
 	return standing.Learner
 }
 
-// Votes says whether this machine's replica is in one of the sets that the newest value was proposed to.
+// Votes reports whether this machine's replica is in one of the sets that the newest value was proposed to.
 func (n *Node) Votes() bool {
 	if n.replica == nil {
 		return false
@@ -65,8 +65,8 @@
 	return slices.ContainsFunc(known.Value.Quorums(), func(set []register.Replica) bool { return slices.Contains(set, n.replica.id()) })
 }
 
-// reviewVoters makes the change of the voters that is due, if there is one and it is this voter's turn. It returns since
-// when one is due; zero: none is.
+// reviewVoters makes the membership change that is due, if there is one and this voter is the one to make it. It
+// returns the time since when a change is due, zero if none is.
 func (n *Node) reviewVoters(ctx context.Context, dueSince time.Time) time.Time {
 	known, _ := n.Known()
 	present, learners := n.replicas(known)
@@ -81,19 +81,19 @@
 		return dueSince
 	}
 	if !known.Value.Unsettled() {
-		n.changeMembers(ctx, "the voters change", register.Reconfigure(known.Value.Members, next))
+		n.changeMembers(ctx, "changing the voters", register.Reconfigure(known.Value.Members, next))
 	}
 	n.settleMembers(ctx)
 	return dueSince
 }
 
-// settleMembers completes a change of the voters.
+// settleMembers completes a membership change.
 func (n *Node) settleMembers(ctx context.Context) {
-	for range 2 { // one set alone, then proposed to it alone
+	for range 2 { // the first pass reduces the members to the new set, the second proposes the value to that set alone
 		if known, _ := n.Known(); !known.Value.Unsettled() {
 			return
 		}
-		if !n.changeMembers(ctx, "a change of the voters goes on", register.Settle) {
+		if !n.changeMembers(ctx, "completing a change of the voters", register.Settle) {
 			return
 		}
 	}
@@ -120,7 +120,7 @@
 		replica := register.Replica{Address: address, Disk: member.Disk}
 		if !known.Value.Members.Has(replica) {
 			learner := n.machine(member, replica, now)
-			learner.Settled = learner.Settled && allKnow // an earlier release would take the added seat away again
+			learner.Settled = learner.Settled && allKnow // an earlier release would remove the added seat again
 			learners = append(learners, learner)
 		}
 	}
@@ -128,15 +128,15 @@
 	return present, learners
 }
 
-// machine describes one replica; n.mu is held.
+// machine describes one replica. n.mu is held.
 func (n *Node) machine(member Member, replica register.Replica, now time.Time) voters.Machine {
 	leaving := member.Leaving && member.Disk == replica.Disk
 	return voters.Machine{Replica: replica, Zone: member.Zone, Region: member.Region, Health: n.contacts.Health(replica, leaving, now),
 		Settled: n.contacts.Settled(replica, now), Departed: n.contacts.Departed(replica, now)}
 }
 
-// machinesWithDisk returns the members that hold, or may hold, a replica, by address: also those that leave, and those
-// that have not been heard of for a while.
+// machinesWithDisk returns the members that hold, or may hold, a replica, by address. It includes members that are
+// leaving and members that have not been heard from for a while.
 func (n *Node) machinesWithDisk() map[string]Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -152,8 +152,9 @@
 	return out
 }
 
-// probe asks each replica who it is and how new its value is. quiet: some did not answer.
-func (n *Node) probe(ctx context.Context) (quiet bool) {
+// probe queries each replica for its identity and the ballot of its value. unanswered reports whether some did not
+// answer.
+func (n *Node) probe(ctx context.Context) (unanswered bool) {
 	known, _ := n.Known()
 	targets := map[string]bool{}
 	for _, address := range known.Value.Members.Addresses() {
@@ -181,7 +182,7 @@
 	defer cancel()
 	answers := make(chan answer, 1)
 	to := register.Replica{Address: address, Disk: anyDisk}
-	n.ask(ctx, peerlink.Message{Prepare: &register.Prepare{To: to, Probe: true}}, to, answers)
+	n.callReplica(ctx, peerlink.Message{Prepare: &register.Prepare{To: to, Probe: true}}, to, answers)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	select {
@@ -195,11 +196,11 @@
 	n.contacts.Missed(address, begun, time.Now(), probeTimeout)
 }
 
-// changeMembers proposes a change of the members and says whether the register is where it wants it.
+// changeMembers proposes a membership change and reports whether it succeeded.
 func (n *Node) changeMembers(ctx context.Context, what string, change register.Change) bool {
 	value, err := n.propose(ctx, change)
 	if err != nil {
-		n.logger.Info().Err(err).Msg(what + ", but not yet")
+		n.logger.Info().Err(err).Msg(what + " did not succeed yet")
 		return false
 	}
 	n.logger.Info().Strs("voters", value.Members.Addresses()).Uint64("sequence", value.Sequence).Msg(what)
