--- a/internal/dissemination/dissemination.go
+++ b/internal/dissemination/dissemination.go
@@ -1,5 +1,6 @@
-// Package dissemination spreads small records among the brokers: what is new is pushed to a few peers at once, and
-// digests that are exchanged in the background reconcile what was missed. The newest version of a record wins.
+// Package dissemination is an epidemic store of small records that all brokers share. New records are pushed to a few
+// peers at once; anti-entropy in the background compares digests and repairs what a push missed. The newest version of
+// a record wins.
 //
 // The package has no I/O, clock or goroutine.
 package dissemination
@@ -11,39 +12,39 @@
 	"slices"
 )
 
-// Buckets is the number of parts that a digest tells apart.
+// Buckets is the number of buckets of a digest. Reconciliation lists only the records of buckets that differ.
 const Buckets = 64
 
-// Version orders the versions of one record: by epoch, then by sequence.
+// Version orders the versions of one record, first by epoch, then by sequence.
 type Version struct {
 	Epoch    uint64
 	Sequence uint64
 }
 
-// Less says whether v comes before w.
+// Less reports whether v is older than w.
 func (v Version) Less(w Version) bool {
 	return v.Epoch < w.Epoch || v.Epoch == w.Epoch && v.Sequence < w.Sequence
 }
 
-// Record is one entry: of a kind, under a key of that kind.
+// Record is one entry, identified by a kind and a key within that kind.
 type Record struct {
 	Kind    byte
 	Key     string
 	Version Version
-	Body    any // of a type that RegisterBody was called with
+	Body    any // must be of a type registered with RegisterBody
 }
 
-// bodies has a value of each type of body, by its name.
+// bodies holds a value of each registered body type, by registered name.
 var bodies = map[string]any{}
 
-// RegisterBody makes a type known that records carry. Brokers of different versions know it by its name. It is called before
-// main.
+// RegisterBody registers a type of record bodies. Brokers of different releases identify the type by the name. It must
+// be called before main, in an init function.
 func RegisterBody(name string, body any) {
 	gob.RegisterName(name, body)
 	bodies[name] = body
 }
 
-// Bodies returns a value of each type of body that is registered, always in the same order.
+// Bodies returns a value of each registered body type, sorted by name.
 func Bodies() []any {
 	var out []any
 	for _, name := range slices.Sorted(maps.Keys(bodies)) {
@@ -52,13 +53,14 @@
 	return out
 }
 
-// Renewer is a body that may say nothing new but that its subject lives on.
+// Renewer is a body that can be a mere renewal: it changes nothing but confirms that its subject is alive.
 type Renewer interface {
-	// Renews says whether it tells the same as an earlier body of the record, nil if there was none.
+	// Renews reports whether the body has the same content as an earlier body of the record. earlier is nil if there was
+	// none.
 	Renews(earlier any) bool
 }
 
-// ID names a record whatever its version.
+// ID identifies a record in all its versions.
 type ID struct {
 	Kind byte
 	Key  string
@@ -70,23 +72,23 @@
 	Version Version
 }
 
-// Digest sums up all records of a store by bucket.
+// Digest holds a checksum of the records of each bucket.
 type Digest [Buckets]uint64
 
 // Store holds the newest version of each record that this broker knows.
 type Store struct {
 	records map[ID]Record
-	dropped map[ID]Version // records that were dropped, so that older copies do not come back
+	dropped map[ID]Version // versions of dropped records, so that older copies are refused
 	digest  Digest
 }
 
-// New makes an empty store.
+// New returns an empty store.
 func New() *Store { return &Store{records: map[ID]Record{}, dropped: map[ID]Version{}} }
 
-// Put takes a record; false: what is here is as new.
+// Put stores a record and returns true, or returns false if the store has this version or a newer one.
 func (s *Store) Put(r Record) bool {
 	id := ID{r.Kind, r.Key}
-	if gone, was := s.dropped[id]; was && !gone.Less(r.Version) {
+	if droppedVersion, dropped := s.dropped[id]; dropped && !droppedVersion.Less(r.Version) {
 		return false
 	}
 	old, known := s.records[id]
@@ -94,21 +96,21 @@
 		return false
 	}
 	if known {
-		s.toggle(id, old.Version)
+		s.toggleDigest(id, old.Version)
 	}
 	s.records[id] = r
-	s.toggle(id, r.Version)
+	s.toggleDigest(id, r.Version)
 	delete(s.dropped, id)
 	return true
 }
 
-// Drop removes a record; copies that are no newer are not taken again.
+// Drop removes a record. Put refuses copies that are not newer than the dropped version.
 func (s *Store) Drop(id ID) {
 	old, known := s.records[id]
 	if !known {
 		return
 	}
-	s.toggle(id, old.Version)
+	s.toggleDigest(id, old.Version)
 	delete(s.records, id)
 	s.dropped[id] = old.Version
 }
@@ -119,10 +121,10 @@
 	return r, known
 }
 
-// Len is the number of records.
+// Len returns the number of records.
 func (s *Store) Len() int { return len(s.records) }
 
-// Of returns all records of a kind, by key.
+// OfKind returns all records of a kind, sorted by key.
 func (s *Store) Of(kind byte) []Record {
 	var out []Record
 	for id, r := range s.records {
@@ -143,15 +145,15 @@
 	return 0
 }
 
-// toggle adds a version to the digest, or takes it out again.
-func (s *Store) toggle(id ID, v Version) {
+// toggleDigest adds a version to the digest, or removes it: the digest is the XOR of the versions' checksums.
+func (s *Store) toggleDigest(id ID, v Version) {
 	bucket := bucketOf(id)
-	s.digest[bucket] ^= sum(id, v)
+	s.digest[bucket] ^= checksum(id, v)
 }
 
-func bucketOf(id ID) int { return int(sum(id, Version{}) % Buckets) }
+func bucketOf(id ID) int { return int(checksum(id, Version{}) % Buckets) }
 
-func sum(id ID, v Version) uint64 {
+func checksum(id ID, v Version) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte{id.Kind})
 	hash.Write([]byte(id.Key))
@@ -167,10 +169,10 @@
 	return x ^ x>>33
 }
 
-// Digest sums up what is here.
+// Digest returns the digest of the store.
 func (s *Store) Digest() Digest { return s.digest }
 
-// Headings lists the records in those buckets in which a peer's digest differs.
+// Headings returns the headings of the records in the buckets that differ from a peer's digest.
 func (s *Store) Headings(peer Digest) []Heading {
 	var out []Heading
 	for id, r := range s.records {
@@ -181,15 +183,15 @@
 	return out
 }
 
-// Compare takes the headings that a peer has in the buckets in which its digest differs from ours, and returns the
-// records that the peer lacks and the ids of those that are newer there.
+// Compare compares the store with a peer's headings for the buckets that differ. It returns the records that are newer
+// here or absent at the peer, and the IDs of the records that the peer has newer.
 func (s *Store) Compare(peer Digest, headings []Heading) (newer []Record, wanted []ID) {
-	there := make(map[ID]Version, len(headings))
+	peerVersions := make(map[ID]Version, len(headings))
 	for _, h := range headings {
-		there[h.ID] = h.Version
+		peerVersions[h.ID] = h.Version
 		ours, known := s.records[h.ID]
-		gone, was := s.dropped[h.ID]
-		if known && ours.Version.Less(h.Version) || !known && !(was && !gone.Less(h.Version)) {
+		droppedVersion, dropped := s.dropped[h.ID]
+		if known && ours.Version.Less(h.Version) || !known && !(dropped && !droppedVersion.Less(h.Version)) {
 			wanted = append(wanted, h.ID)
 		}
 	}
@@ -197,14 +199,14 @@
 		if bucket := bucketOf(id); s.digest[bucket] == peer[bucket] {
 			continue
 		}
-		if version, known := there[id]; !known || version.Less(r.Version) {
+		if version, known := peerVersions[id]; !known || version.Less(r.Version) {
 			newer = append(newer, r)
 		}
 	}
 	return newer, wanted
 }
 
-// Take returns the records with these ids.
+// GetAll returns the records with these IDs that the store has.
 func (s *Store) Take(ids []ID) []Record {
 	var out []Record
 	for _, id := range ids {
@@ -215,7 +217,7 @@
 	return out
 }
 
-// ForgetDropped limits what is remembered of dropped records to at most a number.
+// ForgetDropped limits the number of remembered dropped records.
 func (s *Store) ForgetDropped(most int) {
 	for len(s.dropped) > most {
 		for id := range maps.Keys(s.dropped) {
--- a/internal/dissemination/dissemination_test.go
+++ b/internal/dissemination/dissemination_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestReconcile draws stores that know different things and has them reconcile in pairs, some messages lost: in the end
-// all hold the newest version of everything, with equal digests.
+// TestReconcile reconciles randomly filled stores in pairs while some messages are lost. In the end all stores must
+// hold the newest version of every record and have equal digests.
 func TestReconcile(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -30,7 +30,7 @@
 		}
 		for i, s := range stores {
 			if s.Digest() != stores[0].Digest() {
-				t.Fatalf("seed %d: store %d has another digest", seed, i)
+				t.Fatalf("seed %d: the digest of store %d differs", seed, i)
 			}
 			for id, version := range newest {
 				if r, known := s.Get(id); !known || r.Version != version {
@@ -67,7 +67,7 @@
 		t.Error("an old copy came back")
 	}
 	if _, wanted := a.Compare(b.Digest(), b.Headings(a.Digest())); len(wanted) > 0 {
-		t.Errorf("an old copy is asked for: %v", wanted)
+		t.Errorf("an old copy is requested: %v", wanted)
 	}
 	if r.Version.Sequence++; !a.Put(r) {
 		t.Error("a newer version was not taken")
