--- a/internal/peerlink/link.go
+++ b/internal/peerlink/link.go
@@ -21,26 +21,27 @@
 )
 
 const (
-	frameHeader  = 4
-	mostFrame    = 16 << 20 // bytes of one message
-	dialTimeout  = 250 * time.Millisecond
-	writeTimeout = 2 * time.Second
-	idleTimeout  = 30 * time.Second // a served connection without calls is closed
-	bufferSize   = 2 << 10
-	mostKept     = 2 << 10  // bytes of a buffer that a connection keeps
-	mostServed   = 64       // calls of one connection that are served at once
-	writeChunk   = 64 << 10 // bytes that a peer has writeTimeout for
+	frameHeader        = 4
+	maxFrame           = 16 << 20 // maximum size of a message in bytes
+	dialTimeout        = 250 * time.Millisecond
+	writeTimeout       = 2 * time.Second
+	idleTimeout        = 30 * time.Second // a server closes a connection without calls after this time
+	bufferSize         = 2 << 10
+	maxKeptBuffer      = 2 << 10  // maximum size in bytes of a buffer that a connection keeps between messages
+	maxConcurrentCalls = 64       // maximum number of concurrent calls per connection
+	writeChunk         = 64 << 10 // bytes per write, each with its own writeTimeout
 )
 
-// ErrClosed says that a connection ended before the reply came.
+// ErrClosed means that a connection ended before the reply arrived.
 var ErrClosed = errors.New("the connection to the peer has ended")
 
-// ErrStalled says that nothing has come on a connection for too long.
-var ErrStalled = errors.New("nothing comes from the peer")
+// ErrStalled means that no data has arrived on a connection for too long.
+var ErrStalled = errors.New("no data from the peer")
 
-// pools has the encoders and decoders that all connections share. They are made before anything else is encoded in the process:
-// the numbers of its types are then the same in all processes of a release, and its decoders read what any of them writes.
-var pools = sync.OnceValue(func() *pool {
+// sharedPool returns the encoders and decoders that all connections share. They are created before anything else in the
+// process is encoded with gob: gob numbers types in the order of their first use, so the numbers are the same in all
+// processes of a release, and the shared decoders can read what any of them writes.
+var sharedPool = sync.OnceValue(func() *pool {
 	encoders, err := gobpool.NewEncoders(append(dissemination.Bodies(), &Message{})...)
 	if err != nil {
 		panic(err) // the types are fixed
@@ -53,41 +54,41 @@
 	decoders *gobpool.Decoders
 }
 
-// codec writes and reads messages on one connection.
+// codec encodes and decodes messages on one connection.
 type codec struct {
 	*pool
 	conn    net.Conn
 	traffic *Traffic
 
-	writing sync.Mutex
-	begun   bool // the definitions of the types have been written
+	writeMu         sync.Mutex
+	definitionsSent bool // whether the type definitions have been written
 
 	reader   *bufio.Reader
-	frame    bytes.Buffer // that is being read
+	frame    bytes.Buffer // the frame being read
 	stream   gobpool.Stream
-	received atomic.Int64 // bytes
+	received atomic.Int64 // bytes received
 }
 
 func newCodec(conn net.Conn, traffic *Traffic) *codec {
-	c := &codec{pool: pools(), conn: conn, traffic: traffic}
-	c.reader = bufio.NewReaderSize(counting{c}, bufferSize)
+	c := &codec{pool: sharedPool(), conn: conn, traffic: traffic}
+	c.reader = bufio.NewReaderSize(countingReader{c}, bufferSize)
 	return c
 }
 
-// counting reads a codec's connection and counts what comes.
-type counting struct{ *codec }
+// countingReader reads a codec's connection and counts the bytes.
+type countingReader struct{ *codec }
 
-func (c counting) Read(b []byte) (int, error) {
+func (c countingReader) Read(b []byte) (int, error) {
 	n, err := c.conn.Read(b)
 	c.received.Add(int64(n))
 	return n, err
 }
 
 func (c *codec) write(m *Message) error {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	frame := make([]byte, frameHeader)
-	if !c.begun {
+	if !c.definitionsSent {
 		frame = append(frame, c.encoders.Definitions()...)
 	}
 	frame, err := c.encoders.Append(frame, m, m.bodies()...)
@@ -95,7 +96,7 @@
 		return err
 	}
 	binary.LittleEndian.PutUint32(frame, uint32(len(frame)-frameHeader))
-	c.begun = true
+	c.definitionsSent = true
 	c.traffic.sent[m.kind()].add(len(frame))
 	for chunk := range slices.Chunk(frame, writeChunk) {
 		if err := c.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
@@ -117,32 +118,32 @@
 		return nil, err
 	}
 	c.traffic.received[m.kind()].add(frameHeader + c.frame.Len())
-	if c.frame.Cap() > mostKept {
-		c.frame = bytes.Buffer{} // the connection may rest for long
+	if c.frame.Cap() > maxKeptBuffer {
+		c.frame = bytes.Buffer{} // the connection may stay idle for long
 	}
 	return m, nil
 }
 
-// readFrame reads the next frame, and refuses one that is too large.
+// readFrame reads the next frame. It returns an error for a frame over maxFrame.
 func (c *codec) readFrame() error {
 	var header [frameHeader]byte
 	if _, err := io.ReadFull(c.reader, header[:]); err != nil {
 		return err
 	}
 	length := binary.LittleEndian.Uint32(header[:])
-	if length > mostFrame {
-		return errors.Newf("a message of %d bytes is over the limit", length)
+	if length > maxFrame {
+		return errors.Newf("a message of %d bytes exceeds the limit", length)
 	}
 	c.frame.Reset()
 	_, err := io.CopyN(&c.frame, c.reader, int64(length))
 	return err
 }
 
-// Handler answers a call; a nil reply ends the connection.
+// Handler handles a call and returns the reply. A nil reply closes the connection.
 type Handler func(*Message) *Message
 
-// Serve accepts connections and answers their calls until the listener is closed, which ends the connections too. traffic counts
-// them.
+// Serve accepts connections and answers their calls until the listener is closed, which also closes the connections.
+// traffic counts the messages.
 func Serve(listener net.Listener, traffic *Traffic, handle Handler) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -165,7 +166,7 @@
 func serveConn(conn net.Conn, traffic *Traffic, handle Handler) {
 	defer conn.Close()
 	c := newCodec(conn, traffic)
-	slots := make(chan struct{}, mostServed)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	for {
 		if conn.SetReadDeadline(time.Now().Add(idleTimeout)) != nil {
 			return
@@ -190,7 +191,7 @@
 	}
 }
 
-// Client calls peers and keeps one connection to each.
+// Client makes calls to peers and keeps one connection to each.
 type Client struct {
 	network netio.Network
 	traffic *Traffic
@@ -198,21 +199,21 @@
 	peers   map[string]*peer
 }
 
-// NewClient makes a client without connections. traffic counts its calls.
+// NewClient returns a client without connections. traffic counts its messages.
 func NewClient(network netio.Network, traffic *Traffic) *Client {
-	pools()
+	sharedPool()
 	return &Client{network: network, traffic: traffic, peers: map[string]*peer{}}
 }
 
-// peer is a connection in use, or one that is being made.
+// peer is an open connection, or one that is being opened.
 type peer struct {
 	ready   chan struct{} // closed once codec or err is set
 	codec   *codec
 	err     error
 	mu      sync.Mutex
-	last    uint64
-	waiting map[uint64]chan *Message
-	ended   bool
+	lastID  uint64
+	pending map[uint64]chan *Message
+	closed  bool
 }
 
 // Call sends a message and waits for its reply.
@@ -226,7 +227,7 @@
 	if p.err != nil {
 		return nil, p.err
 	}
-	reply, id, err := p.register()
+	reply, id, err := p.addPending()
 	if err != nil {
 		return nil, err
 	}
@@ -242,17 +243,18 @@
 		}
 		return answer, nil
 	case <-ctx.Done():
-		p.forget(id)
+		p.removePending(id)
 		return nil, ctx.Err()
 	}
 }
 
-// CallWhile sends a message and waits for its reply for as long as something comes on the connection at least every so often: a
-// large reply takes its time on a thin link.
-func (c *Client) CallWhile(ctx context.Context, address string, m Message, stall time.Duration) (*Message, error) {
+// CallWithStallTimeout sends a message and waits for its reply as long as data arrives on the connection. It returns
+// ErrStalled once no data has arrived for stallTimeout. A large reply can take long on a slow link, so a fixed timeout
+// would not do.
+func (c *Client) CallWhile(ctx context.Context, address string, m Message, stallTimeout time.Duration) (*Message, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	go c.peer(address).watch(ctx, cancel, stall)
+	go c.peer(address).watch(ctx, cancel, stallTimeout)
 	reply, err := c.Call(ctx, address, m)
 	if err != nil && context.Cause(ctx) != nil {
 		err = context.Cause(ctx)
@@ -266,13 +268,13 @@
 	if p := c.peers[address]; p != nil {
 		return p
 	}
-	p := &peer{ready: make(chan struct{}), waiting: map[uint64]chan *Message{}}
+	p := &peer{ready: make(chan struct{}), pending: map[uint64]chan *Message{}}
 	c.peers[address] = p
 	go c.run(address, p)
 	return p
 }
 
-// run makes the connection and takes its replies until it ends.
+// run opens the connection and delivers its replies until it ends.
 func (c *Client) run(address string, p *peer) {
 	defer c.drop(address, p)
 	conn, err := c.network.Dial(context.Background(), address, dialTimeout)
@@ -288,7 +290,7 @@
 	for {
 		m, err := p.codec.read()
 		if err != nil {
-			p.end()
+			p.close()
 			return
 		}
 		p.deliver(m)
@@ -303,9 +305,9 @@
 	}
 }
 
-// watch cancels a call once nothing has come from the peer for a while.
-func (p *peer) watch(ctx context.Context, cancel context.CancelCauseFunc, stall time.Duration) {
-	ticker := time.NewTicker(stall)
+// watch cancels a call once no data has arrived from the peer for stallTimeout.
+func (p *peer) watch(ctx context.Context, cancel context.CancelCauseFunc, stallTimeout time.Duration) {
+	ticker := time.NewTicker(stallTimeout)
 	defer ticker.Stop()
 	for before := int64(-1); ; {
 		select {
@@ -322,7 +324,7 @@
 	}
 }
 
-// received is how many bytes have come from the peer.
+// received returns the number of bytes received from the peer.
 func (p *peer) received() int64 {
 	select {
 	case <-p.ready:
@@ -334,40 +336,40 @@
 	return 0
 }
 
-func (p *peer) register() (chan *Message, uint64, error) {
+func (p *peer) addPending() (chan *Message, uint64, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ended {
+	if p.closed {
 		return nil, 0, ErrClosed
 	}
-	p.last++
+	p.lastID++
 	reply := make(chan *Message, 1)
-	p.waiting[p.last] = reply
-	return reply, p.last, nil
+	p.pending[p.lastID] = reply
+	return reply, p.lastID, nil
 }
 
-func (p *peer) forget(id uint64) {
+func (p *peer) removePending(id uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.waiting, id)
+	delete(p.pending, id)
 }
 
 func (p *peer) deliver(m *Message) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if reply := p.waiting[m.ID]; reply != nil {
+	if reply := p.pending[m.ID]; reply != nil {
 		reply <- m
-		delete(p.waiting, m.ID)
+		delete(p.pending, m.ID)
 	}
 }
 
-func (p *peer) end() {
+func (p *peer) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ended = true
-	for id, reply := range p.waiting {
+	p.closed = true
+	for id, reply := range p.pending {
 		close(reply)
-		delete(p.waiting, id)
+		delete(p.pending, id)
 	}
 }
 
@@ -381,7 +383,7 @@
 	}
 }
 
-// Reset closes the connection to a peer that does not answer; the next call makes a new one.
+// Reset closes the connection to a peer that does not answer. The next call opens a new one.
 func (c *Client) Reset(address string) {
 	c.mu.Lock()
 	p := c.peers[address]
--- a/internal/peerlink/link_test.go
+++ b/internal/peerlink/link_test.go
@@ -26,8 +26,8 @@
 
 const address = "10.0.0.1:9000"
 
-// drawn draws a call that carries much or little.
-func drawn(random *rand.Rand) Message {
+// randomMessage returns a random call, small or large.
+func randomMessage(random *rand.Rand) Message {
 	switch random.IntN(4) {
 	case 0:
 		return Message{Digest: &Digest{From: fmt.Sprint(random.Uint32()), View: []string{"10.0.0.1", "10.0.0.2"}}}
@@ -45,7 +45,7 @@
 	}
 }
 
-// echo serves at the address until the test ends, and answers each call with itself.
+// echo serves at the address until the test ends and replies to each call with the same message.
 func echo(t *testing.T, network *memnet.Net) {
 	listener, err := network.Host("10.0.0.1").Listen(address)
 	if err != nil {
@@ -60,7 +60,7 @@
 	t.Cleanup(func() { listener.Close() })
 }
 
-// mustEcho makes a call that is answered with itself.
+// mustEcho makes a call to an echo server and checks the reply.
 func mustEcho(t *testing.T, client *Client, to string, call Message) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -72,11 +72,11 @@
 	}
 	call.ID, call.Reply = reply.ID, true
 	if !reflect.DeepEqual(*reply, call) {
-		t.Errorf("%+v came back as %+v", call, *reply)
+		t.Errorf("sent %+v, received %+v", call, *reply)
 	}
 }
 
-// TestCalls has many clients call at once, each with several calls on one connection; every reply is its call's.
+// TestCalls runs concurrent calls of many clients, several on each connection. Every reply must belong to its call.
 func TestCalls(t *testing.T) {
 	network := memnet.New(0)
 	echo(t, network)
@@ -88,7 +88,7 @@
 			all.Go(func() {
 				random := rand.New(rand.NewPCG(seed, caller))
 				for range 20 {
-					mustEcho(t, client, address, drawn(random))
+					mustEcho(t, client, address, randomMessage(random))
 				}
 			})
 		}
@@ -96,21 +96,22 @@
 	all.Wait()
 }
 
-// earlier speaks as earlier releases did: an encoder and a decoder for the connection, and types described as they come up.
-type earlier struct {
+// legacyPeer speaks the protocol as earlier releases did: each connection has its own encoder and decoder, and types
+// are defined when they are first used.
+type legacyPeer struct {
 	conn    net.Conn
 	out, in bytes.Buffer
 	encoder *gob.Encoder
 	decoder *gob.Decoder
 }
 
-func newEarlier(conn net.Conn) *earlier {
-	e := &earlier{conn: conn}
+func newLegacyPeer(conn net.Conn) *legacyPeer {
+	e := &legacyPeer{conn: conn}
 	e.encoder, e.decoder = gob.NewEncoder(&e.out), gob.NewDecoder(&e.in)
 	return e
 }
 
-func (e *earlier) write(m *Message) error {
+func (e *legacyPeer) write(m *Message) error {
 	e.out.Reset()
 	if err := e.encoder.Encode(m); err != nil {
 		return err
@@ -120,7 +121,7 @@
 	return err
 }
 
-func (e *earlier) read(m *Message) error {
+func (e *legacyPeer) read(m *Message) error {
 	var header [frameHeader]byte
 	if _, err := io.ReadFull(e.conn, header[:]); err != nil {
 		return err
@@ -131,7 +132,7 @@
 	return e.decoder.Decode(m)
 }
 
-// TestEarlierRelease has a broker of an earlier release call one of this release, and the reverse.
+// TestEarlierRelease makes calls from an earlier release to this one, and the reverse.
 func TestEarlierRelease(t *testing.T) {
 	network := memnet.New(0)
 	echo(t, network)
@@ -140,9 +141,9 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	old, random := newEarlier(conn), rand.New(rand.NewPCG(3, 1))
+	old, random := newLegacyPeer(conn), rand.New(rand.NewPCG(3, 1))
 	for number := range uint64(100) {
-		call, reply := drawn(random), Message{}
+		call, reply := randomMessage(random), Message{}
 		call.ID = number + 1
 		if err := old.write(&call); err != nil {
 			t.Fatal(err)
@@ -152,7 +153,7 @@
 		}
 		call.Reply = true
 		if !reflect.DeepEqual(call, reply) {
-			t.Fatalf("call %d: %+v came back as %+v", number, call, reply)
+			t.Fatalf("call %d: sent %+v, received %+v", number, call, reply)
 		}
 	}
 
@@ -166,7 +167,7 @@
 		if err != nil {
 			return
 		}
-		old := newEarlier(conn)
+		old := newLegacyPeer(conn)
 		for {
 			m := Message{}
 			if old.read(&m) != nil {
@@ -181,12 +182,13 @@
 	client := NewClient(network.Host("10.0.0.4"), &Traffic{})
 	defer client.Close()
 	for range 100 {
-		mustEcho(t, client, "10.0.0.3:9000", drawn(random))
+		mustEcho(t, client, "10.0.0.3:9000", randomMessage(random))
 	}
 }
 
-// TestSpoiltFrames has peers send what is no message, or cut one short. Each loses its connection; others are served on.
-func TestSpoiltFrames(t *testing.T) {
+// TestCorruptFrames sends frames that are invalid or cut short. Each must lose its connection, and calls of other
+// clients must still succeed.
+func TestCorruptFrames(t *testing.T) {
 	network := memnet.New(0)
 	echo(t, network)
 	good := NewClient(network.Host("10.0.0.9"), &Traffic{})
@@ -201,9 +203,9 @@
 		for at := range noise {
 			noise[at] = byte(random.Uint32())
 		}
-		length := []int{len(noise), len(noise) + 1, mostFrame + 1}[random.IntN(3)]
+		length := []int{len(noise), len(noise) + 1, maxFrame + 1}[random.IntN(3)]
 		_, _ = conn.Write(append(binary.LittleEndian.AppendUint32(nil, uint32(length)), noise...))
 		conn.Close()
-		mustEcho(t, good, address, drawn(random))
+		mustEcho(t, good, address, randomMessage(random))
 	}
 }
--- a/internal/peerlink/message.go
+++ b/internal/peerlink/message.go
@@ -1,5 +1,6 @@
-// Package peerlink carries the brokers' own protocol: calls and their replies as encoding/gob streams in frames, over
-// TCP connections that are kept open. Types are described once on each; encoders and decoders are shared by all.
+// Package peerlink implements the protocol between brokers: calls and replies, encoded with encoding/gob and sent in
+// frames over persistent TCP connections. Each connection carries the type definitions once; all connections share
+// encoders and decoders.
 package peerlink
 
 import (
@@ -10,7 +11,7 @@
 	"gullstair/internal/register"
 )
 
-// Message is a call or its reply; one of the pointers is set.
+// Message is a call or a reply. One of its pointers is set.
 type Message struct {
 	ID    uint64
 	Reply bool
@@ -26,16 +27,16 @@
 
 	Patched   *Patched
 	Announced *Announced
-	Lacks     bool // in a reply: what the call builds on is not here
+	Lacks     bool // in a reply: the base of the call's patch or the requested value is not here
 
 	Delta     *Delta
-	Has       *delta.Sum // of a payload that the caller has: the reply's may be a patch on it
-	Sections  []byte     // in a reply, a patch in place of the payload of its value
-	Relay     *Relay     // in a call: it is to be passed on
-	Confirmed int        // in a reply to a relayed call: how many have it
+	Has       *delta.Sum // checksum of a payload that the caller has; the reply may hold a patch on it
+	Sections  []byte     // in a reply: a patch that replaces the payload of its value
+	Relay     *Relay     // in a call: the receiver relays it
+	Confirmed int        // in a reply to a relayed call: the number of brokers that have confirmed it
 }
 
-// bodies are what the message holds of types that its own does not name.
+// bodies returns the values that the message holds in interface fields.
 func (m *Message) bodies() []any {
 	if m.Records == nil {
 		return nil
@@ -47,54 +48,55 @@
 	return out
 }
 
-// Patched is an Accept of an earlier release, whose value has its payload as a patch on bytes that are not kept any more.
+// Patched is an Accept of an earlier release. Its payload is a patch on bytes that brokers no longer keep.
 type Patched struct {
 	Accept register.Accept
 }
 
-// Delta is an Accept whose value has its payload as a patch of sections.
+// Delta is an Accept whose payload is a patch of sections.
 type Delta struct {
 	Accept register.Accept
 	Patch  []byte
 }
 
-// Announced tells that a value of the register is chosen, and who has it.
+// Announced announces that a value of the register is chosen, and names brokers that hold it.
 type Announced struct {
 	Version dissemination.Version
 	Ballot  register.Ballot
-	Holders []string // addresses of the machines whose replicas accepted it
-	Chosen  *Chosen  // the value itself, where it is small
+	Holders []string // addresses of the machines whose replicas accepted the value
+	Chosen  *Chosen  // the value itself if it is small
 }
 
-// Chosen is a value as it differs from an earlier one.
+// Chosen is a chosen value as the difference from an earlier one.
 type Chosen struct {
-	From    uint64            // sequence of the value that it is made from
-	Members *register.Members // nil: these, and Voted, are as in that one
+	From    uint64            // sequence of the earlier value
+	Members *register.Members // nil if Members and Voted are unchanged
 	Voted   [][]register.Replica
 	Patch   []byte
 }
 
-// Relay has a call passed on: each broker that gets it calls some of those that are named, which pass it on to the others.
+// Relay marks a call that is relayed: the receiver calls some of the listed brokers, which relay the call to the
+// others.
 type Relay struct {
 	To     []string // addresses
 	Within time.Duration
 }
 
-// Digest opens a reconciliation. View is a sample of the sender's partial view of the fleet.
+// Digest starts a reconciliation. View is a sample of the sender's partial view of the fleet.
 type Digest struct {
 	From   string // address of the sender's machine
 	Digest dissemination.Digest
 	View   []string
 }
 
-// Headings answers a Digest with what is held in the parts that differ.
+// Headings is the reply to a Digest. It lists the records in the buckets that differ.
 type Headings struct {
 	Digest   dissemination.Digest
 	Headings []dissemination.Heading
 	View     []string
 }
 
-// Records brings records, asks for others, and offers those that are too large to be sent unasked.
+// Records sends records, requests others, and offers records that are too large to be sent unrequested.
 type Records struct {
 	From    string
 	Records []dissemination.Record
@@ -102,7 +104,7 @@
 	Offered []dissemination.Heading
 }
 
-// Found tells a replica that the register's first set of members has been decided, and answers with what it holds.
+// Found sends the first members of the register to a replica. The reply reports whether the replica has stored them.
 type Found struct {
 	Members register.Members
 	Self    register.Replica // in the reply
--- a/internal/peerlink/traffic.go
+++ b/internal/peerlink/traffic.go
@@ -2,24 +2,24 @@
 
 import "sync/atomic"
 
-// Kind says what calls and replies between brokers are about.
+// Kind classifies the messages between brokers for the traffic counters.
 type Kind int
 
 const (
 	Exchanges     Kind = iota // reconciliation: digests and headings
-	Spreading                 // records, and those that are asked for
-	Rounds                    // of the register
-	Announcements             // of its chosen values
-	Others                    // replies that say nothing else, and the founding
-	kinds
+	Spreading                 // records sent, requested or offered
+	Rounds                    // consensus rounds of the register
+	Announcements             // announcements of chosen values
+	Others                    // replies without content, and the founding
+	kindCount
 )
 
-// String names the kind as the status page does.
+// String returns the name that the status page shows.
 func (k Kind) String() string {
 	return [...]string{"exchanges", "spreading", "rounds", "announcements", "others"}[k]
 }
 
-// kind is what a message is about.
+// kind returns the kind of a message.
 func (m *Message) kind() Kind {
 	switch {
 	case m.Digest != nil || m.Headings != nil:
@@ -42,10 +42,10 @@
 	c.bytes.Add(int64(bytes))
 }
 
-// Traffic counts what one broker sends to others and gets from them. All its connections share it.
-type Traffic struct{ sent, received [kinds]counter }
+// Traffic counts what one broker sends to others and receives from them. All its connections share it.
+type Traffic struct{ sent, received [kindCount]counter }
 
-// Count is what was sent and received of one kind.
+// Count holds the counters of one kind.
 type Count struct {
 	Kind          string `json:"kind"`
 	Sent          int64  `json:"sent"`
@@ -54,10 +54,10 @@
 	ReceivedBytes int64  `json:"received_bytes"`
 }
 
-// Counts lists all kinds.
+// Counts returns the counters of all kinds.
 func (t *Traffic) Counts() []Count {
 	var out []Count
-	for k := range kinds {
+	for k := range kindCount {
 		sent, received := &t.sent[k], &t.received[k]
 		out = append(out, Count{Kind: k.String(), Sent: sent.messages.Load(), SentBytes: sent.bytes.Load(),
 			Received: received.messages.Load(), ReceivedBytes: received.bytes.Load()})
