--- a/internal/gobpool/gobpool.go
+++ b/internal/gobpool/gobpool.go
@@ -1,10 +1,10 @@
-// Package gobpool writes and reads the gob streams of many connections with a few encoders and decoders.
+// Package gobpool encodes and decodes the gob streams of many connections with a few shared encoders and decoders.
 //
-// An encoder or decoder of encoding/gob belongs to one stream: it works out its types anew and keeps what it has worked out,
-// tens of KB, for as long as the stream lasts. But two streams differ in nothing but the definitions of types that they have
-// had. So all encoders of a pool have defined the same types before their first message, and one decoder serves all streams
-// that begin with just these definitions. On the wire the streams are ordinary ones; one that begins otherwise, from another
-// release, has a decoder of its own.
+// An encoder or decoder of encoding/gob belongs to one stream. It analyzes its types anew and keeps the result, tens
+// of KB, as long as the stream is open. Two streams differ only in the type definitions that they have carried,
+// though. So all encoders of a pool define the same types before their first message, and one decoder can read all
+// streams that begin with exactly these definitions. On the wire the streams are ordinary gob streams. A stream that
+// begins otherwise, from another release, gets its own decoder. The package does no I/O.
 package gobpool
 
 import (
@@ -18,17 +18,18 @@
 )
 
 const (
-	mostIdle = 4       // encoders, and decoders, that are kept
-	mostKept = 1 << 16 // bytes of a message after which its encoder or decoder is let go, with its buffers
+	maxIdle        = 4       // maximum number of idle encoders, and of idle decoders
+	maxKeptMessage = 1 << 16 // an encoder or decoder is discarded with its buffers after a message of more bytes
 )
 
-// encoder has defined all types of its pool. What it writes goes to text.
+// encoder has defined all types of its pool. It writes to text.
 type encoder struct {
 	text bytes.Buffer
 	gob  *gob.Encoder
 }
 
-// Encoders write values of the samples' types, which may hold each other in place of interfaces.
+// Encoders is a pool of encoders for values of the samples' types. Interface fields may hold values of these types
+// too.
 type Encoders struct {
 	samples     []any
 	types       map[reflect.Type]bool
@@ -38,13 +39,14 @@
 	idle []*encoder
 }
 
-// NewEncoders makes a pool. What is to be written in place of an interface is registered with gob, and comes first.
+// NewEncoders creates a pool. Types that interface fields hold must be registered with gob, and their samples come
+// first.
 func NewEncoders(samples ...any) (*Encoders, error) {
 	p := &Encoders{samples: samples, types: map[reflect.Type]bool{}}
 	for _, sample := range samples {
 		p.types[reflect.TypeOf(sample)] = true
 	}
-	first, definitions, err := p.make()
+	first, definitions, err := p.newEncoder()
 	if err != nil {
 		return nil, err
 	}
@@ -52,11 +54,11 @@
 	return p, nil
 }
 
-// Definitions is how each stream begins that these encoders write to.
+// Definitions returns the type definitions that each stream of these encoders begins with.
 func (p *Encoders) Definitions() []byte { return p.definitions }
 
-// make makes an encoder, and returns what it has defined.
-func (p *Encoders) make() (*encoder, []byte, error) {
+// newEncoder creates an encoder and returns it with the definitions that it has written.
+func (p *Encoders) newEncoder() (*encoder, []byte, error) {
 	e := &encoder{}
 	e.gob = gob.NewEncoder(&e.text)
 	var all []byte
@@ -82,28 +84,28 @@
 		p.idle = p.idle[:last]
 		return e, nil
 	}
-	e, _, err := p.make()
+	e, _, err := p.newEncoder()
 	return e, err
 }
 
-func (p *Encoders) giveBack(e *encoder) {
-	if e.text.Cap() > mostKept {
+func (p *Encoders) release(e *encoder) {
+	if e.text.Cap() > maxKeptMessage {
 		return
 	}
 	e.text.Reset()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle) < mostIdle {
+	if len(p.idle) < maxIdle {
 		p.idle = append(p.idle, e)
 	}
 }
 
-// Append appends a value as the next message of any stream that has begun with the definitions. The contents are what it holds
-// in place of interfaces.
+// Append encodes a value and appends it to a buffer. The message is valid in any stream that has begun with the
+// definitions. contents are the values in the interface fields of the value.
 func (p *Encoders) Append(to []byte, value any, contents ...any) ([]byte, error) {
 	for _, content := range contents {
 		if t := reflect.TypeOf(content); t != nil && !p.types[t] {
-			return nil, errors.Newf("%s is not among the samples", t) // other streams would lack its definition
+			return nil, errors.Newf("%s is not among the samples", t) // other streams lack its definition
 		}
 	}
 	e, err := p.take()
@@ -114,11 +116,11 @@
 		return nil, errors.Wrap(err, "encode")
 	}
 	to = append(to, e.text.Bytes()...)
-	p.giveBack(e)
+	p.release(e)
 	return to, nil
 }
 
-// decoder reads one stream, or all that have begun alike.
+// decoder decodes one stream, or all streams that have begun with the same definitions.
 type decoder struct {
 	text bytes.Reader
 	gob  *gob.Decoder
@@ -142,13 +144,13 @@
 	return nil
 }
 
-// Stream is a stream that is read.
+// Stream is the state of a stream that is being read.
 type Stream struct {
-	begun bool
-	own   *decoder // nil while the stream has had the pool's definitions and no others
+	begun      bool
+	ownDecoder *decoder // nil as long as the stream has carried exactly the pool's definitions
 }
 
-// Decoders read messages of any streams.
+// Decoders is a pool of decoders that all streams share.
 type Decoders struct {
 	definitions []byte
 
@@ -156,13 +158,13 @@
 	idle []*decoder
 }
 
-// NewDecoders makes a pool for streams that begin with these definitions.
+// NewDecoders creates a pool for streams that begin with these definitions.
 func NewDecoders(definitions []byte) *Decoders { return &Decoders{definitions: definitions} }
 
-// Decode reads the next message of a stream into a value. After an error the stream is of no more use.
+// Decode decodes the next message of a stream into a value. After an error the stream cannot be read further.
 func (p *Decoders) Decode(s *Stream, message []byte, value any) error {
-	if s.own != nil {
-		return s.own.decode(message, value)
+	if s.ownDecoder != nil {
+		return s.ownDecoder.decode(message, value)
 	}
 	first := !s.begun
 	s.begun = true
@@ -175,18 +177,18 @@
 		return err
 	}
 	if len(more) > 0 || first && len(rest) == len(message) {
-		return p.leave(s, first, message, value)
+		return p.decodeAlone(s, first, message, value)
 	}
 	return p.decode(rest, value)
 }
 
-// leave reads a message with a decoder that the stream has for itself from now on.
-func (p *Decoders) leave(s *Stream, first bool, message []byte, value any) error {
-	s.own = newDecoder()
+// decodeAlone gives the stream its own decoder from now on and decodes the message with it.
+func (p *Decoders) decodeAlone(s *Stream, first bool, message []byte, value any) error {
+	s.ownDecoder = newDecoder()
 	if !first {
 		message = slices.Concat(p.definitions, message)
 	}
-	return s.own.decode(message, value)
+	return s.ownDecoder.decode(message, value)
 }
 
 func (p *Decoders) decode(message []byte, value any) error {
@@ -198,13 +200,13 @@
 	if err := d.decode(message, value); err != nil {
 		return err
 	}
-	if size <= mostKept {
-		p.giveBack(d)
+	if size <= maxKeptMessage {
+		p.release(d)
 	}
 	return nil
 }
 
-// take returns a decoder that has read the definitions, or nil.
+// take returns an idle decoder, which has read the definitions, or nil.
 func (p *Decoders) take() *decoder {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -217,10 +219,10 @@
 	return d
 }
 
-func (p *Decoders) giveBack(d *decoder) {
+func (p *Decoders) release(d *decoder) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle) < mostIdle {
+	if len(p.idle) < maxIdle {
 		p.idle = append(p.idle, d)
 	}
 }
--- a/internal/gobpool/gobpool_test.go
+++ b/internal/gobpool/gobpool_test.go
@@ -30,8 +30,8 @@
 	gob.Register(unknown{})
 }
 
-// drawn draws a message.
-func drawn(random *rand.Rand) message {
+// randomMessage returns a random message.
+func randomMessage(random *rand.Rand) message {
 	m := message{ID: random.Uint64()}
 	if random.IntN(2) == 0 {
 		m.Part = &part{Name: fmt.Sprint(random.Uint32())}
@@ -48,7 +48,7 @@
 	return m
 }
 
-func pools(t *testing.T) (*Encoders, *Decoders) {
+func newPools(t *testing.T) (*Encoders, *Decoders) {
 	encoders, err := NewEncoders(letter{}, parcel{}, &message{})
 	if err != nil {
 		t.Fatal(err)
@@ -56,16 +56,16 @@
 	return encoders, NewDecoders(encoders.Definitions())
 }
 
-// end is one end of a stream: what it writes and what it reads.
-type end struct {
+// endpoint is one end of a stream, with its encoder and decoder.
+type endpoint struct {
 	write func(*message) []byte
 	read  func([]byte, *message) error
 }
 
-// pooled is an end that uses pools.
-func pooled(t *testing.T, encoders *Encoders, decoders *Decoders) end {
+// pooled returns an endpoint that uses the pools.
+func pooled(t *testing.T, encoders *Encoders, decoders *Decoders) endpoint {
 	begun, stream := false, &Stream{}
-	return end{
+	return endpoint{
 		write: func(m *message) []byte {
 			var frame []byte
 			if !begun {
@@ -81,11 +81,11 @@
 	}
 }
 
-// plain is an end with an encoder and a decoder of its own, as brokers of earlier versions have.
-func plain(t *testing.T) end {
+// plain returns an endpoint with its own encoder and decoder, as brokers of earlier releases have.
+func plain(t *testing.T) endpoint {
 	var out, in bytes.Buffer
 	encoder, decoder := gob.NewEncoder(&out), gob.NewDecoder(&in)
-	return end{
+	return endpoint{
 		write: func(m *message) []byte {
 			out.Reset()
 			if err := encoder.Encode(m); err != nil {
@@ -100,12 +100,13 @@
 	}
 }
 
-// TestStreams has hundreds of streams at once, between ends with pools and ends without; every message comes as it was sent.
+// TestStreams runs hundreds of streams at once, between endpoints with and without pools. Every message must arrive
+// unchanged.
 func TestStreams(t *testing.T) {
-	encoders, decoders := pools(t)
-	ends := map[string]func() end{
-		"pooled": func() end { return pooled(t, encoders, decoders) },
-		"plain":  func() end { return plain(t) },
+	encoders, decoders := newPools(t)
+	ends := map[string]func() endpoint{
+		"pooled": func() endpoint { return pooled(t, encoders, decoders) },
+		"plain":  func() endpoint { return plain(t) },
 	}
 	var all sync.WaitGroup
 	for from, sender := range ends {
@@ -115,13 +116,13 @@
 					random := rand.New(rand.NewPCG(seed, 1))
 					a, b := sender(), receiver()
 					for number := range 40 {
-						sent, got := drawn(random), message{}
+						sent, got := randomMessage(random), message{}
 						if err := b.read(a.write(&sent), &got); err != nil {
 							t.Errorf("%s to %s, seed %d, message %d: %v", from, to, seed, number, err)
 							return
 						}
 						if !reflect.DeepEqual(sent, got) {
-							t.Errorf("%s to %s, seed %d, message %d: %+v came as %+v", from, to, seed, number, sent, got)
+							t.Errorf("%s to %s, seed %d, message %d: sent %+v, received %+v", from, to, seed, number, sent, got)
 							return
 						}
 					}
@@ -130,41 +131,42 @@
 		}
 	}
 	all.Wait()
-	if len(decoders.idle) > mostIdle || len(encoders.idle) > mostIdle {
-		t.Errorf("%d decoders and %d encoders are kept", len(decoders.idle), len(encoders.idle))
+	if len(decoders.idle) > maxIdle || len(encoders.idle) > maxIdle {
+		t.Errorf("%d decoders and %d encoders are idle", len(decoders.idle), len(encoders.idle))
 	}
 }
 
-// Symptom: a broker of a fleet of 200 held 11 MB, 9.7 of them encoders and decoders of 250 connections to others, 38 KB each,
-// and a quarter of its processor time went into making them. A stream costs little now, whatever its types are.
-func TestAStreamCostsLittle(t *testing.T) {
-	encoders, decoders := pools(t)
+// TestStreamAllocations guards against the memory and CPU cost of one encoder and decoder per connection. A broker in
+// a fleet of 200 used 11 MB, of which 9.7 MB were encoders and decoders of 250 connections at 38 KB each, and a
+// quarter of its CPU time went into creating them.
+func TestStreamAllocations(t *testing.T) {
+	encoders, decoders := newPools(t)
 	random := rand.New(rand.NewPCG(1, 1))
 	made := testing.AllocsPerRun(200, func() {
 		a, b := pooled(t, encoders, decoders), pooled(t, encoders, decoders)
-		sent, got := drawn(random), message{}
+		sent, got := randomMessage(random), message{}
 		if err := b.read(a.write(&sent), &got); err != nil {
 			t.Fatal(err)
 		}
 	})
 	alone := testing.AllocsPerRun(200, func() {
 		a, b := plain(t), plain(t)
-		sent, got := drawn(random), message{}
+		sent, got := randomMessage(random), message{}
 		if err := b.read(a.write(&sent), &got); err != nil {
 			t.Fatal(err)
 		}
 	})
-	t.Logf("a stream with one message allocates %v times, %v with an encoder and a decoder of its own", made, alone)
+	t.Logf("a stream with one message makes %v allocations, %v with its own encoder and decoder", made, alone)
 	if made > alone/4 {
-		t.Errorf("a stream with one message allocates %v times, %v with an encoder and a decoder of its own", made, alone)
+		t.Errorf("a stream with one message makes %v allocations, %v with its own encoder and decoder", made, alone)
 	}
 }
 
-// TestUnknownType has a value that no sample has the type of: it is refused, and the pool writes on.
+// TestUnknownType encodes a value of a type without a sample. The pool must refuse it and stay usable.
 func TestUnknownType(t *testing.T) {
-	encoders, decoders := pools(t)
+	encoders, decoders := newPools(t)
 	if _, err := encoders.Append(nil, &message{}, unknown{}); err == nil {
-		t.Fatal("a type without a definition was written")
+		t.Fatal("a type without a sample was encoded")
 	}
 	e := pooled(t, encoders, decoders)
 	sent, got := message{ID: 4, Content: letter{"a"}}, message{}
@@ -173,16 +175,16 @@
 	}
 }
 
-// TestSpoilt cuts messages short and spoils bytes of them. Each is an error or another value; the streams of others are read
-// on as if nothing had happened.
-func TestSpoilt(t *testing.T) {
-	encoders, decoders := pools(t)
+// TestCorruptMessages truncates messages and corrupts their bytes. Each must yield an error or another value, and other streams
+// must not be affected.
+func TestCorruptMessages(t *testing.T) {
+	encoders, decoders := newPools(t)
 	random := rand.New(rand.NewPCG(9, 1))
 	good := pooled(t, encoders, decoders)
 	for number := range 3000 {
 		bad := pooled(t, encoders, decoders)
-		spoilt := drawn(random)
-		frame := bad.write(&spoilt)
+		corrupt := randomMessage(random)
+		frame := bad.write(&corrupt)
 		if random.IntN(2) == 0 {
 			frame = frame[:random.IntN(len(frame))]
 		} else {
@@ -191,16 +193,17 @@
 			}
 		}
 		_ = bad.read(frame, &message{})
-		sent, got := drawn(random), message{}
+		sent, got := randomMessage(random), message{}
 		if err := good.read(good.write(&sent), &got); err != nil || !reflect.DeepEqual(sent, got) {
-			t.Fatalf("message %d after a spoilt one: %v", number, err)
+			t.Fatalf("message %d after a corrupt one: %v", number, err)
 		}
 	}
 }
 
-// TestMoreDefinitions has a stream define another type after it has begun as the others do: it goes on alone.
+// TestMoreDefinitions makes a stream define a further type after it has begun like the others. It must get its own
+// decoder.
 func TestMoreDefinitions(t *testing.T) {
-	encoders, decoders := pools(t)
+	encoders, decoders := newPools(t)
 	others := pooled(t, encoders, decoders)
 	var text bytes.Buffer
 	odd, stream := gob.NewEncoder(&text), &Stream{}
@@ -225,8 +228,8 @@
 			t.Fatalf("beside value %d: %+v, %v", number, read, err)
 		}
 	}
-	if stream.own == nil {
-		t.Error("the stream shares decoders with others")
+	if stream.ownDecoder == nil {
+		t.Error("the stream still shares the pool's decoders")
 	}
 }
 
@@ -240,7 +243,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		definitions, rest, err := split(text)
 		if err == nil && !bytes.Equal(append(bytes.Clone(definitions), rest...), text) {
-			t.Errorf("%x is parted into %x and %x", text, definitions, rest)
+			t.Errorf("%x is split into %x and %x", text, definitions, rest)
 		}
 	})
 }
--- a/internal/gobpool/split.go
+++ b/internal/gobpool/split.go
@@ -2,27 +2,28 @@
 
 import "github.com/cockroachdb/errors"
 
-// errCut says that a message ends before it should.
-var errCut = errors.New("a gob message is cut short")
+// errTruncated means that a message ends early.
+var errTruncated = errors.New("truncated gob message")
 
-// split parts the definitions of types at the beginning of what an encoder wrote from the value after them. The form is
-// that of encoding/gob's documentation: each part has its length, then a number, which is negative for a definition.
+// split separates the type definitions at the beginning of an encoder's output from the value after them. The format
+// is described in the documentation of encoding/gob: each part consists of its length and a number, which is negative
+// for a definition.
 func split(text []byte) (definitions, rest []byte, err error) {
 	at := 0
 	for at < len(text) {
-		length, size, err := unsigned(text[at:])
+		length, size, err := readUint(text[at:])
 		if err != nil {
 			return nil, nil, err
 		}
 		body := text[at+size:]
 		if length == 0 || length > uint64(len(body)) {
-			return nil, nil, errCut
+			return nil, nil, errTruncated
 		}
-		number, _, err := unsigned(body[:length])
+		number, _, err := readUint(body[:length])
 		if err != nil {
 			return nil, nil, err
 		}
-		if number&1 == 0 { // the sign's place
+		if number&1 == 0 { // the lowest bit is the sign
 			break
 		}
 		at += size + int(length)
@@ -30,21 +31,21 @@
 	return text[:at], text[at:], nil
 }
 
-// unsigned reads an unsigned number and says how many bytes it takes: one byte below 128, else the negated count of bytes
-// that follow, the highest first.
-func unsigned(text []byte) (number uint64, size int, err error) {
+// readUint decodes an unsigned integer and returns its size in bytes. A value below 128 takes one byte. Otherwise the
+// first byte is the negated count of the bytes that follow, in big-endian order.
+func readUint(text []byte) (number uint64, size int, err error) {
 	if len(text) == 0 {
-		return 0, 0, errCut
+		return 0, 0, errTruncated
 	}
 	if text[0] < 1<<7 {
 		return uint64(text[0]), 1, nil
 	}
 	count := -int(int8(text[0]))
 	if count > 8 {
-		return 0, 0, errors.Newf("a gob number of %d bytes", count)
+		return 0, 0, errors.Newf("invalid gob integer of %d bytes", count)
 	}
 	if len(text) <= count {
-		return 0, 0, errCut
+		return 0, 0, errTruncated
 	}
 	for _, b := range text[1 : 1+count] {
 		number = number<<8 | uint64(b)
