--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,5 +1,6 @@
-// Package peers keeps a broker's partial view of the fleet: a bounded sample of addresses that brokers shuffle among
-// each other, so that views stay random, the fleet stays connected and the cost is flat in its size.
+// Package peers implements peer sampling: each broker keeps a partial view, a bounded random sample of the fleet's
+// addresses. Brokers exchange samples of their views, so the views stay random, the fleet stays connected, and the
+// cost does not grow with the fleet.
 //
 // The package has no I/O, clock or goroutine.
 package peers
@@ -10,20 +11,20 @@
 )
 
 const (
-	// Capacity is the most addresses in a view.
+	// Capacity is the maximum number of addresses in a view.
 	Capacity = 24
-	// SampleSize is how many of them go along in one exchange.
+	// SampleSize is the number of addresses that one exchange carries.
 	SampleSize = 6
 )
 
-// View is one broker's sample of the others.
+// View is one broker's partial view of the fleet.
 type View struct {
 	self    string
 	random  *rand.Rand
 	entries []string
 }
 
-// New makes an empty view.
+// New returns an empty view.
 func New(self string, seed uint64) *View {
 	return &View{self: self, random: rand.New(rand.NewPCG(seed, 0))}
 }
@@ -31,10 +32,10 @@
 // Entries returns the addresses in the view.
 func (v *View) Entries() []string { return slices.Clone(v.entries) }
 
-// Len is the number of addresses in the view.
+// Len returns the number of addresses in the view.
 func (v *View) Len() int { return len(v.entries) }
 
-// Add takes an address; where the view is full it takes the place of a random one.
+// Add adds an address. In a full view it replaces a random one.
 func (v *View) Add(address string) {
 	if address == "" || address == v.self || slices.Contains(v.entries, address) {
 		return
@@ -46,24 +47,24 @@
 	v.entries[v.random.IntN(len(v.entries))] = address
 }
 
-// Merge takes a sample of a peer's view.
+// Merge adds the sample of a peer's view.
 func (v *View) Merge(sample []string) {
 	for _, address := range sample {
 		v.Add(address)
 	}
 }
 
-// Remove drops an address that does not answer.
+// Remove removes an address, such as one that does not answer.
 func (v *View) Remove(address string) {
 	if i := slices.Index(v.entries, address); i >= 0 {
 		v.entries = slices.Delete(v.entries, i, i+1)
 	}
 }
 
-// Sample draws some addresses to send along, with this broker's own.
+// Sample returns random addresses for an exchange, including this broker's own.
 func (v *View) Sample() []string { return append(v.Pick(SampleSize-1), v.self) }
 
-// Pick draws up to n different addresses.
+// Pick returns up to n distinct random addresses.
 func (v *View) Pick(n int) []string {
 	order := v.random.Perm(len(v.entries))
 	picked := make([]string, 0, min(n, len(order)))
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestShuffle starts a large fleet whose members know three seeds and has them exchange samples: views stay bounded,
-// and everybody is reached from anybody, also after a third of the members has gone.
+// TestShuffle starts a large fleet whose members know three seeds and exchange samples. Views must stay bounded, and
+// every member must be reachable from any other, also after a third of the members has left.
 func TestShuffle(t *testing.T) {
 	const members = 360
 	views := map[string]*View{}
@@ -40,24 +40,24 @@
 		}
 	}
 	rounds(30)
-	if n := reached(views, "7"); n != members {
-		t.Fatalf("%d of %d members are reached", n, members)
+	if n := reachable(views, "7"); n != members {
+		t.Fatalf("%d of %d members are reachable", n, members)
 	}
 	for i := 0; i < members; i += 3 {
 		delete(views, fmt.Sprint(i))
 	}
 	rounds(40)
-	if n := reached(views, "7"); n != len(views) {
-		t.Fatalf("%d of %d members are reached after a third has gone", n, len(views))
+	if n := reachable(views, "7"); n != len(views) {
+		t.Fatalf("%d of %d members are reachable after a third has left", n, len(views))
 	}
 	for name, v := range views {
 		if v.Len() > Capacity || len(v.Sample()) > SampleSize {
-			t.Fatalf("member %s: a view of %d, a sample of %d", name, v.Len(), len(v.Sample()))
+			t.Fatalf("member %s: view of %d addresses, sample of %d", name, v.Len(), len(v.Sample()))
 		}
 	}
 }
 
-func reached(views map[string]*View, from string) int {
+func reachable(views map[string]*View, from string) int {
 	seen := map[string]bool{from: true}
 	todo := []string{from}
 	for len(todo) > 0 {
