--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -26,8 +26,8 @@
 	"gullstair/internal/voters"
 )
 
-// protocolSections is the protocol number of brokers whose releases count every disk among the voters, patch payloads
-// by sections and relay calls.
+// protocolSections is the protocol number of brokers whose releases let every disk vote, patch payloads by sections
+// and relay calls.
 const protocolSections = 1
 
 // Kinds of records.
@@ -119,7 +119,7 @@
 	reviewRequested   chan struct{} // triggers a review of the voters at once
 
 	exchangeCount int // number of exchanges started
-	neighborTurn  int // index of the tree neighbor used for the last neighbor exchange
+	neighborTurn  int // counts neighbor exchanges and selects the next neighbor
 
 	replica  *replica  // nil on a machine without a disk
 	founding *founding // in-memory acceptor that decides the first members when the system starts for the first time
--- a/internal/cluster/relay.go
+++ b/internal/cluster/relay.go
@@ -138,8 +138,8 @@
 }
 
 // relayGroup calls the first broker of a group, which relays the call to the others. If the call fails or exceeds its
-// timeout, the next broker of the group is called as a hedge. A broker that is called twice confirms only what it
-// holds, so the largest count is used.
+// timeout, the next broker of the group is called in its place. A broker that is called twice confirms each call if it
+// has the data.
 func (n *Node) relayGroup(ctx context.Context, m peerlink.Message, group []string) (confirmed int) {
 	answers := make(chan relayResult, len(group))
 	inFlight := 0
