--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -1,5 +1,5 @@
-// Package operatorapi serves the control address: the operator's configuration, the versions of weights, and the
-// heartbeats of service instances.
+// Package operatorapi provides the HTTP handler of the control address: operators change and read the configuration and
+// name versions of weights, and service instances send heartbeats and deregister. It does no I/O of its own.
 package operatorapi
 
 import (
@@ -22,27 +22,28 @@
 )
 
 const (
-	mostBody       = 64 << 20
-	mostHeartbeat  = 256 << 10
-	baseVersion    = "X-If-Base-Version"
-	requestTimeout = 2500 * time.Millisecond
+	maxBodyBytes      = 64 << 20
+	maxHeartbeatBytes = 256 << 10
+	baseVersionHeader = "X-If-Base-Version"
+	requestTimeout    = 2500 * time.Millisecond
 )
 
-// Control is what the API needs of the broker.
+// Control provides the operations of a broker that the API exposes.
 type Control interface {
-	// Replace has a checked configuration take the place of version base.
+	// Replace replaces version base of the configuration by a validated one.
 	Replace(ctx context.Context, base int64, c *configuration.Configuration) error
-	// Update has a patch change version base.
+	// Update applies a patch to version base of the configuration.
 	Update(ctx context.Context, base int64, patch *configuration.Patch) error
-	// Configuration returns the newest configuration as it was sent; nil: there is none yet.
+	// Configuration returns the newest configuration as it was sent, or nil if there is none yet.
 	Configuration(ctx context.Context) ([]byte, error)
-	// NameWeights names a version of a model's weights.
+	// NameWeights makes a version of a model's weights the target of a roll-out.
 	NameWeights(ctx context.Context, model string, version int64) error
-	// Heartbeat takes what an instance says of itself. It returns once all who may send to it know what matters.
+	// Heartbeat records the heartbeat of an instance. If the instance drains, it returns nil only once the brokers that may
+	// send requests to the instance have been notified.
 	Heartbeat(ctx context.Context, i instances.Instance) error
-	// Deregister notes that an instance ends.
+	// Deregister records that an instance has gone.
 	Deregister(ctx context.Context, id string) error
-	// Status describes this broker and what it knows.
+	// Status returns the state of this broker and what it knows about the fleet.
 	Status() any
 }
 
@@ -51,7 +52,7 @@
 	logger  *log.Logger
 }
 
-// New makes the handler of the control address.
+// New returns the handler of the control address.
 func New(control Control, logger *log.Logger) http.Handler {
 	a := &api{control: control, logger: logger}
 	router := httprouter.New()
@@ -65,14 +66,14 @@
 	return router
 }
 
-// problem is the body of a refusal.
-type problem struct {
+// errorBody is the JSON body of an error answer.
+type errorBody struct {
 	Error    string   `json:"error"`
 	Findings []string `json:"findings,omitempty"`
 }
 
-func (a *api) refuse(w http.ResponseWriter, status int, err error) {
-	body := problem{Error: err.Error()}
+func (a *api) writeError(w http.ResponseWriter, status int, err error) {
+	body := errorBody{Error: err.Error()}
 	var found *finding.Error
 	if errors.As(err, &found) {
 		for _, f := range found.Findings {
@@ -85,11 +86,12 @@
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(body) // the caller has gone if this fails
+	_ = json.NewEncoder(w).Encode(body) // an error means that the client has disconnected
 }
 
-// bound keeps an order going when its caller leaves: the answer may be lost, the order is carried on.
-func bound(r *http.Request) (context.Context, context.CancelFunc) {
+// detachedContext returns a context with the request timeout that is not cancelled when the client disconnects: the order is carried
+// out even if its answer is lost.
+func detachedContext(r *http.Request) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(context.WithoutCancel(r.Context()), requestTimeout)
 }
 
@@ -100,10 +102,10 @@
 	}
 	c, err := configuration.Parse(raw)
 	if err != nil {
-		a.refuse(w, http.StatusBadRequest, err)
+		a.writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	ctx, cancel := bound(r)
+	ctx, cancel := detachedContext(r)
 	defer cancel()
 	a.answerChange(w, c.Version, a.control.Replace(ctx, base, c))
 }
@@ -115,35 +117,35 @@
 	}
 	patch, err := configuration.ParsePatch(raw)
 	if err != nil {
-		a.refuse(w, http.StatusBadRequest, err)
+		a.writeError(w, http.StatusBadRequest, err)
 		return
 	}
-	ctx, cancel := bound(r)
+	ctx, cancel := detachedContext(r)
 	defer cancel()
 	a.answerChange(w, patch.Version, a.control.Update(ctx, base, patch))
 }
 
-// readChange reads a change of the configuration and the version that it builds on; false: it has been refused.
+// readChange reads a change of the configuration and its base version. If ok is false, it has answered with an error.
 func (a *api) readChange(w http.ResponseWriter, r *http.Request) (base int64, raw []byte, ok bool) {
-	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostBody))
+	raw, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		a.refuse(w, http.StatusRequestEntityTooLarge, errors.Newf("the body has more than %d bytes", tooLarge.Limit))
+		a.writeError(w, http.StatusRequestEntityTooLarge, errors.Newf("the body has more than %d bytes", tooLarge.Limit))
 		return 0, nil, false
 	}
 	if err != nil {
-		a.refuse(w, http.StatusBadRequest, errors.Wrap(err, "read the body"))
+		a.writeError(w, http.StatusBadRequest, errors.Wrap(err, "read the body"))
 		return 0, nil, false
 	}
-	base, err = strconv.ParseInt(strings.TrimSpace(r.Header.Get(baseVersion)), 10, 64)
-	if err != nil && r.Header.Get(baseVersion) != "" {
-		a.refuse(w, http.StatusBadRequest, errors.Newf("%s is not a number", baseVersion))
+	base, err = strconv.ParseInt(strings.TrimSpace(r.Header.Get(baseVersionHeader)), 10, 64)
+	if err != nil && r.Header.Get(baseVersionHeader) != "" {
+		a.writeError(w, http.StatusBadRequest, errors.Newf("%s is not a number", baseVersionHeader))
 		return 0, nil, false
 	}
 	return base, raw, true
 }
 
-// answerChange tells the operator what became of a change of the configuration to a version.
+// answerChange answers the operator with the result of a change of the configuration to the given version.
 func (a *api) answerChange(w http.ResponseWriter, version int64, err error) {
 	var found *finding.Error
 	switch {
@@ -152,32 +154,32 @@
 			Version int64 `json:"version"`
 		}{version})
 	case errors.Is(err, controlstate.ErrConflict):
-		a.refuse(w, http.StatusPreconditionFailed, err)
+		a.writeError(w, http.StatusPreconditionFailed, err)
 	case errors.Is(err, controlstate.ErrOld), errors.As(err, &found):
-		a.refuse(w, http.StatusBadRequest, err)
+		a.writeError(w, http.StatusBadRequest, err)
 	default:
-		a.unclear(w, "configuration", err)
+		a.writeUnavailable(w, "configuration", err)
 	}
 }
 
-// unclear answers that it is not certain whether an order was taken; the caller sends it again.
-func (a *api) unclear(w http.ResponseWriter, what string, err error) {
+// writeUnavailable answers 503: it is unknown whether the order was accepted, and the client must send it again.
+func (a *api) writeUnavailable(w http.ResponseWriter, what string, err error) {
 	a.logger.Warn().Err(err).Str("order", what).Msg("no clear answer to an order")
-	a.refuse(w, http.StatusServiceUnavailable, err)
+	a.writeError(w, http.StatusServiceUnavailable, err)
 }
 
 func (a *api) read(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
-	ctx, cancel := bound(r)
+	ctx, cancel := detachedContext(r)
 	defer cancel()
 	begun := time.Now()
 	raw, err := a.control.Configuration(ctx)
 	a.logger.Info().Err(err).Str("from", r.RemoteAddr).Int("bytes", len(raw)).Dur("took", time.Since(begun)).Msg("configuration asked for")
 	if err != nil {
-		a.unclear(w, "read", err)
+		a.writeUnavailable(w, "read", err)
 		return
 	}
 	if raw == nil {
-		a.refuse(w, http.StatusNotFound, errors.New("there is no configuration yet"))
+		a.writeError(w, http.StatusNotFound, errors.New("there is no configuration yet"))
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -189,31 +191,31 @@
 		Model   string `json:"model"`
 		Version int64  `json:"version"`
 	}{}
-	if err := json.NewDecoder(io.LimitReader(r.Body, mostHeartbeat)).Decode(&body); err != nil || body.Model == "" || body.Version < 1 {
-		a.refuse(w, http.StatusBadRequest, errors.New("a model and a version of 1 or more are needed"))
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxHeartbeatBytes)).Decode(&body); err != nil || body.Model == "" || body.Version < 1 {
+		a.writeError(w, http.StatusBadRequest, errors.New("a model and a version of 1 or more are needed"))
 		return
 	}
-	ctx, cancel := bound(r)
+	ctx, cancel := detachedContext(r)
 	defer cancel()
 	if err := a.control.NameWeights(ctx, body.Model, body.Version); err != nil {
-		a.unclear(w, "weights", err)
+		a.writeUnavailable(w, "weights", err)
 		return
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
 func (a *api) heartbeat(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
-	raw, err := io.ReadAll(io.LimitReader(r.Body, mostHeartbeat))
+	raw, err := io.ReadAll(io.LimitReader(r.Body, maxHeartbeatBytes))
 	if err != nil {
 		return
 	}
 	i, err := instances.ParseHeartbeat(p.ByName("id"), raw)
 	if err != nil {
-		a.refuse(w, http.StatusBadRequest, err)
+		a.writeError(w, http.StatusBadRequest, err)
 		return
 	}
 	if err := a.control.Heartbeat(r.Context(), i); err != nil {
-		a.unclear(w, "heartbeat", err)
+		a.writeUnavailable(w, "heartbeat", err)
 		return
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
@@ -221,7 +223,7 @@
 
 func (a *api) deregister(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	if err := a.control.Deregister(r.Context(), p.ByName("id")); err != nil {
-		a.unclear(w, "deregister", err)
+		a.writeUnavailable(w, "deregister", err)
 		return
 	}
 	writeJSON(w, http.StatusOK, struct{}{})
--- a/internal/operatorapi/operatorapi_test.go
+++ b/internal/operatorapi/operatorapi_test.go
@@ -16,16 +16,16 @@
 	"gullstair/internal/instances"
 )
 
-// register is the control state alone, without a fleet.
-type register struct{ state controlstate.State }
+// fakeControl is a Control that holds only the control state, without a fleet.
+type fakeControl struct{ state controlstate.State }
 
-func (r *register) Replace(_ context.Context, base int64, c *configuration.Configuration) error {
+func (r *fakeControl) Replace(_ context.Context, base int64, c *configuration.Configuration) error {
 	next, _, err := r.state.Replace(base, c.Version, c.Raw)
 	r.state = next
 	return err
 }
 
-func (r *register) Update(_ context.Context, base int64, p *configuration.Patch) error {
+func (r *fakeControl) Update(_ context.Context, base int64, p *configuration.Patch) error {
 	next, _, err := r.state.Update(base, p.Version, p.Raw, func(whole []byte) ([]byte, error) {
 		c, err := p.Apply(whole)
 		if err != nil {
@@ -37,23 +37,23 @@
 	return err
 }
 
-func (r *register) Configuration(context.Context) ([]byte, error)     { return r.state.Config, nil }
-func (*register) NameWeights(context.Context, string, int64) error    { return nil }
-func (*register) Heartbeat(context.Context, instances.Instance) error { return nil }
-func (*register) Deregister(context.Context, string) error            { return nil }
-func (*register) Status() any                                         { return nil }
+func (r *fakeControl) Configuration(context.Context) ([]byte, error)     { return r.state.Config, nil }
+func (*fakeControl) NameWeights(context.Context, string, int64) error    { return nil }
+func (*fakeControl) Heartbeat(context.Context, instances.Instance) error { return nil }
+func (*fakeControl) Deregister(context.Context, string) error            { return nil }
+func (*fakeControl) Status() any                                         { return nil }
 
 const route = `{"name":"one","host":"h","path_prefix":"/1/","timeout_ms":10,"service":"a"}`
 
-// TestUpdateOverHTTP sends changes by name as the operator does.
+// TestUpdateOverHTTP sends patches over HTTP and checks the status and the findings of each answer.
 func TestUpdateOverHTTP(t *testing.T) {
-	handler := New(&register{}, &log.Logger{Level: log.PanicLevel})
-	send := func(path, base, body string) (int, problem) {
+	handler := New(&fakeControl{}, &log.Logger{Level: log.PanicLevel})
+	send := func(path, base, body string) (int, errorBody) {
 		request := httptest.NewRequest(http.MethodPost, path, strings.NewReader(body))
-		request.Header.Set(baseVersion, base)
+		request.Header.Set(baseVersionHeader, base)
 		recorder := httptest.NewRecorder()
 		handler.ServeHTTP(recorder, request)
-		answer := problem{}
+		answer := errorBody{}
 		if err := json.Unmarshal(recorder.Body.Bytes(), &answer); err != nil {
 			t.Fatalf("%s: %v", recorder.Body, err)
 		}
@@ -75,7 +75,7 @@
 		{"2", `{"version":4,"remove":{"services":["a"]}}`, http.StatusBadRequest, `routes[0] one names the unknown service "a"`},
 		{"2", `{"version":4,"upsert":{"routes":[` + strings.Replace(route, "10", "0", 1) + `]}}`, http.StatusBadRequest, "upsert.routes[0] one timeout_ms is not above 0"},
 		{"2", valid, http.StatusOK, ""},
-		{"2", valid, http.StatusOK, ""}, // its answer was lost
+		{"2", valid, http.StatusOK, ""}, // sent again as if the answer had been lost
 		{"2", strings.Replace(valid, "r-old", "r-other", 1), http.StatusPreconditionFailed, ""},
 		{"4", `{"version":5}`, http.StatusOK, ""},
 		{"2", valid, http.StatusOK, ""},
@@ -85,7 +85,7 @@
 			t.Errorf("%s on %s: %d %+v, want %d", c.body, c.base, status, answer, c.status)
 		}
 	}
-	huge := strings.Repeat(" ", mostBody+1)
+	huge := strings.Repeat(" ", maxBodyBytes+1)
 	if status, _ := send("/v1/config/update", "5", huge); status != http.StatusRequestEntityTooLarge {
 		t.Errorf("a body over the limit got %d", status)
 	}
