--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,5 +1,6 @@
-// Package control is a broker's local control socket: a Unix socket that tells what the broker sees, for the command
-// line and for agents on the same host, and takes what an installation's features let operators order. It speaks HTTP/1.1 with JSON.
+// Package control provides the server and the client of a broker's local control socket, a Unix socket that speaks HTTP/1.1
+// with JSON. The command line and agents on the same host use it to read the broker's state and to send the orders that the
+// enabled features offer.
 package control
 
 import (
@@ -18,33 +19,34 @@
 )
 
 const (
-	within   = 2 * time.Second // a request takes no longer
-	bodyMost = 16 << 20        // of an answer
-	headMost = 4 << 10
-	together = 16 // connections at once
-	// streamsMost is how many connections may be held open beside those.
-	streamsMost = 64
+	requestTimeout = 2 * time.Second // timeout of a request
+	maxBodyBytes   = 16 << 20        // size limit of an answer
+	maxHeaderBytes = 4 << 10
+	maxConnections = 16 // limit of concurrent connections, without streams
+	// maxStreams limits the streams, which do not count as connections.
+	maxStreams = 64
 )
 
-// Served is what a socket serves, by name. Only this user reaches it.
+// Served holds the handlers of a socket by name. Only processes of the same user can connect to the socket.
 type Served struct {
-	// Pages are told: GET /v1/NAME gives what the function returns, as JSON; false is answered 503.
+	// Pages answer GET /v1/NAME with the JSON of the returned value, or with 503 if the function returns false.
 	Pages map[string]func() (any, bool)
-	// Orders are taken: POST /v1/NAME with a query. An error is answered 409 with its text.
+	// Orders execute POST /v1/NAME with a query. An error is answered with 409 and its text.
 	Orders map[string]func(query url.Values) error
-	// Streams are held open: POST /v1/NAME, after which both sides write JSON values for as long as they like.
+	// Streams upgrade the connection of POST /v1/NAME, after which both sides may write JSON values until one closes it.
 	Streams map[string]func(query url.Values, conn io.ReadWriteCloser)
 }
 
 // Server serves the socket.
 type Server struct {
-	path string
-	srv  *http.Server
+	path   string
+	server *http.Server
 }
 
-// Listen opens the socket for this user alone. A socket that nobody serves any more is replaced, one that is served is not.
+// Listen opens the socket with access for the current user only. It replaces a stale socket file, but returns an error if
+// another process serves the socket or if the path is not a socket.
 func Listen(path string, served Served) (*Server, error) {
-	if conn, err := net.DialTimeout("unix", path, within); err == nil {
+	if conn, err := net.DialTimeout("unix", path, requestTimeout); err == nil {
 		conn.Close()
 		return nil, fmt.Errorf("control socket %s: another process serves it", path)
 	}
@@ -81,7 +83,7 @@
 			}
 		})
 	}
-	open := make(chan struct{}, streamsMost)
+	open := make(chan struct{}, maxStreams)
 	for name, stream := range served.Streams {
 		mux.HandleFunc("POST /v1/"+name, func(w http.ResponseWriter, r *http.Request) {
 			select {
@@ -98,39 +100,40 @@
 			}
 			defer conn.Close()
 			conn.SetDeadline(time.Time{})
-			if o, is := conn.(*one); is {
-				o.leave() // it no longer counts among those that are short
+			if o, is := conn.(*limitedConn); is {
+				o.release() // a stream does not count toward the connection limit
 			}
 			io.WriteString(conn, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: json\r\n\r\n")
 			stream(r.URL.Query(), readWriter{buffered, conn})
 		})
 	}
-	s := &Server{path: path, srv: &http.Server{Handler: mux, ReadTimeout: within, WriteTimeout: within,
-		IdleTimeout: within, MaxHeaderBytes: headMost}}
-	go s.srv.Serve(&few{Listener: ln, room: make(chan struct{}, together)})
+	s := &Server{path: path, server: &http.Server{Handler: mux, ReadTimeout: requestTimeout, WriteTimeout: requestTimeout,
+		IdleTimeout: requestTimeout, MaxHeaderBytes: maxHeaderBytes}}
+	go s.server.Serve(&limitListener{Listener: ln, slots: make(chan struct{}, maxConnections)})
 	return s, nil
 }
 
 // Close ends the server and removes the socket.
-func (s *Server) Close() error { return s.srv.Close() }
+func (s *Server) Close() error { return s.server.Close() }
 
-// few accepts only so many connections at once: each takes a descriptor that clients need.
-type few struct {
+// limitListener limits the number of concurrent connections, since each uses a file descriptor that is then not available
+// for clients.
+type limitListener struct {
 	net.Listener
-	room chan struct{}
+	slots chan struct{}
 }
 
-func (f *few) Accept() (net.Conn, error) {
-	f.room <- struct{}{}
+func (f *limitListener) Accept() (net.Conn, error) {
+	f.slots <- struct{}{}
 	conn, err := f.Listener.Accept()
 	if err != nil {
-		<-f.room
+		<-f.slots
 		return nil, err
 	}
-	return &one{Conn: conn, room: f.room}, nil
+	return &limitedConn{Conn: conn, slots: f.slots}, nil
 }
 
-// readWriter reads what the server had read already, and then the connection.
+// readWriter is a connection whose Read first returns the bytes that are already buffered.
 type readWriter struct {
 	in *bufio.ReadWriter
 	net.Conn
@@ -138,43 +141,44 @@
 
 func (r readWriter) Read(p []byte) (int, error) { return r.in.Read(p) }
 
-// leave gives a connection's room back though it is open.
-func (o *one) leave() {
-	if !o.closed {
-		o.closed = true
-		<-o.room
+// release frees the slot of a connection that stays open.
+func (o *limitedConn) release() {
+	if !o.released {
+		o.released = true
+		<-o.slots
 	}
 }
 
-type one struct {
+// limitedConn is a connection that holds a slot of a limitListener.
+type limitedConn struct {
 	net.Conn
-	room   chan struct{}
-	closed bool
+	slots    chan struct{}
+	released bool
 }
 
-func (o *one) Close() error {
+func (o *limitedConn) Close() error {
 	err := o.Conn.Close()
-	if !errors.Is(err, net.ErrClosed) && !o.closed {
-		o.closed = true
-		<-o.room
+	if !errors.Is(err, net.ErrClosed) && !o.released {
+		o.released = true
+		<-o.slots
 	}
 	return err
 }
 
 func dial(path string) *http.Client {
-	return &http.Client{Timeout: within, Transport: &http.Transport{DisableKeepAlives: true,
+	return &http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, "unix", path)
 		}}}
 }
 
-// Get asks the socket for a page and reads it into v.
+// Get requests a page from the socket and decodes it into v.
 func Get(path, page string, v any) error {
 	res, err := dial(path).Get("http://broker/v1/" + page)
 	if err != nil {
 		return fmt.Errorf("control socket %s: %w", path, err)
 	}
-	body, err := answer(path, page, res)
+	body, err := readAnswer(path, page, res)
 	if err != nil {
 		return err
 	}
@@ -184,10 +188,10 @@
 	return nil
 }
 
-// answer reads an answer's body; another than 200 is an error with its text.
-func answer(path, name string, res *http.Response) ([]byte, error) {
+// readAnswer reads the body of an answer. Any status other than 200 becomes an error.
+func readAnswer(path, name string, res *http.Response) ([]byte, error) {
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, bodyMost))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxBodyBytes))
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("control socket %s: %w", path, err)
@@ -201,23 +205,23 @@
 	return body, nil
 }
 
-// Post gives the socket an order.
+// Post sends an order to the socket.
 func Post(path, order string, query url.Values) error {
 	res, err := dial(path).Post("http://broker/v1/"+order+"?"+query.Encode(), "", nil)
 	if err != nil {
 		return fmt.Errorf("control socket %s: %w", path, err)
 	}
-	_, err = answer(path, order, res)
+	_, err = readAnswer(path, order, res)
 	return err
 }
 
 // Open opens a stream.
 func Open(path, stream string, query url.Values) (io.ReadWriteCloser, error) {
-	conn, err := net.DialTimeout("unix", path, within)
+	conn, err := net.DialTimeout("unix", path, requestTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("control socket %s: %w", path, err)
 	}
-	conn.SetDeadline(time.Now().Add(within))
+	conn.SetDeadline(time.Now().Add(requestTimeout))
 	req, err := http.NewRequest(http.MethodPost, "http://broker/v1/"+stream+"?"+query.Encode(), nil)
 	if err == nil {
 		err = req.Write(conn)
@@ -233,7 +237,7 @@
 	}
 	if res.StatusCode != http.StatusSwitchingProtocols {
 		defer conn.Close()
-		_, err := answer(path, stream, res)
+		_, err := readAnswer(path, stream, res)
 		return nil, err
 	}
 	conn.SetDeadline(time.Time{})
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -21,7 +21,7 @@
 	require.NoError(t, err)
 	info, err := os.Stat(path)
 	require.NoError(t, err)
-	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm(), "for this user alone")
+	assert.Equal(t, os.FileMode(0o600), info.Mode().Perm(), "only the current user has access")
 	var v map[string]int
 	require.NoError(t, Get(path, "page", &v))
 	assert.Equal(t, 7, v["n"])
@@ -30,9 +30,9 @@
 	assert.ErrorContains(t, Get(path, "page", &v), "not running")
 	_, err = Listen(path, Served{})
 	assert.ErrorContains(t, err, "another process serves it")
-	// More connections than there is room for wait, and hold up nothing of the broker's; those that say nothing are closed.
+	// Connections beyond the limit wait without blocking the broker, and connections that send nothing are closed.
 	var conns []net.Conn
-	for range 2 * together {
+	for range 2 * maxConnections {
 		c, err := net.Dial("unix", path)
 		require.NoError(t, err)
 		conns = append(conns, c)
@@ -56,11 +56,12 @@
 	stale.(*net.UnixListener).SetUnlinkOnClose(false)
 	stale.Close()
 	s, err = Listen(path, Served{})
-	require.NoError(t, err, "one that nobody serves any more is replaced")
+	require.NoError(t, err, "a stale socket is replaced")
 	s.Close()
 }
 
-// Orders are taken or refused with their reason; streams are open as long as both like, bounded, and leave room for the rest.
+// TestOrdersAndStreams checks that orders are accepted or rejected with their reason, that the number of streams is limited,
+// and that open streams do not block other requests.
 func TestOrdersAndStreams(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.sock")
 	s, err := Listen(path, Served{
@@ -77,14 +78,14 @@
 	assert.EqualError(t, Post(path, "order", nil), "only it can be done")
 	assert.ErrorContains(t, Post(path, "other", nil), "the feature is off")
 	var open []io.ReadWriteCloser
-	for range streamsMost {
+	for range maxStreams {
 		c, err := Open(path, "echo", nil)
 		require.NoError(t, err)
 		open = append(open, c)
 	}
 	_, err = Open(path, "echo", nil)
 	assert.EqualError(t, err, "too many are open")
-	assert.NoError(t, Post(path, "order", url.Values{"do": {"it"}}), "streams leave room for the rest")
+	assert.NoError(t, Post(path, "order", url.Values{"do": {"it"}}), "open streams do not count toward the connection limit")
 	buf := make([]byte, 5)
 	for _, c := range open {
 		io.WriteString(c, "hello")
