--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -27,7 +27,7 @@
 	maxStreams = 64
 )
 
-// Served holds the handlers of a socket by name. Only processes of the same user can connect to the socket.
+// Handlers holds the handlers of a socket by name. Only processes of the same user can connect to the socket.
 type Served struct {
 	// Pages answer GET /v1/NAME with the JSON of the returned value, or with 503 if the function returns false.
 	Pages map[string]func() (any, bool)
