--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -16,10 +16,10 @@
 	"gullstair/logic"
 )
 
-// Table types of the start file: 0 has a second step of two parts, 1 one step, 2 is keyed.
+// Table types of the start file: type 0 has a second step of two parts, type 1 has one step, type 2 is keyed.
 
-// rig drives a core at a clock of its own.
-type rig struct {
+// harness drives a core on a virtual clock.
+type harness struct {
 	scans int
 	t     *testing.T
 	c     *core.Core
@@ -28,28 +28,28 @@
 	all   []core.Output
 }
 
-// play starts a core with the start file's settings, those in changes replaced.
-func play(t *testing.T, changes ...map[string]any) *rig {
-	r := fresh(t, changes...)
+// start returns a started core with the settings of the start file, overridden by changes.
+func start(t *testing.T, changes ...map[string]any) *harness {
+	r := newHarness(t, changes...)
 	r.step(0)
 	return r
 }
 
-// fresh is a core before its first step.
-func fresh(t *testing.T, changes ...map[string]any) *rig {
+// newHarness returns a core before its first step.
+func newHarness(t *testing.T, changes ...map[string]any) *harness {
 	text, err := os.ReadFile("../config/testdata/start.json")
 	require.NoError(t, err)
-	told, err := config.Parse(text, func(string) string { return "" })
+	startFile, err := config.Parse(text, func(string) string { return "" })
 	require.NoError(t, err)
-	known := told.Known.Nodes(func(host, why string) { t.Errorf("%s: %s", host, why) })
+	known := startFile.Known.Nodes(func(host, why string) { t.Errorf("%s: %s", host, why) })
 	for _, c := range changes {
-		maps.Copy(told.Flat, c)
+		maps.Copy(startFile.Flat, c)
 	}
-	return &rig{t: t, c: core.New(told.Site, told.Flat, told.Seed, known), now: 1e12, flat: told.Flat}
+	return &harness{t: t, c: core.New(startFile.Site, startFile.Flat, startFile.Seed, known), now: 1e12, flat: startFile.Flat}
 }
 
-// step lets wait pass and goes on as long as the core wants to, as its actor would.
-func (r *rig) step(wait float64, in ...core.Input) (out []core.Output) {
+// step advances the clock by wait and steps the core while it is due, as its actor does.
+func (r *harness) step(wait float64, in ...core.Input) (out []core.Output) {
 	r.now += wait
 	out = r.c.Step(r.now, in)
 	for r.c.Due() <= r.now {
@@ -60,8 +60,8 @@
 	return out
 }
 
-// until goes from one due moment to the next, up to an end.
-func (r *rig) until(end float64) (out []core.Output) {
+// until steps the core at each of its due times up to end.
+func (r *harness) until(end float64) (out []core.Output) {
 	for at := r.c.Due(); at <= end; at = r.c.Due() {
 		out = append(out, r.step(max(0, at-r.now))...)
 	}
@@ -69,7 +69,7 @@
 	return out
 }
 
-func (r *rig) scan(typ int, left float64, shards ...int) *core.Scan {
+func (r *harness) scan(typ int, left float64, shards ...int) *core.Scan {
 	r.scans++
 	s := &core.Scan{ID: fmt.Sprint("q", r.scans), Key: "k1", Text: "text", TableType: typ, TimeLeft: left, At: r.now}
 	for _, shard := range shards {
@@ -94,20 +94,20 @@
 	return all
 }
 
-func (r *rig) ok(p core.CallPart, score float64) core.Ended {
+func (r *harness) ok(p core.CallPart, score float64) core.Ended {
 	return core.Ended{Ref: p.Ref, How: core.Answered, At: r.now, Score: score, Value: "v" + p.ID}
 }
 
 func TestOneStep(t *testing.T) {
-	r := play(t)
+	r := start(t)
 	out := r.step(10, r.scan(1, 3000, 0, 2, 1))
 	calls := pick[core.Call](out)
-	require.Len(t, calls, 2, "shards 0 and 2 stand on one node: one call, one frame")
+	require.Len(t, calls, 2, "shards 0 and 2 are on one node: one call, one frame")
 	sent := parts(out)
 	require.Len(t, sent, 3)
 	assert.Equal(t, "q1.0", sent[0].ID)
-	assert.Empty(t, sent[0].Key, "a key goes with keyed table types alone")
-	assert.InDelta(t, r.now+2980, sent[0].Until, 6, "ten of its milliseconds passed in the front, ten the module keeps")
+	assert.Empty(t, sent[0].Key, "only keyed table types send a key")
+	assert.InDelta(t, r.now+2980, sent[0].Until, 6, "10 ms have passed in the front, and the module reserves 10 ms")
 	assert.Empty(t, pick[core.Reply](r.step(50, r.ok(sent[0], 0), r.ok(sent[1], 0))))
 	replies := pick[core.Reply](r.step(50, r.ok(sent[2], 0), r.ok(sent[2], 0)))
 	require.Len(t, replies, 1)
@@ -116,11 +116,11 @@
 		replies[0].Hits)
 	assert.Equal(t, 1, r.c.Counts.Late, "a second answer to one dispatch is dropped")
 	assert.Zero(t, r.c.Open())
-	assert.Empty(t, r.until(r.now+10000), "nothing is left to do for it")
+	assert.Empty(t, r.until(r.now+10000), "no output after the reply")
 }
 
 func TestSecondStep(t *testing.T) {
-	r := play(t)
+	r := start(t)
 	sent := parts(r.step(10, r.scan(0, 5000, 3, 4, 0, 1)))
 	require.Len(t, sent, 4)
 	score := map[int]float64{0: 7, 1: 9, 3: 7, 4: 2}
@@ -129,7 +129,7 @@
 		in = append(in, r.ok(p, score[p.Shard]))
 	}
 	out := r.step(50, in...)
-	assert.Empty(t, pick[core.Reply](out), "the first answer of two goes to nobody")
+	assert.Empty(t, pick[core.Reply](out), "the answer of the first step is not sent to the client")
 	second := parts(out)
 	require.Len(t, second, 2)
 	got := map[string]string{}
@@ -138,18 +138,18 @@
 		assert.True(t, p.Whole)
 	}
 	assert.Equal(t, map[string]string{"q1.1.get": "0+1+3+4", "q1.0.get": "0+1+3+4"}, got,
-		"the best scores, the lower shard where they are alike")
+		"the best scores; ties go to the lower shard")
 	replies := pick[core.Reply](r.step(50, r.ok(second[0], 0), r.ok(second[1], 0)))
 	require.Len(t, replies, 1)
 	assert.Len(t, replies[0].Hits, 2)
 	assert.True(t, replies[0].Whole)
 }
 
-// Each way in which a dispatch can end goes to the module as its outcome: what never ran or may run again is
-// asked again, and whatever comes afterwards for it is dropped.
+// Each end reason reaches the module as its outcome: a part that never ran or may be repeated is dispatched again,
+// and later ends of the same dispatch are dropped.
 func TestEnds(t *testing.T) {
 	for how := core.AnsweredError; how <= core.NeverSent; how++ {
-		r := play(t)
+		r := start(t)
 		sent := parts(r.step(10, r.scan(1, 3000, 0)))
 		require.Len(t, sent, 1, how)
 		r.step(20, core.Ended{Ref: sent[0].Ref, How: how, At: r.now})
@@ -158,33 +158,33 @@
 		assert.Equal(t, 1, r.c.Counts.Ends[how], how)
 		again := parts(r.until(r.now + 1000))
 		require.NotEmpty(t, again, how)
-		assert.NotEqual(t, sent[0].Ref, again[0].Ref, "no number is used twice")
+		assert.NotEqual(t, sent[0].Ref, again[0].Ref, "numbers are not reused")
 		assert.NotContains(t, how.String(), "unknown")
 	}
 }
 
 func TestOneAnswer(t *testing.T) {
-	type step func(r *rig, s *core.Scan, sent []core.CallPart) []core.Output
-	left := func(r *rig, s *core.Scan, _ []core.CallPart) []core.Output { return r.step(0, core.Left{Scan: s}) }
-	answers := func(r *rig, _ *core.Scan, sent []core.CallPart) []core.Output {
+	type step func(r *harness, s *core.Scan, sent []core.CallPart) []core.Output
+	left := func(r *harness, s *core.Scan, _ []core.CallPart) []core.Output { return r.step(0, core.Left{Scan: s}) }
+	answers := func(r *harness, _ *core.Scan, sent []core.CallPart) []core.Output {
 		return r.step(0, r.ok(sent[0], 0), r.ok(sent[1], 0))
 	}
-	closing := func(r *rig, _ *core.Scan, _ []core.CallPart) []core.Output { return r.step(0, core.Closing{}) }
-	timeUp := func(r *rig, _ *core.Scan, _ []core.CallPart) []core.Output { return r.until(r.now + 20000) }
+	closing := func(r *harness, _ *core.Scan, _ []core.CallPart) []core.Output { return r.step(0, core.Closing{}) }
+	timeUp := func(r *harness, _ *core.Scan, _ []core.CallPart) []core.Output { return r.until(r.now + 20000) }
 	for name, c := range map[string]struct {
 		steps   []step
 		replies int
 	}{
-		"answered, then the client leaves":     {[]step{answers, left, timeUp}, 1},
-		"the client leaves, then answers come": {[]step{left, answers, timeUp}, 0},
-		"time is up, then answers come":        {[]step{timeUp, answers, left}, 1},
-		"the broker ends, then answers come":   {[]step{closing, answers, timeUp}, 1},
-		"the client leaves twice":              {[]step{left, left, timeUp}, 0},
-		"answers and a leaving client in one go": {[]step{func(r *rig, s *core.Scan, sent []core.CallPart) []core.Output {
+		"answered, then the client leaves":       {[]step{answers, left, timeUp}, 1},
+		"the client leaves, then answers come":   {[]step{left, answers, timeUp}, 0},
+		"the deadline passes, then answers come": {[]step{timeUp, answers, left}, 1},
+		"the broker closes, then answers come":   {[]step{closing, answers, timeUp}, 1},
+		"the client leaves twice":                {[]step{left, left, timeUp}, 0},
+		"answers and a leaving client in one step": {[]step{func(r *harness, s *core.Scan, sent []core.CallPart) []core.Output {
 			return r.step(0, r.ok(sent[0], 0), core.Left{Scan: s}, r.ok(sent[1], 0))
 		}, timeUp}, 0},
 	} {
-		r := play(t)
+		r := start(t)
 		s := r.scan(1, 3000, 0, 1)
 		sent := parts(r.step(10, s))
 		require.Len(t, sent, 2, name)
@@ -195,7 +195,7 @@
 		assert.Zero(t, r.c.Open(), name)
 		gone := map[int64]bool{}
 		for _, g := range pick[core.GiveUp](r.all) {
-			assert.False(t, gone[g.Ref], "%s: given up once", name)
+			assert.False(t, gone[g.Ref], "%s: cancelled once", name)
 			gone[g.Ref] = true
 		}
 		ends := 0
@@ -206,9 +206,9 @@
 	}
 }
 
-// A scan ends within its client's time however silent its nodes are, and the nodes are told.
+// A scan ends before its client's deadline even if no node answers, and its dispatches are cancelled.
 func TestClientsTime(t *testing.T) {
-	r := play(t)
+	r := start(t)
 	s := r.scan(1, 800, 0)
 	s.At = r.now - 300 // it has waited in the front
 	begun := r.now
@@ -224,13 +224,13 @@
 	assert.LessOrEqual(t, r.now, begun+500)
 	assert.Len(t, pick[core.GiveUp](r.all), len(parts(r.all)))
 	assert.Equal(t, logic.Abandon, pick[core.Reply](r.step(0, &core.Scan{ID: "q2", TableType: 1, TimeLeft: 10, At: r.now - 20,
-		Parts: []core.ScanPart{{Shard: 0, Weight: 1}}}))[0].Kind, "a scan that comes out of time")
+		Parts: []core.ScanPart{{Shard: 0, Weight: 1}}}))[0].Kind, "a scan that arrives after its deadline")
 }
 
-// Whatever ends a dispatch here, its node is told some time before anything more is sent for the part, however short
-// the turns: on another connection that could arrive first and be a second copy.
+// The cancellation of a dispatch is sent some time before the next dispatch of the part, however short the turns are:
+// the next one uses another connection, could arrive first, and would be a second copy.
 func TestGivenUpFirst(t *testing.T) {
-	r := play(t, map[string]any{"limit.cancelling": false}) // time-outs alone take parts back then
+	r := start(t, map[string]any{"limit.cancelling": false}) // only timeouts cancel dispatches
 	givenUp, sent := map[int64]float64{}, map[string]int64{}
 	for _, p := range parts(r.step(0, r.scan(1, 3900, 0, 1))) {
 		sent[p.ID] = p.Ref
@@ -252,12 +252,12 @@
 			}
 		}
 	}
-	assert.Greater(t, len(givenUp), 2, "parts were asked again")
+	assert.Greater(t, len(givenUp), 2, "parts were dispatched again")
 }
 
-// What is read after the broker has given up what was open is turned away at once, and nothing of it is sent.
+// A scan that arrives after Closing is throttled at once and not dispatched.
 func TestAfterClosing(t *testing.T) {
-	r := play(t)
+	r := start(t)
 	open, late := r.scan(1, 3000, 0), r.scan(1, 3000, 1)
 	r.step(0, open)
 	out := r.step(1, core.Closing{}, late)
@@ -270,27 +270,27 @@
 	assert.Zero(t, r.c.Open())
 }
 
-// Whatever comes in one turn, and in whatever order: a scan gets one answer at most and none after its client left, its
-// dispatches end once each, and nothing is sent for it once it is over.
+// For every order of three inputs in one turn: a scan gets at most one reply and none after its client left, each
+// dispatch ends once, and nothing is sent for a scan that has ended.
 func TestEveryOrder(t *testing.T) {
-	events := map[string]func(r *rig, s *core.Scan, p core.CallPart) core.Input{
-		"answer": func(r *rig, _ *core.Scan, p core.CallPart) core.Input { return r.ok(p, 0) },
-		"error": func(r *rig, _ *core.Scan, p core.CallPart) core.Input {
+	events := map[string]func(r *harness, s *core.Scan, p core.CallPart) core.Input{
+		"answer": func(r *harness, _ *core.Scan, p core.CallPart) core.Input { return r.ok(p, 0) },
+		"error": func(r *harness, _ *core.Scan, p core.CallPart) core.Input {
 			return core.Ended{Ref: p.Ref, How: core.AnsweredError, At: r.now}
 		},
-		"broke": func(r *rig, _ *core.Scan, p core.CallPart) core.Input {
+		"broke": func(r *harness, _ *core.Scan, p core.CallPart) core.Input {
 			return core.Ended{Ref: p.Ref, How: core.ReadBroke, At: r.now}
 		},
-		"left": func(_ *rig, s *core.Scan, _ core.CallPart) core.Input { return core.Left{Scan: s} },
-		"gone": func(*rig, *core.Scan, core.CallPart) core.Input { return core.List{Kind: logic.ListWhole} },
-		"end":  func(*rig, *core.Scan, core.CallPart) core.Input { return core.Closing{} },
+		"left": func(_ *harness, s *core.Scan, _ core.CallPart) core.Input { return core.Left{Scan: s} },
+		"gone": func(*harness, *core.Scan, core.CallPart) core.Input { return core.List{Kind: logic.ListWhole} },
+		"end":  func(*harness, *core.Scan, core.CallPart) core.Input { return core.Closing{} },
 	}
 	names := slices.Sorted(maps.Keys(events))
-	for _, wait := range []float64{10, 2999, 3000} { // before the client's time is up, just then, and after
+	for _, wait := range []float64{10, 2999, 3000} { // before the client's deadline, just before it, and at it
 		for order := range len(names) * len(names) * len(names) {
 			chosen := []string{names[order%6], names[order/6%6], names[order/36]}
 			label := fmt.Sprint(chosen, " after ", wait)
-			r := play(t)
+			r := start(t)
 			s := r.scan(1, 3000, 0)
 			sent := parts(r.step(0, s))
 			require.Len(t, sent, 1, label)
@@ -325,7 +325,7 @@
 }
 
 func TestOpenCap(t *testing.T) {
-	r := play(t) // 20 scans and parts
+	r := start(t) // the limit is 20 scans and parts
 	for i := range 7 {
 		out := r.step(0, r.scan(1, 3000, 0, 1))
 		assert.Len(t, pick[core.Reply](out), i/6, "scan %d", i)
@@ -335,18 +335,18 @@
 	assert.Equal(t, 1, r.c.Counts.Full)
 	r.until(r.now + 20000)
 	assert.Len(t, pick[core.Reply](r.all), 7)
-	assert.Empty(t, pick[core.Reply](r.step(0, r.scan(1, 3000, 0, 1))), "room again")
+	assert.Empty(t, pick[core.Reply](r.step(0, r.scan(1, 3000, 0, 1))), "capacity is free again")
 }
 
-// A keyed part goes out with its key, and a further dispatch of it must be written while repeats are dropped:
-// connecting takes time that the module, which decides at the start of it, does not see.
+// A keyed part is sent with its key, and a further dispatch of it must be written within the repeat window of the
+// nodes. The module decides before the connection is dialled and does not see how long that takes.
 func TestKeyed(t *testing.T) {
-	r := play(t)
+	r := start(t)
 	begun := r.now
 	sent := parts(r.step(0, r.scan(2, 4000, 0)))
 	require.Len(t, sent, 1)
 	assert.Equal(t, "k1", sent[0].Key)
-	assert.Zero(t, sent[0].NotAfter, "the first may go whenever a connection is up")
+	assert.Zero(t, sent[0].NotAfter, "the first dispatch has no latest time")
 	r.step(30, core.Ended{Ref: sent[0].Ref, How: core.ReadBroke, At: r.now})
 	again := parts(r.until(r.now + 500))
 	require.NotEmpty(t, again)
@@ -357,28 +357,28 @@
 	for _, p := range parts(r.all) {
 		r.step(0, core.Ended{Ref: p.Ref, How: core.DialRefused, At: r.now})
 	}
-	assert.Empty(t, parts(r.until(begun+5000)), "and not again after that time")
+	assert.Empty(t, parts(r.until(begun+5000)), "not dispatched again after the window")
 }
 
-// The first dispatch of a keyed part may be the one that runs though it is still out: a second copy beside it must be
-// written while repeats are dropped too, counted from the first.
+// An outstanding first dispatch of a keyed part may be the one that runs: a second copy must also be written within
+// the repeat window that starts at the first dispatch.
 func TestKeyedCopy(t *testing.T) {
-	r := play(t, map[string]any{"limit.secondCopies": true})
+	r := start(t, map[string]any{"limit.secondCopies": true})
 	r.step(10, core.List{Kind: logic.ListChanges, Nodes: []core.Node{{Host: "s-c", Addr: "127.0.0.1:4", Zone: "west",
 		Kind: "std", Readiness: logic.Ready, Units: 1}}}) // another holder of the shard
 	begun := r.now
 	sent := parts(r.step(0, r.scan(2, 4000, 0)))
 	require.Len(t, sent, 1)
-	copies := parts(r.until(begun + 2400)) // its node says nothing
+	copies := parts(r.until(begun + 2400)) // its node does not answer
 	require.NotEmpty(t, copies)
 	for _, p := range copies {
 		assert.InDelta(t, begun+2500, p.NotAfter, 1)
 	}
 }
 
-// The id of an open scan is its own: another request that comes under it is not taken, and the open one goes on.
+// A request with the ID of an open scan is rejected, and the open scan continues.
 func TestSameID(t *testing.T) {
-	r := play(t)
+	r := start(t)
 	s := r.scan(1, 3000, 0)
 	sent := parts(r.step(10, s))
 	other := r.scan(1, 3000, 1)
@@ -390,12 +390,12 @@
 	done := pick[core.Reply](r.step(10, core.Left{Scan: other}, r.ok(sent[0], 0)))
 	require.Len(t, done, 1)
 	assert.Same(t, s, done[0].Scan)
-	assert.Len(t, parts(r.step(10, other)), 1, "and free again when it has its answer")
+	assert.Len(t, parts(r.step(10, other)), 1, "the ID is free again after the reply")
 }
 
-// Nodes that are replaced under new names all day leave nothing behind; one with a dispatch out is kept until it ends.
+// Nodes that are replaced under new names leave no state behind; one with an outstanding dispatch is kept until that ends.
 func TestReleased(t *testing.T) {
-	r := play(t)
+	r := start(t)
 	list := func(i int) core.List {
 		return core.List{Kind: logic.ListWhole, Nodes: []core.Node{{Host: fmt.Sprint("s-", i), Addr: "127.0.0.1:5", Zone: "west",
 			Kind: "std", Readiness: logic.Ready, Units: 1}}}
@@ -406,7 +406,7 @@
 	for i := range 100 {
 		r.step(10, list(1+i))
 	}
-	assert.NotZero(t, r.c.Number("s-0"), "something is out")
+	assert.NotZero(t, r.c.Number("s-0"), "a dispatch is outstanding")
 	assert.Zero(t, r.c.Number("s-50"))
 	r.step(10, r.ok(sent[0], 0))
 	r.step(10, list(101))
@@ -434,22 +434,22 @@
 		"failed":       {core.List{Kind: logic.ListFailed}, nil},
 		"empty, whole": {core.List{Kind: logic.ListWhole}, []core.Move{{Host: "s-a", Addr: "127.0.0.1:2", Gone: true}, {Host: "s-b", Addr: "127.0.0.1:3", Gone: true}}},
 	} {
-		r := play(t)
+		r := start(t)
 		assert.ElementsMatch(t, c.want, pick[core.Move](r.step(0, c.list)), name)
 	}
-	r := play(t)
+	r := start(t)
 	r.step(100, core.List{Kind: logic.ListFailed})
 	assert.Equal(t, []core.Output{core.Watch{}}, r.until(r.now+5000), "the module asks for the list once more")
 	odd := core.Node{Host: "s-c", Addr: "127.0.0.1:4", Zone: "moon", Kind: "odd", Cell: 99, Readiness: logic.Ready}
-	assert.Len(t, pick[core.Log](r.step(0, core.List{Kind: logic.ListChanges, Nodes: []core.Node{odd}})), 2, "odd zones are told")
+	assert.Len(t, pick[core.Log](r.step(0, core.List{Kind: logic.ListChanges, Nodes: []core.Node{odd}})), 2, "unknown zones and kinds are logged")
 	assert.Empty(t, pick[core.Call](r.step(0, core.List{Kind: logic.ListChanges, Nodes: []core.Node{
 		node("s-a", "127.0.0.1:2", logic.Draining), node("s-a", "127.0.0.1:2", logic.Draining)}}, r.scan(1, 3000, 0))),
-		"nothing new to a node that drains")
+		"no new dispatch to a draining node")
 }
 
-// Nodes have the same number at every broker, or their turns at cold nodes would fall together.
+// Nodes have the same number at every broker; otherwise the brokers' turns at cold nodes would coincide.
 func TestSameNumbers(t *testing.T) {
-	a, b := play(t), play(t)
+	a, b := start(t), start(t)
 	list := core.List{Kind: logic.ListChanges, Nodes: []core.Node{{Host: "s-x", Addr: "127.0.0.1:7", Zone: "west",
 		Kind: "std", Readiness: logic.Ready, Units: 1, Born: 1e12 - 1}}}
 	a.step(0, list)
@@ -459,12 +459,12 @@
 	assert.NotZero(t, a.c.Number("s-x"))
 }
 
-// Brokers of two deployments in one process keep apart: each does what it does alone, step by step, though the other
-// one's classes have other effects, times and limits and its steps fall between.
+// Brokers of two deployments in one process do not share state: each behaves as it does alone, although the classes of
+// the other have different effects, times and limits and the steps of the two alternate.
 func TestDeploymentsKeepApart(t *testing.T) {
 	others := map[string]any{"tableType.1.effect": "non-replayable", "tableType.2.effect": "replayable", "tableType.0.timeout": 900.0,
 		"tableType.1.target": 200.0, "limit.dispatches": 1.0, "limit.secondCopies": true, "rules.cold": 1000.0, "layout.callWork": 1.0}
-	day := func(r *rig) []func() {
+	workload := func(r *harness) []func() {
 		var steps []func()
 		for i := range 60 {
 			steps = append(steps, func() {
@@ -482,15 +482,15 @@
 		return steps
 	}
 	alone := func(changes ...map[string]any) []core.Output {
-		r := play(t, changes...)
-		for _, step := range day(r) {
+		r := start(t, changes...)
+		for _, step := range workload(r) {
 			step()
 		}
 		r.until(r.now + 10000)
 		return r.all
 	}
-	first, second := play(t), play(t, others)
-	steps := [2][]func(){day(first), day(second)}
+	first, second := start(t), start(t, others)
+	steps := [2][]func(){workload(first), workload(second)}
 	for i := range steps[0] {
 		steps[0][i]()
 		steps[1][i]()
@@ -503,7 +503,7 @@
 	assert.NotEqual(t, plain(first.all), plain(second.all))
 }
 
-// calls keeps what a core sent and answered, in its order.
+// calls returns the calls, cancellations and replies of a core in order.
 func calls(out []core.Output) (kept []any) {
 	for _, o := range out {
 		switch v := o.(type) {
@@ -516,10 +516,10 @@
 	return kept
 }
 
-// Watching: the same outputs, and what the watched settings would have done otherwise is counted.
+// Shadow settings do not change the outputs, and the decisions that they would change are counted.
 func TestWatched(t *testing.T) {
-	run := func(watch bool) *rig {
-		r := fresh(t)
+	run := func(watch bool) *harness {
+		r := newHarness(t)
 		if watch {
 			other := maps.Clone(r.flat)
 			other["tableType.1.effect"], other["limit.dispatches"] = "non-replayable", 1.0
--- a/internal/core/dispatches.go
+++ b/internal/core/dispatches.go
@@ -7,9 +7,9 @@
 	"gullstair/logic"
 )
 
-// act carries out the module's actions in their order. What goes to one node is gathered in frames.
+// act carries out the module's actions in order. Parts for the same node are batched into frames.
 func (c *Core) act(acts []logic.Action) {
-	calls := map[int64]int{} // by node: where its frame stands in out
+	calls := map[int64]int{} // index in out of the open frame of each node
 	for _, a := range acts {
 		switch a.Kind {
 		case logic.Dispatch:
@@ -17,43 +17,43 @@
 		case logic.Recall:
 			if p := c.parts[a.ID]; p != nil {
 				for _, d := range p.outstanding {
-					if d.n == a.Dispatch {
-						c.takeBack(d)
+					if d.attempt == a.Dispatch {
+						c.recall(d)
 						break
 					}
 				}
 			}
 		case logic.Answer, logic.Throttle, logic.Abandon:
 			if s := c.scans[a.ID]; s != nil {
-				c.final(s, a)
+				c.endStep(s, a)
 			}
 		case logic.SetTimer:
-			c.plan(due{at: c.now + a.After, timer: a.Timer})
+			c.schedule(timer{at: c.now + a.After, moduleTimer: a.Timer})
 		case logic.Subscribe:
-			c.do(Watch{})
+			c.emit(Watch{})
 		case logic.Probe:
 			c.probe(a.Node, false)
 		case logic.Short:
 			if c.limiter != nil {
 				c.Counts.Short++
-				c.limiter.Further() // refused, or it is left unused: that much more is wanted here
+				c.limiter.Further() // the result does not matter: the request records that this broker needs more budget
 			}
 		case logic.Tell:
-			c.do(Tell{Note: a.Note})
+			c.emit(Tell{Note: a.Note})
 		case logic.Judged:
-			if at := c.hosts[a.Node]; at != nil {
-				how := logic.Overdue // it said nothing: the module had waited for long enough
+			if at := c.knownNodes[a.Node]; at != nil {
+				how := logic.Overdue // no answer: the module's timeout has passed
 				if a.Whole {
 					how = logic.Completed
-				} else if slices.Contains(c.said, a.Node) {
+				} else if slices.Contains(c.failedNodes, a.Node) {
 					how = logic.Errored
 				}
-				c.do(Judged{Host: at.host, Outcome: how, Late: a.Late})
+				c.emit(Judged{Host: at.host, Outcome: how, Late: a.Late})
 			}
 		case logic.Note:
-			c.do(Log{Text: a.Text})
+			c.emit(Log{Text: a.Text})
 		case logic.Fatal:
-			c.do(Log{Text: a.Text, Fatal: true})
+			c.emit(Log{Text: a.Text, Fatal: true})
 		}
 	}
 }
@@ -61,60 +61,60 @@
 func (c *Core) dispatch(a logic.Action, calls map[int64]int) {
 	p := c.parts[a.ID]
 	if p == nil {
-		return // its scan has ended: there is nobody to tell either
+		return // its scan has ended, so no end is reported either
 	}
-	s, at := p.scan, c.hosts[a.Node]
-	d := &dispatch{ref: c.number(), part: p, n: p.tries, node: a.Node, at: c.now, overAt: s.endAt}
-	p.tries++
-	p.outstanding = append(p.outstanding, d)
-	c.flights[d.ref] = d
+	s, at := p.scan, c.knownNodes[a.Node]
+	sent := &dispatch{ref: c.number(), part: p, attempt: p.attempts, node: a.Node, at: c.now, timeoutAt: s.deadline}
+	p.attempts++
+	p.outstanding = append(p.outstanding, sent)
+	c.dispatches[sent.ref] = sent
 	switch {
-	case p.tries > c.site.Dispatches || s.endAt <= c.now || d.n > 0 && c.limiter != nil && !c.limiter.Further():
-		c.finish(d, Ended{How: NeverSent, At: c.now})
+	case p.attempts > c.settings.Dispatches || s.deadline <= c.now || sent.attempt > 0 && c.limiter != nil && !c.limiter.Further():
+		c.finish(sent, Ended{How: NeverSent, At: c.now})
 		return
 	case at == nil || at.addr == "":
-		c.finish(d, Ended{How: NoAddress, At: c.now})
+		c.finish(sent, Ended{How: NoAddress, At: c.now})
 		return
 	case a.After < 0:
-		c.finish(d, Ended{How: OutOfTime, At: c.now})
+		c.finish(sent, Ended{How: OutOfTime, At: c.now})
 		return
 	case a.After > 0:
-		d.overAt = min(d.overAt, c.now+a.After)
+		sent.timeoutAt = min(sent.timeoutAt, c.now+a.After)
 	}
-	d.host = at.host
+	sent.host = at.host
 	c.Counts.Dispatches++
-	c.plan(due{at: d.overAt, d: d})
-	cp := CallPart{Ref: d.ref, ID: s.ID + "." + strconv.Itoa(p.shard), Shard: p.shard, Until: d.overAt, Text: s.Text}
-	if c.site.Types[s.TableType].Keyed {
+	c.schedule(timer{at: sent.timeoutAt, sent: sent})
+	cp := CallPart{Ref: sent.ref, ID: s.ID + "." + strconv.Itoa(p.shard), Shard: p.shard, Until: sent.timeoutAt, Text: s.Text}
+	if c.settings.Types[s.TableType].Keyed {
 		cp.Key, cp.NotAfter = s.Key, c.notAfter(p)
 	}
 	if s.step == 2 {
-		cp.ID, cp.From, cp.Whole = cp.ID+".get", s.from, s.firstFull
+		cp.ID, cp.From, cp.Whole = cp.ID+".get", s.answeredShards, s.firstStepComplete
 	}
 	if i, begun := calls[a.Node]; begun {
-		if call := c.out[i].(Call); len(call.Parts) < max(1, c.site.Batch) {
+		if call := c.out[i].(Call); len(call.Parts) < max(1, c.settings.Batch) {
 			call.Parts = append(call.Parts, cp)
 			c.out[i] = call
 			return
 		}
 	}
 	calls[a.Node] = len(c.out)
-	c.do(Call{Host: at.host, Addr: at.addr, Parts: []CallPart{cp}})
+	c.emit(Call{Host: at.host, Addr: at.addr, Parts: []CallPart{cp}})
 }
 
-// notAfter is the latest moment at which a further dispatch of a keyed part may be written: while repeats are
-// dropped, counted from the first dispatch that may have run. The module keeps to it when it decides; a
-// connection that has to come up first would carry the frame past it. 0: there is no such moment.
-// A dispatch that is still out counts as one that ran.
+// notAfter returns the latest time at which a further dispatch of a keyed part may be written; 0 means no limit.
+// Nodes deduplicate repeats only within the repeat window, which starts at the first dispatch that may have run.
+// The module respects the window when it decides, but a connection that must be dialled first could delay the
+// frame beyond it. An outstanding dispatch counts as one that ran.
 func (c *Core) notAfter(p *part) float64 {
-	first := p.ranAt
+	first := p.firstRunAt
 	for _, d := range p.outstanding {
-		if d.n < p.tries-1 && (first == 0 || d.at < first) {
+		if d.attempt < p.attempts-1 && (first == 0 || d.at < first) {
 			first = d.at
 		}
 	}
 	if first == 0 {
 		return 0
 	}
-	return first + c.site.Types[p.scan.TableType].RepeatWindow
+	return first + c.settings.Types[p.scan.TableType].RepeatWindow
 }
--- a/internal/core/endings.go
+++ b/internal/core/endings.go
@@ -8,17 +8,17 @@
 	"gullstair/logic"
 )
 
-// takeBack ends an open dispatch that nobody waits for any more and tells the node.
-func (c *Core) takeBack(d *dispatch) {
-	c.do(GiveUp{Host: d.host, Ref: d.ref})
+// recall ends an open dispatch whose answer is no longer needed, and cancels it at the node.
+func (c *Core) recall(d *dispatch) {
+	c.emit(GiveUp{Host: d.host, Ref: d.ref})
 	c.finish(d, Ended{How: TakenBack, At: c.now})
 }
 
-// final carries out the module's word on a scan: the first answer of two begins the second step, any other
-// is what the client gets.
-func (c *Core) final(s *scan, a logic.Action) {
-	if a.Kind == logic.Answer && s.step == 1 && c.site.Types[s.TableType].Fetch > 0 {
-		c.beginSecond(s, a.Whole)
+// endStep carries out the module's final action on the current step of a scan. The first answer of a two-step
+// scan starts the second step; any other action becomes the reply to the client.
+func (c *Core) endStep(s *scan, a logic.Action) {
+	if a.Kind == logic.Answer && s.step == 1 && c.settings.Types[s.TableType].Fetch > 0 {
+		c.beginSecondStep(s, a.Whole)
 		return
 	}
 	r := Reply{Kind: a.Kind}
@@ -26,24 +26,24 @@
 	case logic.Answer:
 		r.Whole = a.Whole
 		for _, p := range s.parts {
-			if p.in {
+			if p.answered {
 				r.Hits = append(r.Hits, Hit{p.shard, p.value})
 			}
 		}
 	case logic.Throttle:
-		if c.site.RetryAfterAllowed {
+		if c.settings.RetryAfterAllowed {
 			r.RetryAfter = max(0, a.After)
 		}
 	}
 	c.reply(s, r)
 }
 
-// beginSecond ends the first step: the shards that scored highest among those in are asked next, the lower
-// shard first where scores are alike.
-func (c *Core) beginSecond(s *scan, whole bool) {
+// beginSecondStep ends the first step. The second step queries the answered shards with the highest scores;
+// ties go to the lower shard.
+func (c *Core) beginSecondStep(s *scan, whole bool) {
 	var in []*part
 	for _, p := range s.parts {
-		if p.in {
+		if p.answered {
 			in = append(in, p)
 		}
 	}
@@ -61,15 +61,15 @@
 		return 0
 	})
 	c.dropParts(s)
-	s.step, s.from, s.firstFull = 2, strings.Join(from, "+"), whole
-	chosen := in[:min(len(in), c.site.Types[s.TableType].Fetch)]
+	s.step, s.answeredShards, s.firstStepComplete = 2, strings.Join(from, "+"), whole
+	chosen := in[:min(len(in), c.settings.Types[s.TableType].Fetch)]
 	for _, p := range chosen {
 		s.parts = append(s.parts, c.part(s, p.shard, 1/float64(len(chosen)), 0))
 	}
-	c.second = append(c.second, s)
+	c.secondSteps = append(c.secondSteps, s)
 }
 
-// reply gives a scan its one answer.
+// reply emits the one reply to a scan and closes the scan.
 func (c *Core) reply(s *scan, r Reply) {
 	switch r.Kind {
 	case logic.Answer:
@@ -83,24 +83,24 @@
 		c.Counts.Abandoned++
 	}
 	r.Scan = s.Scan
-	c.do(r)
-	c.close(s)
+	c.emit(r)
+	c.closeScan(s)
 }
 
-// close forgets a scan; what is still out for it is taken back.
-func (c *Core) close(s *scan) {
+// closeScan removes a scan, recalls its outstanding dispatches and releases its limits.
+func (c *Core) closeScan(s *scan) {
 	c.dropParts(s)
 	delete(c.scans, s.num)
-	delete(c.ids, s.ID)
+	delete(c.byClientID, s.ID)
 	c.open--
-	c.guard.ended(c.now, s.Scan)
-	c.unlimit(s.Scan)
+	c.guard.scanEnded(c.now, s.Scan)
+	c.releaseLimits(s.Scan)
 }
 
 func (c *Core) dropParts(s *scan) {
 	for _, p := range s.parts {
 		for len(p.outstanding) > 0 {
-			c.takeBack(p.outstanding[0])
+			c.recall(p.outstanding[0])
 		}
 		delete(c.parts, p.id)
 		c.open--
--- a/internal/core/ends.go
+++ b/internal/core/ends.go
@@ -2,31 +2,31 @@
 
 import "gullstair/logic"
 
-// End is how a dispatch, and with it what it travelled on, came to its end. Every way is one value here, and
-// Outcome is the one place that says what the module is told of it.
+// EndReason is the reason why a dispatch ended, which includes the state of its connection. Outcome alone
+// defines how each reason is reported to the module.
 type End uint8
 
 const (
-	Answered      End = iota + 1 // the node served it
-	AnsweredError                // the node says that it failed
-	TurnedAway                   // the node refused it unseen
-	NoAddress                    // the list gave no address that can be dialled
-	DialRefused                  // connecting was refused or reset
-	DialTimedOut                 // the connection did not come up in time
-	NoRoom                       // the peer's mailbox or its connections are full
-	TooLate                      // it waited so long for a connection that it may not be written any more
+	Answered      End = iota + 1 // the node returned a result
+	AnsweredError                // the node returned an error
+	TurnedAway                   // the node rejected it without running it
+	NoAddress                    // the list has no address that can be dialled
+	DialRefused                  // the connection was refused or reset
+	DialTimedOut                 // the connection was not established in time
+	NoRoom                       // the queue or the connections of the peer are full
+	TooLate                      // it waited for a connection until after the latest time at which it may be written
 	WriteBroke                   // the connection broke before the frame's last byte was written
-	PeerClosed                   // the node closed the connection while the dispatch was out
-	ReadBroke                    // the connection broke while it was out
-	BadFrame                     // the node sent what is no frame: the connection was closed
-	NotUsable                    // the node said that it could not use a frame, and closes
-	OutOfTime                    // its time-out passed
+	PeerClosed                   // the node closed the connection while the dispatch was outstanding
+	ReadBroke                    // the connection broke while the dispatch was outstanding
+	BadFrame                     // the node sent an invalid frame, and the connection was closed
+	NotUsable                    // the node reported that it cannot use a frame, and closes the connection
+	OutOfTime                    // its timeout passed
 	TakenBack                    // the module recalled it, or its scan ended
-	NeverSent                    // its scan was over, its time was up, or it was one too many
-	Withdrawn                    // its node began to drain, or went, before the frame's first byte was written
+	NeverSent                    // its scan had ended, its deadline had passed, or the limit on dispatches was reached
+	Withdrawn                    // its node began to drain or left before the first byte of the frame was written
 )
 
-var ends = [...]struct {
+var endInfo = [...]struct {
 	word    string
 	outcome logic.Outcome
 }{
@@ -49,12 +49,12 @@
 	Withdrawn:     {"withdrawn", logic.Superseded},
 }
 
-// Outcome is the module's word for e.
-func (e End) Outcome() logic.Outcome { return ends[e].outcome }
+// Outcome returns the outcome that is reported to the module for e.
+func (e End) Outcome() logic.Outcome { return endInfo[e].outcome }
 
 func (e End) String() string {
-	if int(e) < len(ends) && ends[e].word != "" {
-		return ends[e].word
+	if int(e) < len(endInfo) && endInfo[e].word != "" {
+		return endInfo[e].word
 	}
 	return "unknown end"
 }
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -11,28 +11,29 @@
 	"gullstair/logic"
 )
 
-// guard confines scans to their cells before the module sees them. Without cells it is nil and does nothing.
+// guard confines scans to the stores of their cells before the module sees them. It is nil without cells; its
+// methods then do nothing.
 type guard struct {
-	plan    cells.Plan
-	limits  *quota.Core
-	sets    int
-	cold    float64 // ms that a node is cold after its start
-	lookAt  float64
-	confine *confine.Core // nil: the list has had no store for some set so far, and no cell could be laid out
-	moves   *cells.Moves
+	plan        cells.Plan
+	limits      *quota.Core
+	sets        int
+	coldTime    float64 // how long, in ms, a node counts as cold after its start
+	nextCheckAt float64
+	confine     *confine.Core // nil until a list has a store for every set, since no cell can be built before
+	moves       *cells.Moves
 }
 
-// lookEvery is how often cells are looked at between two lists, in ms: nodes get warm by themselves.
-const lookEvery = 1000.0
+// checkInterval is how often the cells are evaluated between two lists, in ms, since nodes warm up without a list.
+const checkInterval = 1000.0
 
-// Confine has scans confined to the cells of a plan from now on, within limits by cell. A node counts as cold for so many
-// ms after its start; chance gives numbers from 0 to 1.
-func (c *Core) Confine(plan cells.Plan, limits map[string]quota.Limits, cold, longestAfter float64, chance func() float64) {
-	c.guard = &guard{plan: plan, sets: c.site.Cells, cold: cold, limits: quota.New(c.site.OpenCap, longestAfter, limits, chance)}
-	c.guard.list(c)
+// SetCells confines all further scans to the cells of a plan, with limits by cell. A node counts as cold for that
+// many ms after its start; chance returns random numbers between 0 and 1.
+func (c *Core) Confine(plan cells.Plan, limits map[string]quota.Limits, coldTime, longestAfter float64, chance func() float64) {
+	c.guard = &guard{plan: plan, sets: c.settings.Cells, coldTime: coldTime, limits: quota.New(c.settings.OpenCap, longestAfter, limits, chance)}
+	c.guard.applyNodes(c)
 }
 
-// Cells is what is seen of the cells; nil without them.
+// Cells returns the state of the cells; nil without cells.
 func (c *Core) Cells() (all []CellView) {
 	if c.guard == nil || c.guard.confine == nil {
 		return nil
@@ -45,7 +46,7 @@
 	return all
 }
 
-// CellView is what is seen of a cell.
+// CellView is the state of a cell for the control socket.
 type CellView struct {
 	quota.View
 	Lost    bool   `json:"lost"`
@@ -55,133 +56,136 @@
 
 func (r *Scan) ask() quota.Ask { return quota.Ask{Work: r.work, Size: 1 + len(r.Parts)} }
 
-// confined says whether a scan's cell takes it; if not it has been throttled, at once.
-func (c *Core) confined(r *Scan) bool {
+// admittedByCell reports whether the cell of a scan admits it. If not, the scan has been throttled.
+func (c *Core) admittedByCell(r *Scan) bool {
 	if c.guard == nil {
 		return true
 	}
 	if c.guard.confine == nil {
-		r.held = confine.Verdict{Why: "no cell can be laid out: some shards have no store"}
+		r.verdict = confine.Verdict{Why: "no cell can be laid out: some shards have no store"}
 	} else {
-		r.held = c.guard.confine.Take(c.now, r.Account, r.ask())
+		r.verdict = c.guard.confine.Take(c.now, r.Account, r.ask())
 	}
-	if r.held.Taken {
-		c.guard.step(c.now, cells.ScanBegun{Version: r.held.Version})
+	if r.verdict.Taken {
+		c.guard.step(c.now, cells.ScanBegun{Version: r.verdict.Version})
 		return true
 	}
 	c.Counts.Confined++
 	c.Counts.Throttled++
-	c.heldBack(r, r.held.Why)
-	reply := Reply{Scan: r, Kind: logic.Throttle, Why: r.held.Why}
-	if c.site.RetryAfterAllowed {
-		reply.RetryAfter = r.held.After
+	c.reportRefusal(r, r.verdict.Why)
+	reply := Reply{Scan: r, Kind: logic.Throttle, Why: r.verdict.Why}
+	if c.settings.RetryAfterAllowed {
+		reply.RetryAfter = r.verdict.After
 	}
-	c.do(reply)
+	c.emit(reply)
 	return false
 }
 
-// Limiter decides on limits that this broker shares with others, and is told when a scan that it took is over. It decides at once. Cell is "" where
-// there are none; lasts is for how long, in ms, the scan is open at most.
+// Limiter applies the limits that this broker shares with others. Its methods do not block. Cell is "" without
+// cells; lasts is the longest time, in ms, that the scan stays open.
 type Limiter interface {
 	Take(account, cell string, work, lasts float64) Ruling
-	// Again is asked for a scan that was to wait, when LimitsMoved has come.
+	// Retry decides again on a queued scan after LimitsChanged.
 	Again(account, cell string, work, lasts float64) Ruling
 	Done(account, cell string, work float64)
-	// Left is how many dispatches beyond each part's first may be sent now; +Inf: any number. Further asks for one; also for one that was not sent since there was no
-	// room, so that room comes to where it is wanted.
+	// FleetBudget returns how many dispatches beyond the first of each part may be sent now; +Inf means no limit.
+	// TakeFurther takes one from it. It is also called for a dispatch that was not sent for lack of budget, so that
+	// budget moves to the brokers that need it.
 	Left() float64
 	Further() bool
 }
 
-// Ruling is a limiter's word on a scan. One that was not taken may wait for so many ms, for another broker to give it what it needs; no scan waits twice.
+// LimitDecision is the decision of a Limiter on a scan. A scan that is not admitted may be queued for Wait ms until
+// another broker lends the missing capacity. No scan is queued twice.
 type Ruling struct {
 	Taken       bool
 	Why         string
 	After, Wait float64
 }
 
-// waiting is a scan that its limits may still take.
-type waiting struct {
+// queuedScan is a scan that waits for capacity of the shared limits.
+type queuedScan struct {
 	scan  *Scan
 	until float64
 	Ruling
 }
 
-const waitingMost = 256
+const maxQueued = 256
 
-// Limit has scans taken only within shared limits from now on.
+// SetLimiter applies shared limits to all further scans.
 func (c *Core) Limit(l Limiter) { c.limiter = l }
 
-// limited says whether the shared limits take a scan; if not it has been throttled, at once, and its cell has back what it held.
-func (c *Core) limited(r *Scan, left float64) bool {
+// admittedByLimits reports whether the shared limits admit a scan. If not, the scan has been queued, or throttled and
+// its cell's capacity released.
+func (c *Core) admittedByLimits(r *Scan, left float64) bool {
 	if c.limiter == nil {
 		return true
 	}
-	v := c.limiter.Take(r.Account, r.held.Cell, r.work, left)
+	v := c.limiter.Take(r.Account, r.verdict.Cell, r.work, left)
 	if v.Taken {
-		r.fleet = true
+		r.holdsLimits = true
 		return true
 	}
-	if wait := min(v.Wait, left/10); wait > 0 && len(c.waits) < waitingMost {
-		c.waits = append(c.waits, waiting{r, c.now + wait, v})
-		c.plan(due{at: c.now + wait, waited: true})
+	if wait := min(v.Wait, left/10); wait > 0 && len(c.queued) < maxQueued {
+		c.queued = append(c.queued, queuedScan{r, c.now + wait, v})
+		c.schedule(timer{at: c.now + wait, retryQueued: true})
 		return false
 	}
-	c.refuse(r, v)
+	c.throttle(r, v)
 	return false
 }
 
-// lookWaiting asks again for the scans that wait, and turns away those that have waited long enough: at once, since nothing more is to be had for them.
-func (c *Core) lookWaiting(moved bool) {
-	waits := c.waits
-	c.waits = nil
+// retryQueuedScans retries the queued scans and throttles those whose wait is over.
+func (c *Core) retryQueuedScans(moved bool) {
+	waits := c.queued
+	c.queued = nil
 	for i, w := range waits {
 		over := c.now >= w.until
 		if !moved && !over {
-			c.waits = append(c.waits, waits[i])
+			c.queued = append(c.queued, waits[i])
 			continue
 		}
 		left := w.scan.TimeLeft - max(0, c.now-w.scan.At)
-		v := c.limiter.Again(w.scan.Account, w.scan.held.Cell, w.scan.work, left)
+		v := c.limiter.Again(w.scan.Account, w.scan.verdict.Cell, w.scan.work, left)
 		switch {
-		case v.Taken && left > 0 && c.ids[w.scan.ID] == nil:
-			w.scan.fleet = true
+		case v.Taken && left > 0 && c.byClientID[w.scan.ID] == nil:
+			w.scan.holdsLimits = true
 			c.admit(w.scan, left)
 		case over:
-			c.refuse(w.scan, w.Ruling)
+			c.throttle(w.scan, w.Ruling)
 		default:
-			c.waits = append(c.waits, waits[i])
+			c.queued = append(c.queued, waits[i])
 		}
 	}
 }
 
-// forgetWaiting drops a scan that waits, since its client has gone; it gives back its cell's place.
-func (c *Core) forgetWaiting(r *Scan) bool {
-	i := slices.IndexFunc(c.waits, func(w waiting) bool { return w.scan == r })
+// dropQueuedScan removes a queued scan whose client has disconnected and releases the capacity of its cell.
+func (c *Core) dropQueuedScan(r *Scan) bool {
+	i := slices.IndexFunc(c.queued, func(w queuedScan) bool { return w.scan == r })
 	if i < 0 {
 		return false
 	}
-	c.waits = slices.Delete(c.waits, i, i+1)
-	c.guard.ended(c.now, r)
+	c.queued = slices.Delete(c.queued, i, i+1)
+	c.guard.scanEnded(c.now, r)
 	return true
 }
 
-// refuse throttles a scan that the shared limits don't take.
-func (c *Core) refuse(r *Scan, v Ruling) {
-	c.guard.ended(c.now, r)
-	r.held.Taken = false
+// throttle rejects a scan that exceeds the shared limits.
+func (c *Core) throttle(r *Scan, v Ruling) {
+	c.guard.scanEnded(c.now, r)
+	r.verdict.Taken = false
 	c.Counts.Limited++
 	c.Counts.Throttled++
-	c.heldBack(r, v.Why)
+	c.reportRefusal(r, v.Why)
 	reply := Reply{Scan: r, Kind: logic.Throttle, Why: v.Why}
-	if c.site.RetryAfterAllowed {
+	if c.settings.RetryAfterAllowed {
 		reply.RetryAfter = v.After
 	}
-	c.do(reply)
+	c.emit(reply)
 }
 
-// budgeted tells the module what the fleet's budget of further dispatches leaves it, where there is one.
-func (c *Core) budgeted() {
+// addFleetBudget reports the remaining retry budget of the fleet to the module, if there is such a budget.
+func (c *Core) addFleetBudget() {
 	if c.limiter == nil || len(c.scans) == 0 {
 		return
 	}
@@ -190,33 +194,33 @@
 	}
 }
 
-func (c *Core) unlimit(r *Scan) {
-	if r.fleet {
-		r.fleet = false
-		c.limiter.Done(r.Account, r.held.Cell, r.work)
+func (c *Core) releaseLimits(r *Scan) {
+	if r.holdsLimits {
+		r.holdsLimits = false
+		c.limiter.Done(r.Account, r.verdict.Cell, r.work)
 	}
 }
 
-// ended gives back what a scan held of its cell.
-func (g *guard) ended(now float64, r *Scan) {
-	if g != nil && r.held.Taken {
-		g.step(now, g.confine.Ended(now, r.held, r.Account, r.ask(), now-r.began)...)
+// scanEnded releases the capacity that a scan holds in its cell.
+func (g *guard) scanEnded(now float64, r *Scan) {
+	if g != nil && r.verdict.Taken {
+		g.step(now, g.confine.Ended(now, r.verdict, r.Account, r.ask(), now-r.admittedAt)...)
 	}
 }
 
-// list takes up the nodes that are on the list now.
-func (g *guard) list(c *Core) {
+// applyNodes passes the nodes of the current list to the cells.
+func (g *guard) applyNodes(c *Core) {
 	if g == nil {
 		return
 	}
 	var nodes []confine.Node
-	for _, num := range slices.Sorted(maps.Keys(c.hosts)) {
-		at := c.hosts[num]
+	for _, num := range slices.Sorted(maps.Keys(c.knownNodes)) {
+		at := c.knownNodes[num]
 		if at.gone {
 			continue
 		}
 		nodes = append(nodes, confine.Node{Number: num, Name: at.host, Zone: at.zone, Set: at.cell, Ready: at.ready,
-			Cold: at.born > 0 && c.now-at.born < g.cold})
+			Cold: at.born > 0 && c.now-at.born < g.coldTime})
 	}
 	if g.confine == nil {
 		var stores []cells.Store
@@ -225,7 +229,7 @@
 		}
 		moves, err := cells.NewMoves(g.plan, stores, g.sets, nil, nil)
 		if err != nil {
-			return // with a later list, maybe
+			return // retried with the next list
 		}
 		g.moves, g.confine = moves, confine.New(g.plan, g.sets, moves, g.limits)
 	}
@@ -235,19 +239,19 @@
 	}
 }
 
-func (g *guard) look(now float64) {
-	if g != nil && g.confine != nil && now >= g.lookAt {
-		g.lookAt = now + lookEvery
+func (g *guard) checkCells(now float64) {
+	if g != nil && g.confine != nil && now >= g.nextCheckAt {
+		g.nextCheckAt = now + checkInterval
 		g.step(now, g.confine.Look()...)
 	}
 }
 
-// step steps the moves. Without a log that lasts there are none, and what they want written is left.
+// step steps the moves of tenants. The broker has no durable log, so no move is ever started and writes are dropped.
 func (g *guard) step(now float64, in ...cells.Input) { g.moves.Step(now, in) }
 
-// heldBack tells whom a limit turns away, where that is shared.
-func (c *Core) heldBack(r *Scan, why string) {
-	if c.judges && r.Account != "" {
-		c.do(HeldBack{Account: r.Account, Why: why})
+// reportRefusal emits the account of a scan that a limit refused, if brokers share outcomes.
+func (c *Core) reportRefusal(r *Scan, why string) {
+	if c.reportsOutcomes && r.Account != "" {
+		c.emit(HeldBack{Account: r.Account, Why: why})
 	}
 }
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -14,7 +14,8 @@
 	"gullstair/logic"
 )
 
-// confinedCore has two sets of four stores and two cells with two holders of each; a cell may have three scans open.
+// confinedCore returns a core with two sets of four stores and two cells with two holders of each set; a cell may have
+// three open scans.
 func confinedCore(t *testing.T) (*Core, []Node) {
 	flat := map[string]any{"turn": 5.0, "brokers": 1.0, "layout.cells": 2.0, "layout.reach": 1.0, "layout.shards": 2.0, "layout.batch": 4.0,
 		"limit.dispatches": 3.0, "limit.cancelling": true, "limit.retryAfter": true, "limit.maxRetryAfter": 900.0, "limit.openCap": 100.0,
@@ -39,8 +40,8 @@
 	return &Scan{ID: id, Account: account, Text: "t", TimeLeft: 2000, At: 1000, Parts: []ScanPart{{0, 0.5, 10}, {1, 0.5, 10}}}
 }
 
-// A tenant that asks for more than its cell has is throttled at once, told when to return; the other cell's tenant is
-// served, each by its own cell's stores alone; a client that goes gives its place back.
+// A tenant that exceeds the limit of its cell is throttled at once with a time to retry; the tenant of the other cell
+// is served. Each uses only the stores of its own cell. A client that leaves frees its capacity.
 func TestConfined(t *testing.T) {
 	c, _ := confinedCore(t)
 	var in []Input
@@ -74,7 +75,7 @@
 	}
 	first := in[0].(*Scan)
 	c.Step(1010, []Input{Left{first}, board("again", "bad")})
-	assert.Equal(t, 7, c.Counts.Confined, "its place is free again")
+	assert.Equal(t, 7, c.Counts.Confined, "its capacity is free again")
 	assert.Equal(t, 3, c.Cells()[0].Open)
 	c.Step(4000, nil)
 	c.Step(4005, nil)
@@ -82,7 +83,7 @@
 	assert.Zero(t, c.Cells()[1].Open)
 }
 
-// A cell whose stores go refuses, and the other cell does not notice; before any list there is no cell at all.
+// A cell that loses its stores refuses scans and the other cell is not affected; without any list no cell exists.
 func TestLostCell(t *testing.T) {
 	c, nodes := confinedCore(t)
 	gone := c.guard.moves.Map.Holders("a", 0)[0]
@@ -104,37 +105,38 @@
 	}
 	assert.Equal(t, want, away)
 	assert.True(t, c.Cells()[0].Lost)
-	empty := New(c.site, nil, 1, nil)
+	empty := New(c.settings, nil, 1, nil)
 	empty.Confine(cells.Plan{Cells: []cells.Cell{{Name: "a"}}}, map[string]quota.Limits{"a": {}}, 0, 0, func() float64 { return 0 })
 	out := step(empty, 1000, board("x", "t"))
 	require.Len(t, out, 1)
 	assert.Contains(t, out[0].(Reply).Why, "no cell can be laid out")
 }
 
-// few lets so many scans be open at once, for all cells and tenants together.
-type few struct{ open, most, done int }
+// openLimiter limits the number of open scans over all cells and tenants.
+type openLimiter struct{ open, maxOpen, done int }
 
-func (l *few) Take(account, cell string, work, lasts float64) Ruling {
-	if l.open >= l.most {
+func (l *openLimiter) Take(account, cell string, work, lasts float64) Ruling {
+	if l.open >= l.maxOpen {
 		return Ruling{Why: "the fleet's limit few", After: 300}
 	}
 	l.open++
 	return Ruling{Taken: true}
 }
 
-func (l *few) Again(account, cell string, work, lasts float64) Ruling {
+func (l *openLimiter) Again(account, cell string, work, lasts float64) Ruling {
 	return l.Take(account, cell, work, lasts)
 }
 
-func (l *few) Left() float64 { return math.Inf(1) }
-func (l *few) Further() bool { return true }
+func (l *openLimiter) Left() float64 { return math.Inf(1) }
+func (l *openLimiter) Further() bool { return true }
 
-func (l *few) Done(account, cell string, work float64) { l.open, l.done = l.open-1, l.done+1 }
+func (l *openLimiter) Done(account, cell string, work float64) { l.open, l.done = l.open-1, l.done+1 }
 
-// A scan that the shared limits turn away is answered at once and its cell has its place back; one that they took is told of once, however it ends.
+// A scan that exceeds the shared limits is throttled at once and its cell's capacity is released; Done is called once for
+// an admitted scan, however it ends.
 func TestLimited(t *testing.T) {
 	c, _ := confinedCore(t)
-	l := &few{most: 2}
+	l := &openLimiter{maxOpen: 2}
 	c.Limit(l)
 	var in []Input
 	for i := range 5 {
@@ -151,35 +153,36 @@
 	}
 	assert.Equal(t, 3, throttled)
 	assert.Equal(t, 3, c.Counts.Limited)
-	assert.Equal(t, 2, c.Cells()[0].Open, "the cell holds no place for those turned away")
+	assert.Equal(t, 2, c.Cells()[0].Open, "refused scans hold no capacity of the cell")
 	c.Step(1010, []Input{Left{in[0].(*Scan)}})
-	assert.Equal(t, few{1, 2, 1}, *l)
+	assert.Equal(t, openLimiter{1, 2, 1}, *l)
 	c.Step(4000, nil)
 	c.Step(4005, nil)
-	assert.Equal(t, few{0, 2, 2}, *l)
+	assert.Equal(t, openLimiter{0, 2, 2}, *l)
 }
 
-// tight has a budget of further dispatches too.
-type tight struct {
-	few
-	left  float64
-	asked int
+// budgetLimiter is an openLimiter with a retry budget.
+type budgetLimiter struct {
+	openLimiter
+	left     float64
+	requests int
 }
 
-func (l *tight) Left() float64 { return l.left }
-func (l *tight) Further() bool {
-	if l.asked++; l.left < 1 {
+func (l *budgetLimiter) Left() float64 { return l.left }
+func (l *budgetLimiter) Further() bool {
+	if l.requests++; l.left < 1 {
 		return false
 	}
 	l.left--
 	return true
 }
 
-// A part that failed is sent again only within the fleet's budget; a scan that it keeps from an answer is given up at once, and that more was wanted is said.
+// A failed part is dispatched again only within the fleet's retry budget. A scan that cannot be answered without more
+// budget ends at once, and the need for more budget is reported.
 func TestFurtherBudget(t *testing.T) {
 	for left, want := range map[float64]int{0: 0, 1: 0, 2: 2} {
 		c, _ := confinedCore(t)
-		l := &tight{few: few{most: 9}, left: left}
+		l := &budgetLimiter{openLimiter: openLimiter{maxOpen: 9}, left: left}
 		c.Limit(l)
 		sent, answered := 0, 0
 		play := func(now float64, in ...Input) (refs []int64) {
@@ -207,29 +210,30 @@
 			refs = play(now, in...)
 		}
 		assert.Equal(t, want, sent-first, "with %v left", left)
-		assert.Positive(t, l.asked)
+		assert.Positive(t, l.requests)
 		if left < 2 {
 			assert.Equal(t, 1, answered, "at once")
 		}
-		if left < 2 { // one alone would not save the scan: it is not spent
+		if left < 2 { // a budget of one would not save the scan and is not spent
 			assert.Positive(t, c.Counts.Short)
 		}
 	}
 }
 
-// late lets scans wait.
-type late struct{ few }
+// queueingLimiter queues the scans that it does not admit.
+type queueingLimiter struct{ openLimiter }
 
-func (l *late) Take(account, cell string, work, lasts float64) Ruling {
-	v := l.few.Take(account, cell, work, lasts)
+func (l *queueingLimiter) Take(account, cell string, work, lasts float64) Ruling {
+	v := l.openLimiter.Take(account, cell, work, lasts)
 	v.Wait = 25
 	return v
 }
 
-// A scan that may wait is taken when its tokens come, turned away at once when its wait is over, and gone with its client; it holds its cell's place meanwhile and no longer.
+// A queued scan is admitted when tokens arrive, throttled when its wait is over, and dropped when its client leaves. It
+// holds capacity of its cell only while it is queued.
 func TestWaitsForTokens(t *testing.T) {
 	c, _ := confinedCore(t)
-	l := &late{}
+	l := &queueingLimiter{}
 	c.Limit(l)
 	play := func(now float64, in ...Input) (replies, calls int) {
 		for _, o := range c.Step(now, in) {
@@ -245,22 +249,22 @@
 	}
 	gone := board("z", "good")
 	replies, calls := play(1010, board("x", "good"), board("y", "good"), gone)
-	assert.Zero(t, replies+calls, "they wait")
-	l.most = 1
+	assert.Zero(t, replies+calls, "all are queued")
+	l.maxOpen = 1
 	replies, calls = play(1015, LimitsMoved{}, Left{gone})
 	assert.Zero(t, replies)
-	assert.Positive(t, calls, "one is taken")
+	assert.Positive(t, calls, "one is admitted")
 	replies, _ = play(1034)
 	assert.Zero(t, replies)
 	replies, _ = play(1036)
-	assert.Equal(t, 1, replies, "the other is turned away, the third has gone")
-	assert.Empty(t, c.waits)
+	assert.Equal(t, 1, replies, "the second is throttled, the third has left")
+	assert.Empty(t, c.queued)
 	open := 0
 	for _, v := range c.Cells() {
 		open += v.Open
 	}
-	assert.Equal(t, 1, open, "cells hold the one that is open")
+	assert.Equal(t, 1, open, "the cells count only the open scan")
 	c.Step(1040, []Input{board("w", "good")})
 	replies, _ = play(1041, Closing{})
-	assert.Equal(t, 2, replies, "none stays without an answer")
+	assert.Equal(t, 2, replies, "every scan gets a reply")
 }
--- a/internal/core/nodes.go
+++ b/internal/core/nodes.go
@@ -10,10 +10,10 @@
 	"gullstair/logic"
 )
 
-// list gives the nodes of a list their numbers and tells the module. A node's number is made of its name, so
-// that all brokers, which share nothing, mean the same node by it; where two names meet, the next free number
-// is taken. A name keeps its number for good.
-func (c *Core) list(l List) {
+// applyList assigns numbers to the nodes of a list and passes the list to the module. A node's number is a hash
+// of its name, so that all brokers use the same number without coordination. A collision takes the next free
+// number. A name keeps its number as long as the node is known.
+func (c *Core) applyList(l List) {
 	e := logic.Event{Kind: logic.ListArrived, List: l.Kind}
 	named := map[int64]bool{}
 	for _, n := range l.Nodes {
@@ -21,52 +21,52 @@
 		if c.drained[n.Host] && n.Readiness == logic.Ready {
 			n.Readiness = logic.Draining
 		}
-		num, known := c.nodes[n.Host]
+		num, known := c.numbers[n.Host]
 		if !known {
 			h := fnv.New32a()
 			h.Write([]byte(n.Host))
-			for num = int64(h.Sum32()); num == 0 || c.hosts[num] != nil; num++ {
+			for num = int64(h.Sum32()); num == 0 || c.knownNodes[num] != nil; num++ {
 			}
-			c.nodes[n.Host], c.hosts[num] = num, &place{host: n.Host}
+			c.numbers[n.Host], c.knownNodes[num] = num, &nodeState{host: n.Host}
 		}
 		named[num] = true
-		c.place(c.hosts[num], n, listed)
-		e.Entries = append(e.Entries, logic.Entry{Node: num, Zone: c.index(c.site.Zones, n.Zone),
-			Kind: c.index(c.site.Kinds, n.Kind), Cell: n.Cell, Readiness: n.Readiness, Units: n.Units, Born: n.Born})
+		c.updateNode(c.knownNodes[num], n, listed)
+		e.Entries = append(e.Entries, logic.Entry{Node: num, Zone: c.index(c.settings.Zones, n.Zone),
+			Kind: c.index(c.settings.Kinds, n.Kind), Cell: n.Cell, Readiness: n.Readiness, Units: n.Units, Born: n.Born})
 	}
 	if l.Kind == logic.ListWhole || l.Kind == logic.ListCached {
-		for num, at := range c.hosts {
+		for num, at := range c.knownNodes {
 			if !named[num] && !at.gone {
 				at.gone, at.ready = true, false
-				c.do(Move{Host: at.host, Addr: at.addr, Gone: true})
+				c.emit(Move{Host: at.host, Addr: at.addr, Gone: true})
 			}
 		}
 	}
 	c.events = append(c.events, e)
-	c.guard.list(c)
-	c.release()
-	if c.sharing {
-		c.do(c.listed())
+	c.guard.applyNodes(c)
+	c.forgetGoneNodes()
+	if c.reportsList {
+		c.emit(c.nodeList())
 	}
 }
 
-// place takes up what a list says of a node, and tells the node's peer if it concerns that: where the node is, that it
-// drains, or that it is gone.
-func (c *Core) place(at *place, n, listed Node) {
+// updateNode stores what a list reports of a node. It emits a change of the node's address and the fact that the
+// node drains or is gone.
+func (c *Core) updateNode(at *nodeState, n, listed Node) {
 	ready, gone := n.Readiness == logic.Ready, n.Readiness == logic.Gone
 	moved := n.Addr != "" && at.addr != n.Addr || at.gone != gone || at.ready && !ready
 	at.node, at.zone, at.cell, at.born = listed, n.Zone, n.Cell, n.Born
 	at.addr, at.ready, at.gone = cmp.Or(n.Addr, at.addr), ready, gone
 	if moved {
-		c.do(Move{Host: at.host, Addr: at.addr, Draining: !ready && !gone, Gone: gone})
+		c.emit(Move{Host: at.host, Addr: at.addr, Draining: !ready && !gone, Gone: gone})
 	}
 }
 
-// listed names the nodes that may be probed, in order.
-func (c *Core) listed() Listed {
+// nodeList returns the nodes that may be probed and all nodes of the list, sorted by name.
+func (c *Core) nodeList() Listed {
 	var l Listed
-	for _, host := range slices.Sorted(maps.Keys(c.nodes)) {
-		at := c.hosts[c.nodes[host]]
+	for _, host := range slices.Sorted(maps.Keys(c.numbers)) {
+		at := c.knownNodes[c.numbers[host]]
 		if at.ready {
 			l.Hosts = append(l.Hosts, host)
 		}
@@ -77,9 +77,10 @@
 	return l
 }
 
-// held tells the module of a verdict. What an operator has drained is to it as if the list said so: nothing new goes there, and what is out may end.
-func (c *Core) held(v Held) {
-	num, known := c.nodes[v.Host]
+// applyVerdict passes a verdict to the module. A node drained by an operator is reported as draining, as if by the
+// list: it gets no new dispatches, and outstanding ones may finish.
+func (c *Core) applyVerdict(v Held) {
+	num, known := c.numbers[v.Host]
 	if was := c.drained[v.Host]; was != v.Drained {
 		if delete(c.drained, v.Host); v.Drained {
 			if c.drained == nil {
@@ -87,49 +88,50 @@
 			}
 			c.drained[v.Host] = true
 		}
-		if known && !c.hosts[num].gone {
-			c.list(List{Kind: logic.ListChanges, Nodes: []Node{c.hosts[num].node}})
+		if known && !c.knownNodes[num].gone {
+			c.applyList(List{Kind: logic.ListChanges, Nodes: []Node{c.knownNodes[num].node}})
 		}
 	}
-	if known && !c.hosts[num].gone && v.Outcome != 0 {
+	if known && !c.knownNodes[num].gone && v.Outcome != 0 {
 		c.events = append(c.events, logic.Event{Kind: logic.VerdictHeard, Node: num, Outcome: v.Outcome, Age: v.Age})
 	}
 }
 
-// Judge begins to tell outcomes on.
-func (c *Core) Judge() { c.judges = true }
+// ReportOutcomes makes the core emit the outcomes of dispatches.
+func (c *Core) Judge() { c.reportsOutcomes = true }
 
-// Share begins to tell the list on, and says what it is.
+// ReportList makes the core emit the node list on each change, and returns the current one.
 func (c *Core) Share() Listed {
-	c.sharing = true
-	return c.listed()
+	c.reportsList = true
+	return c.nodeList()
 }
 
-// release forgets the nodes that are gone, once nothing is out at them: where nodes are replaced under new names all
-// day their names would pile up. One that comes back is met as a stranger, by the number that its name makes.
-func (c *Core) release() {
+// forgetGoneNodes removes gone nodes without outstanding dispatches or probes. Otherwise the names of nodes that are
+// replaced under new names would accumulate. A node that returns is a new node and gets the number that its name
+// hashes to.
+func (c *Core) forgetGoneNodes() {
 	busy := map[int64]bool{}
-	for _, d := range c.flights {
+	for _, d := range c.dispatches {
 		busy[d.node] = true
 	}
 	for _, p := range c.probes {
 		busy[p.node] = true
 	}
-	for num, at := range c.hosts {
+	for num, at := range c.knownNodes {
 		if at.gone && !busy[num] {
-			delete(c.hosts, num)
-			delete(c.nodes, at.host)
+			delete(c.knownNodes, num)
+			delete(c.numbers, at.host)
 		}
 	}
 }
 
-// index is a name's place in a list of the settings; one that is not there gets -1, which is nobody's.
+// index returns the index of a name in the settings, or -1 and a log line if the name is unknown.
 func (c *Core) index(list map[string]int, name string) int {
 	if i, known := list[name]; known {
 		return i
 	}
-	c.do(Log{Text: "a node's zone or kind is not in the settings: " + strconv.Quote(name)})
+	c.emit(Log{Text: "a node's zone or kind is not in the settings: " + strconv.Quote(name)})
 	return -1
 }
 
-func (c *Core) do(o Output) { c.out = append(c.out, o) }
+func (c *Core) emit(o Output) { c.out = append(c.out, o) }
--- a/internal/core/probe_test.go
+++ b/internal/core/probe_test.go
@@ -30,11 +30,11 @@
 		k.events, k.now = nil, c.now
 		for _, e := range c.ends {
 			e.Ref = p.Ref
-			k.ended(e)
+			k.dispatchEnded(e)
 		}
 		if len(c.ends) == 0 {
-			k.fire(k.dues[0])
-			k.ended(Ended{Ref: p.Ref, How: Answered})
+			k.fire(k.timers[0])
+			k.dispatchEnded(Ended{Ref: p.Ref, How: Answered})
 		}
 		if assert.Len(t, k.events, 1, name) {
 			e := k.events[0]
--- a/internal/core/shared_test.go
+++ b/internal/core/shared_test.go
@@ -10,7 +10,7 @@
 	"gullstair/logic"
 )
 
-// step steps a core whose module has no settings, and leaves out what that has to say of it.
+// step steps a core whose module has no settings, and omits the module's log lines.
 func step(k *Core, now float64, in ...Input) (out []Output) {
 	for _, o := range k.Step(now, in) {
 		if _, said := o.(Log); !said {
@@ -20,8 +20,8 @@
 	return out
 }
 
-// Probes that brokers share: a node that drains, is gone or is not known is not probed; an end is told to the module and
-// to those who share; what another broker found is told to the module with its age.
+// Shared probes: a node that is draining, gone or unknown is not probed; the result goes to the module and to the other
+// brokers; the result of another broker goes to the module with its age.
 func TestSharedProbes(t *testing.T) {
 	list := []Node{{Host: "s-a", Addr: "127.0.0.1:2", Readiness: logic.Ready}, {Host: "s-b", Addr: "127.0.0.1:3", Readiness: logic.Draining}}
 	k := New(terms.Site{ConnectTimeout: 250}, nil, 1, list)
@@ -36,44 +36,45 @@
 	assert.Equal(t, "s-a", p.Host)
 	load := map[string]float64{"busy": 1}
 	k.now = 1020
-	k.ended(Ended{Ref: p.Ref, How: Answered, At: 1020, Load: load})
+	k.dispatchEnded(Ended{Ref: p.Ref, How: Answered, At: 1020, Load: load})
 	assert.Equal(t, []Output{Probed{Host: "s-a", Served: true, Load: load}}, k.out)
 	require.Len(t, k.events, 1)
 	assert.Equal(t, logic.ProbeEnded, k.events[0].Kind)
 	k.events, k.out = nil, nil
 	out = step(k, 1300, ProbeFor{"s-a"})
 	p = out[0].(Probe)
-	assert.Equal(t, []Output{Probed{Host: "s-a"}}, step(k, 1600), "it never answered")
+	assert.Equal(t, []Output{Probed{Host: "s-a"}}, step(k, 1600), "the probe times out")
 	assert.Empty(t, k.probes)
-	k.probeHeard(ProbeHeard{Host: "s-a", Age: 40, Served: true, Load: load})
-	k.probeHeard(ProbeHeard{Host: "s-x", Age: 40, Served: true, Load: load})
-	require.Len(t, k.events, 1, "of a node that no list has named nothing is told")
+	k.applyPeerProbe(ProbeHeard{Host: "s-a", Age: 40, Served: true, Load: load})
+	k.applyPeerProbe(ProbeHeard{Host: "s-x", Age: 40, Served: true, Load: load})
+	require.Len(t, k.events, 1, "results for an unknown node are dropped")
 	e := k.events[0]
 	assert.Equal(t, [3]any{logic.Completed, 40.0, k.Number("s-a")}, [3]any{e.Outcome, e.Age, e.Node})
 	out = step(k, 1700, List{Kind: logic.ListChanges, Nodes: []Node{{Host: "s-a", Readiness: logic.Gone}}})
-	assert.Contains(t, out, Listed{Nodes: list[1:]}, "the list is told on")
+	assert.Contains(t, out, Listed{Nodes: list[1:]}, "the list is emitted")
 }
 
-// What an operator has drained is to the module as if the list said so, and back when that is over; notes and verdicts reach it, of nodes that are known.
+// A node drained by an operator is reported to the module as draining until the drain ends; notes, and verdicts on known
+// nodes, reach the module.
 func TestHeldNodes(t *testing.T) {
 	list := []Node{{Host: "s-a", Addr: "127.0.0.1:2", Readiness: logic.Ready}}
 	k := New(terms.Site{}, nil, 1, list)
 	k.Share()
 	step(k, 1000)
-	k.held(Held{Host: "s-a", Outcome: logic.Errored, Age: 30, Drained: true})
+	k.applyVerdict(Held{Host: "s-a", Outcome: logic.Errored, Age: 30, Drained: true})
 	require.Len(t, k.events, 2)
 	assert.Equal(t, logic.Draining, k.events[0].Entries[0].Readiness)
 	assert.Equal(t, [4]any{logic.VerdictHeard, k.Number("s-a"), logic.Errored, 30.0}, [4]any{k.events[1].Kind, k.events[1].Node, k.events[1].Outcome, k.events[1].Age})
-	assert.Empty(t, k.listed().Hosts, "nobody probes it")
-	assert.Equal(t, list, k.listed().Nodes, "others hear what the list says")
+	assert.Empty(t, k.nodeList().Hosts, "it is not probed")
+	assert.Equal(t, list, k.nodeList().Nodes, "other brokers get what the list reports")
 	k.events = nil
-	k.list(List{Kind: logic.ListWhole, Nodes: list})
-	assert.Equal(t, logic.Draining, k.events[0].Entries[0].Readiness, "whatever the list says meanwhile")
+	k.applyList(List{Kind: logic.ListWhole, Nodes: list})
+	assert.Equal(t, logic.Draining, k.events[0].Entries[0].Readiness, "whatever the list reports")
 	k.events = nil
-	k.held(Held{Host: "s-a", Outcome: logic.Completed})
+	k.applyVerdict(Held{Host: "s-a", Outcome: logic.Completed})
 	assert.Equal(t, logic.Ready, k.events[0].Entries[0].Readiness)
 	k.events = nil
-	k.held(Held{Host: "s-x", Outcome: logic.Errored})
+	k.applyVerdict(Held{Host: "s-x", Outcome: logic.Errored})
 	assert.Empty(t, k.events)
 	k.Step(1010, []Input{Told{Note: []byte{1, 2, 3}}})
 }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -5,38 +5,39 @@
 	"gullstair/logic"
 )
 
-// Input is what the sockets tell the core: a *Scan, Left, Ended, List, ProbeFor, ProbeHeard, LimitsMoved, Told, Held, AskCells or Closing.
+// Input is an input of the core: *Scan, ClientLeft, Ended, List, ProbeRequest, PeerProbe, LimitsChanged, PeerNote,
+// NodeVerdict, CellsQuery or Closing.
 type Input any
 
-// Scan is what a client asked for. The front fills it and finds it again in Reply.
+// Scan is a client's request. The front fills it in and gets it back in Reply.
 type Scan struct {
 	ID, Key, Text string
 	TableType     int
 	Tenant        int
-	Account       string // the tenant by name, as its client says it; "" is a tenant too
+	Account       string // the tenant's name as the client states it; "" is a tenant too
 	Repeat        bool
-	TimeLeft      float64 // for how long the client waits, counted from At
-	At            float64 // clock time at which its first byte was read
+	TimeLeft      float64 // how long the client waits, in ms from At
+	At            float64 // clock time at which the first byte was read
 	Parts         []ScanPart
-	Client        any // the front's own
+	Client        any // for the front's use only
 
-	num   int64 // the core's number; 0 before it has one
-	began float64
-	work  float64 // of all parts, as hinted
-	held  confine.Verdict
-	fleet bool // it was taken by limits that others share
+	num         int64 // the core's number; 0 before it is assigned
+	admittedAt  float64
+	work        float64 // work hint of all parts
+	verdict     confine.Verdict
+	holdsLimits bool // it holds capacity of the shared limits
 }
 
-// ScanPart is one part of a scan as its client asked for it.
+// ScanPart is one part of a scan, as requested by the client.
 type ScanPart struct {
 	Shard        int
 	Weight, Work float64
 }
 
-// Left says that the client of a scan has gone.
+// ClientLeft reports that the client of a scan has disconnected.
 type Left struct{ Scan *Scan }
 
-// Ended says how a dispatch ended, and when.
+// Ended reports why and when a dispatch or a probe ended.
 type Ended struct {
 	Ref   int64
 	How   End
@@ -46,16 +47,16 @@
 	Load  map[string]float64
 }
 
-// Closing says that the broker ends now: each open scan gets its answer.
+// Closing reports that the broker stops now: each open scan gets its reply.
 type Closing struct{}
 
-// List is what discovery says.
+// List is a list of nodes, or a change of one, from discovery.
 type List struct {
 	Kind  logic.ListKind
 	Nodes []Node
 }
 
-// Node is one line of a list, in the words of the sockets.
+// Node is one entry of a list.
 type Node struct {
 	Host, Addr, Zone, Kind string
 	Cell                   int
@@ -63,25 +64,26 @@
 	Units, Born            float64
 }
 
-// ProbeFor asks for a node's load on behalf of all brokers that share that duty. It ends with Probed.
+// ProbeRequest requests the probe of a node on behalf of all brokers that share this duty. It is answered by ProbeResult.
 type ProbeFor struct{ Host string }
 
-// ProbeHeard brings what another broker's probe of a node found. Served: the node answered; then Load is its report.
+// PeerProbe is the result of another broker's probe of a node. Load is set if the node answered (Served).
 type ProbeHeard struct {
 	Host   string
-	Age    float64 // ms since it was probed
+	Age    float64 // ms since the probe
 	Served bool
 	Load   map[string]float64
 }
 
-// LimitsMoved says that what scans wait for may have come to the Limiter.
+// LimitsChanged reports that the Limiter may have capacity for queued scans.
 type LimitsMoved struct{}
 
-// Told is a note of another broker's module.
+// PeerNote is a note from the module of another broker.
 type Told struct{ Note []byte }
 
-// Held is what several brokers, or an operator, hold of a node: Outcome as the module has it (0: nothing that the module is to hear of), and ms since the newest that it rests on. Drained: an operator has it
-// drained, and nothing new may go there.
+// NodeVerdict is a verdict of several brokers, or of an operator, on a node. Outcome is 0 if there is nothing to
+// report to the module; Age is the time in ms since the newest observation behind it. Drained means that an operator
+// drains the node: it gets no new dispatches.
 type Held struct {
 	Host    string
 	Outcome logic.Outcome
@@ -89,13 +91,14 @@
 	Drained bool
 }
 
-// AskCells asks what is seen of the cells; Reply has room for one answer.
+// CellsQuery queries the state of the cells. Reply must have a buffer of one.
 type AskCells struct{ Reply chan<- []CellView }
 
-// Output is what the core wants done: a Call, GiveUp, Probe, Probed, Listed, Reply, Move, Watch, Tell, Judged, HeldBack or Log.
+// Output is an output of the core: Call, Cancel, Probe, ProbeResult, NodeList, Reply, NodeChange, SubscribeList, SendNote,
+// OutcomeReport, ScanRefused or Log.
 type Output any
 
-// Call is one frame to a node.
+// Call is one frame to a node, with one or more parts.
 type Call struct {
 	Host, Addr string
 	Parts      []CallPart
@@ -103,82 +106,83 @@
 
 // CallPart is one part in a Call.
 type CallPart struct {
-	Ref       int64 // of the dispatch; never used again
+	Ref       int64 // number of the dispatch; never reused
 	ID        string
 	Shard     int
-	Until     float64 // clock time up to which the broker waits
-	NotAfter  float64 // clock time past which it must not be written; 0: there is none
-	Key, From string  // From: the shards that were in, for a second step
+	Until     float64 // clock time at which the dispatch times out
+	NotAfter  float64 // clock time after which it must not be written; 0 means no limit
+	Key, From string  // From: the shards that answered the first step, for a second step
 	Whole     bool
 	Text      string
 }
 
-// GiveUp says that nobody waits for a dispatch any more.
+// Cancel tells a node that the result of a dispatch is no longer needed.
 type GiveUp struct {
 	Host string
 	Ref  int64
 }
 
-// Probe asks a node for its load. It ends as a dispatch does, with Ended.
+// Probe queries the load of a node. Like a dispatch, it is answered by Ended.
 type Probe struct {
 	Host, Addr string
 	Ref        int64
 }
 
-// Probed is the end of a ProbeFor.
+// ProbeResult is the result of a ProbeRequest.
 type Probed struct {
 	Host   string
 	Served bool
 	Load   map[string]float64
 }
 
-// Listed names the nodes that may be probed, after each change of the list, and all that are on it. It is told once Core.Share was called.
+// NodeList holds the names of the nodes that may be probed and all nodes of the list. It is emitted after each change
+// of the list once Core.ReportList was called.
 type Listed struct {
 	Hosts []string
 	Nodes []Node
 }
 
-// Tell is a note for the modules of all other brokers.
+// SendNote is a note to the modules of all other brokers.
 type Tell struct{ Note []byte }
 
-// Judged is an outcome that the module counts for or against a node, or that a node turned a part away.
+// OutcomeReport is an outcome that the module counts for or against a node, or the fact that a node rejected a part.
 type Judged struct {
 	Host    string
 	Outcome logic.Outcome
-	Late    bool // it completed, but late
+	Late    bool // it completed, but after its target
 }
 
-// HeldBack is a scan that a limit turned away.
+// ScanRefused reports a scan that a limit refused.
 type HeldBack struct{ Account, Why string }
 
-// Reply is the one answer to a scan.
+// Reply is the one reply to a scan.
 type Reply struct {
 	Scan       *Scan
 	Kind       logic.ActionKind // Answer, Throttle or Abandon
 	Whole      bool
 	Hits       []Hit
-	RetryAfter float64 // 0: says nothing
-	Why        string  // a word to the client, where there is one
-	Conflict   bool    // the request was not taken: its id is another's
+	RetryAfter float64 // ms; 0 means none
+	Why        string  // reason for the client; may be empty
+	Conflict   bool    // the request was rejected: an open scan has the same ID
 }
 
-// Hit is the value of one part that is in.
+// Hit is the value of one answered part.
 type Hit struct {
 	Shard int
 	Value string
 }
 
-// Move says where a node is to be reached from now on, that it drains and may be sent nothing new, or that it is gone.
+// NodeChange reports that a node has a new address, that it drains and gets no new dispatches, or that it is gone.
 type Move struct {
 	Host, Addr string
 	Draining   bool
 	Gone       bool
 }
 
-// Watch says that the list is to be followed.
+// SubscribeList requests the node list from discovery.
 type Watch struct{}
 
-// Log is a line of the module's; Fatal: it cannot go on.
+// Log is a log line of the module. Fatal means that the module cannot continue.
 type Log struct {
 	Text  string
 	Fatal bool
