--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -1,5 +1,6 @@
-// Package broker puts one broker together: the core's actor with its mailbox and clock, the front, the peers
-// of the nodes and the watch of the list.
+// Package broker assembles one broker of the aggregator: the actor that steps the core, with its mailbox and clock,
+// the front for clients, the connections to the nodes, and the subscription to the node list. It does all I/O
+// through these parts.
 package broker
 
 import (
@@ -28,102 +29,103 @@
 )
 
 const (
-	mailboxSize = 1024
-	batchMost   = 4096
-	tallyEvery  = 10 * time.Second
-	readWithin  = 2500 * time.Millisecond // clients are owed an error or a close within 3 s; open connections, 2 s
-	lastWords   = 200 * time.Millisecond  // for the answers to scans that outlast the end
-	listenFor   = 15 * time.Second
-	listenAgain = 10 * time.Millisecond
-	// readAheadShare is which part of the memory clients may fill with requests behind one that is at work.
+	mailboxSize         = 1024
+	maxBatch            = 4096
+	tallyInterval       = 10 * time.Second
+	readTimeout         = 2500 * time.Millisecond // clients must get an error or a close within 3 s, those with open connections within 2 s
+	finalFlushTimeout   = 200 * time.Millisecond  // for writing the replies to scans that are still open at the end of the shutdown
+	listenTimeout       = 15 * time.Second
+	listenRetryInterval = 10 * time.Millisecond
+	// readAheadShare is the fraction (1/n) of the memory that clients may fill with pipelined requests.
 	readAheadShare = 16
-	spareFiles     = 24 // descriptors for the listener, discovery, standard streams and the runtime
+	reservedFiles  = 24 // file descriptors for the listener, discovery, standard streams and the runtime
 )
 
-// Clocks are a machine's: ns since some moment, suspended or not, and the wall clock.
+// Clocks are the clocks of a machine: Elapsed returns ns since a fixed point and includes time in suspend; Wall is the
+// wall clock.
 type Clocks struct {
 	Elapsed func() int64
 	Wall    func() time.Time
 }
 
-// MachineClocks are those of this machine.
+// MachineClocks returns the clocks of this machine.
 func MachineClocks() Clocks { return Clocks{guard.Now, time.Now} }
 
-// Clock is one clock for all of a broker: Unix milliseconds at its start and monotonic time since.
+// Clock is the clock of a broker: Unix milliseconds at its start plus the monotonic time since.
 type Clock struct {
 	base  float64
 	begun time.Time
 }
 
-// NewClock starts a clock.
+// NewClock returns a clock that starts now.
 func NewClock() Clock {
 	t := time.Now()
 	return Clock{float64(t.UnixNano()) / 1e6, t}
 }
 
-// Now never steps back.
+// Now returns Unix milliseconds. It never goes backwards.
 func (c Clock) Now() float64 { return c.base + float64(time.Since(c.begun))/1e6 }
 
 // Broker is one running broker.
 type Broker struct {
-	told   *config.Told
-	clock  Clock
-	core   *core.Core
-	turn   float64
-	mail   chan core.Input
-	served chan struct{} // closed when nobody comes in any more
-	ending chan struct{} // closed: the broker was told to end
-	stop   chan struct{} // closed: the actor ends
-	ended  sync.WaitGroup
-	front  *front.Front
-	fleet  *node.Fleet
-	watch  *discovery.Watch
-	ln     net.Listener
-	log    zerolog.Logger
-	fatal  chan error
+	startFile *config.Told
+	clock     Clock
+	core      *core.Core
+	turn      float64
+	mailbox   chan core.Input
+	frontDone chan struct{} // closed when the front accepts no more clients
+	stopping  chan struct{} // closed when the broker is asked to stop
+	stop      chan struct{} // closed to stop the actor
+	actorDone sync.WaitGroup
+	front     *front.Front
+	fleet     *node.Fleet
+	watch     *discovery.Watch
+	ln        net.Listener
+	log       zerolog.Logger
+	fatal     chan error
 
-	listed bool // the actor's: the module has a list with nodes
+	listed bool // set by the actor once the module has a list with nodes
 
-	clocks   Clocks // of what brokers share; scans go by clock
+	clocks   Clocks // for what brokers share; scans use clock
 	features *features.Document
-	shared   *shared         // nil: nothing is shared
-	control  *control.Server // nil: no socket
+	sharing  *sharingState   // nil if nothing is shared
+	control  *control.Server // nil without a control socket
 }
 
-// Start brings a broker up: it listens, has told the module its start and its cached list, and follows
-// the list. Features are what the installation has beyond the platform; nil is none.
+// Start starts a broker: it listens, passes the start event and the cached list to the module, and subscribes to
+// the list. Features are the optional features of the installation; nil means none.
 func Start(t *config.Told, f *features.Document, log zerolog.Logger) (*Broker, error) {
 	return StartBy(MachineClocks(), nil, t, f, log)
 }
 
-// ErrAbandoned says that a start was given up before anything was taken.
-var ErrAbandoned = errors.New("told to end before the start")
+// ErrAbandoned reports that a start was aborted before the broker accepted anything.
+var ErrAbandoned = errors.New("stopped before the start")
 
-// StartBy is Start with other clocks for what brokers share, and given up with ErrAbandoned once abandon is closed
-// while the address is still another's.
+// StartBy is Start with other clocks for what brokers share. It fails with ErrAbandoned if abandon is closed while
+// the address is still in use by another process.
 func StartBy(clocks Clocks, abandon <-chan struct{}, t *config.Told, f *features.Document, log zerolog.Logger) (*Broker, error) {
 	if f == nil {
 		f = &features.Document{}
 	}
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(t.MemoryMB) << 20 * 3 / 4)
-	ln, err := listen(t.Listen, listenFor, abandon)
+	ln, err := listen(t.Listen, listenTimeout, abandon)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
-	b := &Broker{told: t, clock: NewClock(), turn: t.Site.Turn, mail: make(chan core.Input, mailboxSize),
-		stop: make(chan struct{}), served: make(chan struct{}), ending: make(chan struct{}), ln: ln, log: log, fatal: make(chan error, 1), features: f, clocks: clocks}
+	b := &Broker{startFile: t, clock: NewClock(), turn: t.Site.Turn, mailbox: make(chan core.Input, mailboxSize),
+		stop: make(chan struct{}), frontDone: make(chan struct{}), stopping: make(chan struct{}), ln: ln, log: log, fatal: make(chan error, 1), features: f, clocks: clocks}
 	nodeConns := t.Sockets / 4
 	b.fleet = node.NewFleet(node.Reach{PerConn: t.Site.PerConn, MaxConns: nodeConns,
 		ConnectTimeout: ms(t.Site.ConnectTimeout), Idle: ms(t.Site.ConnIdle)}, b.clock.Now,
 		func(e core.Ended) { b.put(e) }, log)
 	b.front = &front.Front{Site: t.Site, Now: b.clock.Now, Take: func(s *core.Scan) { b.put(s) },
-		Left: func(s *core.Scan) { b.put(core.Left{Scan: s}) }, Most: t.Sockets - nodeConns - front.ClosingMost - spareFiles, Ample: t.Sockets / 6, // half of what clients hold for requests
-		ReadAhead: t.MemoryMB << 20 / readAheadShare, ReadWithin: readWithin, Log: log}
+		Left: func(s *core.Scan) { b.put(core.Left{Scan: s}) }, Most: t.Sockets - nodeConns - front.ClosingMost - reservedFiles, Ample: t.Sockets / 6, // half of what clients may hold for requests
+		ReadAhead: t.MemoryMB << 20 / readAheadShare, ReadWithin: readTimeout, Log: log}
 	odd := func(host, why string) { log.Warn().Str("node", host).Msg(why) }
 	known := t.Known.Nodes(odd)
 	flat := maps.Clone(t.Flat)
-	if s := f.Sharing; s != nil { // what the module is told of what brokers share
+	if s := f.Sharing; s != nil { // the module has to know what brokers share
 		flat["limit.peers"], flat["share.verdicts"] = s.Notes, s.Verdicts != nil
 	}
 	b.core = core.New(t.Site, flat, t.Seed, known)
@@ -133,13 +135,14 @@
 		return nil, err
 	}
 	b.watch = discovery.Follow(t.Discovery, discovery.Options{Since: t.Known.Seq, OnAsk: t.Site.AskList, Seed: t.Seed}, func(l core.List) { b.put(l) }, log)
-	b.ended.Go(b.run)
+	b.actorDone.Go(b.run)
 	go func() {
-		defer close(b.served)
-		// Nobody is served by a list that the agent knows to be old; who comes meanwhile waits in the machine's queue.
+		defer close(b.frontDone)
+		// Scans are not served by a cached list that the discovery agent may know to be outdated. Until its first answer
+		// clients wait in the listen backlog.
 		select {
 		case <-b.watch.First():
-		case <-b.ending:
+		case <-b.stopping:
 		}
 		if err := b.front.Serve(ln); err != nil {
 			select {
@@ -158,8 +161,8 @@
 	return b, nil
 }
 
-// listen waits for an address that is in use: after a planned restart the broker that had it may still be
-// answering what it took. Where something else holds it the start fails so much later.
+// listen retries while the address is in use: during a planned restart the previous broker may still answer the scans
+// that it accepted. It fails after patience.
 func listen(addr string, patience time.Duration, abandon <-chan struct{}) (net.Listener, error) {
 	begun := time.Now()
 	for {
@@ -170,27 +173,27 @@
 		select {
 		case <-abandon:
 			return nil, ErrAbandoned
-		case <-time.After(listenAgain):
+		case <-time.After(listenRetryInterval):
 		}
 	}
 }
 
 func ms(x float64) time.Duration { return time.Duration(x * float64(time.Millisecond)) }
 
-// put waits for room in the mailbox.
+// put sends an input to the actor. It blocks while the mailbox is full.
 func (b *Broker) put(in core.Input) {
 	select {
-	case b.mail <- in:
+	case b.mailbox <- in:
 	case <-b.stop:
 	}
 }
 
-// run is the actor of the module and the core: it alone calls Step, at most once a turn of the settings.
+// run is the actor that owns the core and its module. Only it calls Step, at most once per turn (a setting).
 func (b *Broker) run() {
 	var batch []core.Input
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	tally := time.NewTicker(tallyEvery)
+	tally := time.NewTicker(tallyInterval)
 	defer tally.Stop()
 	last := math.Inf(-1)
 	ready := false
@@ -203,7 +206,7 @@
 		if now := b.clock.Now(); at > now || len(batch) == 0 && math.IsInf(at, 1) {
 			timer.Reset(ms(min(at-now, 1e6)))
 			select {
-			case in := <-b.mail:
+			case in := <-b.mailbox:
 				batch = append(batch, in)
 			case <-timer.C:
 			case <-tally.C:
@@ -211,13 +214,13 @@
 			case <-b.stop:
 				return
 			}
-			if len(batch) < batchMost {
+			if len(batch) < maxBatch {
 				continue
 			}
 		}
-		for more := true; more && len(batch) < batchMost; {
+		for more := true; more && len(batch) < maxBatch; {
 			select {
-			case in := <-b.mail:
+			case in := <-b.mailbox:
 				batch = append(batch, in)
 			default:
 				more = false
@@ -239,7 +242,7 @@
 	}
 }
 
-// carryOut does what the core wants done. What could not be done at all goes into the next batch.
+// carryOut executes the outputs of the core. Calls and probes that could not be queued go into the next batch as ended.
 func (b *Broker) carryOut(out []core.Output, batch []core.Input) []core.Input {
 	for _, o := range out {
 		switch v := o.(type) {
@@ -261,21 +264,21 @@
 		case core.Move:
 			b.fleet.Move(v)
 		case core.Probed:
-			b.shared.probed(v)
+			b.sharing.offerProbeResult(v)
 		case core.Listed:
-			b.shared.listed(v)
+			b.sharing.offerNodeList(v)
 		case core.Tell:
-			b.shared.tell(v.Note)
+			b.sharing.offerNote(v.Note)
 		case core.Judged:
-			b.shared.judged(v)
+			b.sharing.offerOutcome(v)
 		case core.HeldBack:
-			b.shared.heldBack(v)
+			b.sharing.offerRefusal(v)
 		case core.Watch:
 			b.watch.Ask()
 		case core.Log:
 			if v.Fatal {
 				select {
-				case b.fatal <- fmt.Errorf("the module cannot go on: %s", v.Text):
+				case b.fatal <- fmt.Errorf("the module cannot continue: %s", v.Text):
 				default:
 				}
 			}
@@ -285,41 +288,42 @@
 	return batch
 }
 
-// Renew takes up a start file that has been read again: the list is followed at the address that it names. The
-// rest of it waits for a restart.
+// Renew applies a start file that was read again: the subscription moves to the discovery address that it names. All
+// other changes take effect at the next start.
 func (b *Broker) Renew(t *config.Told) {
-	b.log.Info().Str("discovery", t.Discovery).Strs("at_next_start", b.told.Differ(t)).Msg("start file read again")
+	b.log.Info().Str("discovery", t.Discovery).Strs("at_next_start", b.startFile.Differ(t)).Msg("start file read again")
 	b.watch.Move(t.Discovery)
 }
 
-// Fatal brings the error that ends the broker.
+// Fatal returns a channel that receives the error that ends the broker.
 func (b *Broker) Fatal() <-chan error { return b.fatal }
 
-// Addr is where clients connect.
+// Addr returns the address for clients.
 func (b *Broker) Addr() string { return b.ln.Addr().String() }
 
-// Stop answers what was taken and ends, at the moments that ending lays out; patience bounds them. Below 0 it is what a
-// planned restart leaves.
+// Stop answers the accepted scans and stops the broker, on the schedule of ending.Begin, within patience. A negative
+// patience stands for the time that a planned restart leaves.
 func (b *Broker) Stop(patience time.Duration) {
 	b.log.Info().Msg("stopping")
-	close(b.ending)
+	close(b.stopping)
 	leaving := b.stopFeatures()
 	longest := 0.0
-	for _, typ := range b.told.Site.Types {
+	for _, typ := range b.startFile.Site.Types {
 		longest = max(longest, typ.Timeout)
 	}
 	done := b.front.Stop(ending.Begin(longest, float64(patience)/1e6))
-	// Nobody comes in any more before it is looked whether nobody is left: who came in between the two was read, and never answered, since nothing decided any more.
+	// The listener is closed before the check for open scans: a client accepted between the two would be read but never
+	// answered, since the actor has stopped.
 	b.ln.Close()
-	<-b.served
-	if !done || !b.front.Flush(lastWords, lastWords/2) { // no scan goes without an answer, even a bad one
+	<-b.frontDone
+	if !done || !b.front.Flush(finalFlushTimeout, finalFlushTimeout/2) { // every scan gets a reply, if only an error
 		b.put(core.Closing{})
-		b.front.Flush(lastWords, 0)
+		b.front.Flush(finalFlushTimeout, 0)
 	}
 	b.watch.Stop()
 	<-leaving
 	close(b.stop)
-	b.ended.Wait()
+	b.actorDone.Wait()
 	b.tally()
 	b.log.Info().Msg("stopped")
 }
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -23,20 +23,20 @@
 
 const patience = 5 * time.Second
 
-// agent is a discovery that a test plays: each call is announced in asked and answered with the next of say.
-type agent struct {
-	addr  string
-	asked chan string
-	say   chan string
+// fakeDiscovery is a discovery agent: each request is sent to requests and answered with the next of responses.
+type fakeDiscovery struct {
+	addr      string
+	requests  chan string
+	responses chan string
 }
 
-func newAgent(t *testing.T) *agent {
+func newFakeDiscovery(t *testing.T) *fakeDiscovery {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	a := &agent{ln.Addr().String(), make(chan string, 100), make(chan string, 100)}
+	a := &fakeDiscovery{ln.Addr().String(), make(chan string, 100), make(chan string, 100)}
 	t.Cleanup(func() {
 		ln.Close()
-		close(a.say)
+		close(a.responses)
 	})
 	go func() {
 		for {
@@ -50,7 +50,7 @@
 	return a
 }
 
-func (a *agent) serve(conn net.Conn) {
+func (a *fakeDiscovery) serve(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
@@ -58,8 +58,8 @@
 		if err != nil {
 			return
 		}
-		a.asked <- req.URL.String()
-		list, more := <-a.say
+		a.requests <- req.URL.String()
+		list, more := <-a.responses
 		if !more {
 			return
 		}
@@ -67,7 +67,7 @@
 	}
 }
 
-// startFile is what a broker is told in these tests, with changes to its environment.
+// startFile returns the start file of these tests, parsed with the given environment.
 func startFile(t *testing.T, env map[string]string) *config.Told {
 	text, err := os.ReadFile("../config/testdata/start.json")
 	require.NoError(t, err)
@@ -86,50 +86,49 @@
 
 const empty = `{"seq":41,"whole":false,"hosts":[]}`
 
-// A broker that knows of no node is not ready before the list names one: the front would send it scans that
-// it can only throttle.
+// A broker without nodes is not ready before the list names one: it could only throttle the scans that it gets.
 func TestReadyWithList(t *testing.T) {
-	a := newAgent(t)
+	a := newFakeDiscovery(t)
 	told := startFile(t, map[string]string{"GW_DISCOVERY": a.addr})
 	told.Known.Hosts = nil
 	b, err := Start(told, nil, zerolog.Nop())
 	require.NoError(t, err)
-	<-a.asked
-	a.say <- empty
-	<-a.asked
+	<-a.requests
+	a.responses <- empty
+	<-a.requests
 	assert.Equal(t, 503, health(t, b))
-	a.say <- `{"seq":42,"whole":true,"hosts":[{"host":"s-a","dial":"127.0.0.1:2","site":"west","class":"std","block":0,"health":"SERVING","share":1,"born_ms":0}]}`
-	<-a.asked
+	a.responses <- `{"seq":42,"whole":true,"hosts":[{"host":"s-a","dial":"127.0.0.1:2","site":"west","class":"std","block":0,"health":"SERVING","share":1,"born_ms":0}]}`
+	<-a.requests
 	assert.Eventually(t, func() bool { return health(t, b) == 200 }, patience, time.Millisecond)
 	b.Stop(patience)
 }
 
-// What the agent holds counts from a process's first moment: nothing is sent by an older list before the agent has
-// been asked once. A request that comes meanwhile waits and is answered by what the agent said.
+// No scan is dispatched by the cached list before the discovery agent has answered once. A request that arrives
+// earlier waits and is served by the agent's list.
 func TestFirstMoment(t *testing.T) {
 	stores, told := silentStores(t)
-	a := newAgent(t)
+	a := newFakeDiscovery(t)
 	told.Discovery = a.addr
 	b, err := Start(told, nil, zerolog.Nop())
 	require.NoError(t, err)
 	status := make(chan int, 1)
-	<-a.asked
+	<-a.requests
 	go func() { status <- board(b) }()
-	stores.(*net.TCPListener).SetDeadline(time.Now().Add(200 * time.Millisecond)) // the agent has half a second
+	stores.(*net.TCPListener).SetDeadline(time.Now().Add(200 * time.Millisecond)) // discovery may take half a second
 	_, err = stores.Accept()
-	assert.Error(t, err, "nothing goes out before the agent has said what it holds")
-	a.say <- `{"seq":42,"whole":false,"hosts":[{"host":"s-a","dial":"` + stores.Addr().String() +
+	assert.Error(t, err, "no dispatch before discovery has answered")
+	a.responses <- `{"seq":42,"whole":false,"hosts":[{"host":"s-a","dial":"` + stores.Addr().String() +
 		`","site":"west","class":"std","block":0,"health":"DRAINING","share":1,"born_ms":0}]}`
 	assert.Equal(t, 429, <-status)
 	stores.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Millisecond))
 	_, err = stores.Accept()
-	assert.Error(t, err, "nothing went to a store that the agent knew to drain")
+	assert.Error(t, err, "no dispatch to a store that discovery lists as draining")
 	b.Stop(patience)
 }
 
-// Where discovery is down a restarted broker serves by the list that it was started with, and soon.
+// While discovery is down a restarted broker becomes ready within seconds and serves by its cached list.
 func TestReadyWithoutDiscovery(t *testing.T) {
-	a := newAgent(t)
+	a := newFakeDiscovery(t)
 	for name, addr := range map[string]string{"silent": a.addr, "refused": "127.0.0.1:1"} {
 		begun := time.Now()
 		b, err := Start(startFile(t, map[string]string{"GW_DISCOVERY": addr}), nil, zerolog.Nop())
@@ -140,8 +139,8 @@
 	}
 }
 
-// A call for which its peer's mailbox has no room comes back as dispatches that were not sent, and keeps nobody
-// waiting, however long the peer is held up.
+// A call to a peer whose mailbox is full ends as dispatches that were not sent. It does not block the caller, however
+// long the peer is blocked.
 func TestNoRoom(t *testing.T) {
 	held := make(chan struct{})
 	defer close(held)
@@ -157,7 +156,7 @@
 	assert.Equal(t, core.Ended{Ref: 8, How: core.NoRoom, At: last.At}, last)
 }
 
-// A broker takes over an address from one that is still on its way out.
+// A broker takes over the address of one that is still shutting down.
 func TestListenAgain(t *testing.T) {
 	old, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -170,10 +169,10 @@
 	abandon := make(chan struct{})
 	close(abandon)
 	_, err = listen(ln.Addr().String(), time.Hour, abandon)
-	assert.ErrorIs(t, err, ErrAbandoned, "told to end while it waits")
+	assert.ErrorIs(t, err, ErrAbandoned, "stopped while it waits")
 }
 
-// silentStores are stores that take connections and say nothing, and a start file that names them.
+// silentStores returns a listener for stores that accept connections and never answer, and a start file that names them.
 func silentStores(t *testing.T) (net.Listener, *config.Told) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -185,7 +184,7 @@
 	return silent, told
 }
 
-// board asks a broker for one shard and returns the status; 0: there was no answer.
+// board requests one shard from a broker and returns the HTTP status; 0 means no answer.
 func board(b *Broker) int {
 	req, _ := http.NewRequest("POST", "http://"+b.Addr()+"/board", strings.NewReader(`{"segments":[{"segment":0,"boost":1}],"text":"t"}`))
 	req.Header = http.Header{"X-Time-Left-Ms": {"3900"}, "X-Correlation-Id": {"q1"}}
@@ -198,7 +197,7 @@
 	return res.StatusCode
 }
 
-// A scan that is still open when patience ends is answered all the same, though its node says nothing.
+// A scan that is still open when patience ends gets a reply although its node does not answer.
 func TestLastWords(t *testing.T) {
 	silent, told := silentStores(t)
 	b, err := Start(told, nil, zerolog.Nop())
@@ -212,43 +211,44 @@
 	assert.Equal(t, 504, <-status)
 }
 
-// A broker that is told to end before its agent has said anything answers who has come all the same.
+// A broker that is stopped before discovery has answered still replies to its clients.
 func TestEndsBeforeItIsReady(t *testing.T) {
 	_, told := silentStores(t)
-	a := newAgent(t)
+	a := newFakeDiscovery(t)
 	told.Discovery = a.addr
 	b, err := Start(told, nil, zerolog.Nop())
 	require.NoError(t, err)
-	<-a.asked
+	<-a.requests
 	status := make(chan int, 1)
 	go func() { status <- board(b) }()
 	b.Stop(patience)
 	assert.Contains(t, []int{429, 503, 504}, <-status)
 }
 
-// atWord calls a function, once, when a line of the log says a word. The log is several goroutines'.
-type atWord struct {
-	word string
-	do   func()
-	once sync.Once
+// logTrigger calls a function once, when a log line contains a text. Several goroutines write the log.
+type logTrigger struct {
+	text   string
+	action func()
+	once   sync.Once
 }
 
-func (w *atWord) Write(line []byte) (int, error) {
-	if strings.Contains(string(line), w.word) {
-		w.once.Do(w.do)
+func (w *logTrigger) Write(line []byte) (int, error) {
+	if strings.Contains(string(line), w.text) {
+		w.once.Do(w.action)
 	}
 	return len(line), nil
 }
 
-// Who comes in after nobody was left, and before the listener closes, is answered too: its scan was read once, and nobody was there to decide on it.
+// A client that connects after the last scan was answered and before the listener closes gets a reply too. Its scan was
+// once read and never answered, since the actor had stopped.
 func TestCameAtTheVeryEnd(t *testing.T) {
 	silent, told := silentStores(t)
 	status := make(chan int, 1)
 	var b *Broker
 	var err error
-	word := &atWord{word: "front stopped", do: func() {
+	word := &logTrigger{text: "front stopped", action: func() {
 		go func() { status <- board(b) }()
-		conn, err := silent.Accept() // its part is on its way
+		conn, err := silent.Accept() // its part has been dispatched
 		if err == nil {
 			t.Cleanup(func() { conn.Close() })
 		}
@@ -259,15 +259,15 @@
 	assert.Equal(t, 504, <-status)
 }
 
-// Idle clients may fill the descriptors while discovery is down: the watch, the nodes' connections and a new client
-// still get theirs.
+// Idle clients may use up their file descriptors while discovery is down: discovery, the connections to nodes and a new
+// client still get theirs.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	stores, told := silentStores(t)
-	a := newAgent(t)
+	a := newFakeDiscovery(t)
 	told.Discovery, told.Sockets = a.addr, 64
 	b, err := Start(told, nil, zerolog.Nop())
 	require.NoError(t, err)
-	<-a.asked // and says nothing
+	<-a.requests // and does not answer
 	for range 3 * told.Sockets {
 		conn, err := net.Dial("tcp", b.Addr())
 		require.NoError(t, err)
@@ -280,18 +280,18 @@
 	defer part.Close()
 	assert.Equal(t, 200, health(t, b))
 	select {
-	case <-a.asked:
+	case <-a.requests:
 	case <-time.After(patience):
-		assert.Fail(t, "the list is not asked for any more")
+		assert.Fail(t, "the list is no longer requested")
 	}
-	assert.LessOrEqual(t, b.front.Conns()+b.fleet.Conns(), told.Sockets-spareFiles)
+	assert.LessOrEqual(t, b.front.Conns()+b.fleet.Conns(), told.Sockets-reservedFiles)
 	b.Stop(0)
 }
 
-// A client that has left gets no further attempt, though its first one fails just then and could be sent again.
+// A scan whose client has left is not dispatched again, although its first dispatch fails just then and could be repeated.
 func TestNoRetryForWhoHasLeft(t *testing.T) {
 	stores, told := silentStores(t)
-	for i := range told.Known.Hosts { // both hold the shard
+	for i := range told.Known.Hosts { // both nodes hold the shard
 		told.Known.Hosts[i].Block = 0
 	}
 	b, err := Start(told, nil, zerolog.Nop())
@@ -313,7 +313,7 @@
 	require.NoError(t, client.Close())
 	head, err = in.Peek(9)
 	require.NoError(t, err)
-	assert.Equal(t, "Aq1.0", string(head[4:]), "it is told that nobody waits")
+	assert.Equal(t, "Aq1.0", string(head[4:]), "the node gets the cancellation")
 	store.Write([]byte("\x00\x00\x00\x10Yq1.0 ERROR - -\n"))
 	stores.(*net.TCPListener).SetDeadline(time.Now().Add(300 * time.Millisecond))
 	_, err = stores.Accept()
--- a/internal/broker/features.go
+++ b/internal/broker/features.go
@@ -24,53 +24,53 @@
 	"gullstair/internal/verdicts"
 )
 
-// probing is the duty of asking the stores for their load.
-const probing = "probing"
+// probeDuty is the name of the duty to probe the load of the stores.
+const probeDuty = "probing"
 
-// shared is the broker's side of shared duties. What the module's actor gives it never keeps that actor waiting.
-type shared struct {
-	b      *Broker
-	actor  *sharer.Actor
-	sealer *gossip.Sealer
-	ends   chan core.Probed
-	lists  chan core.Listed
-	lost   atomic.Int64 // ends that found no room: those turns count as over after a period
-	done   chan struct{}
+// sharingState connects the broker to the sharing actor. Calls from the core's actor never block.
+type sharingState struct {
+	b              *Broker
+	actor          *sharer.Actor
+	sealer         *gossip.Sealer
+	probeResults   chan core.Probed
+	nodeLists      chan core.Listed
+	droppedResults atomic.Int64 // results dropped since the queue was full: those turns count as over after a period
+	done           chan struct{}
 
 	now    func() float64                // the clock of leases
-	votes  *lasting.Dir[lease.Record]    // nil: votes are not stored
-	orders *lasting.Dir[verdicts.Stored] // nil: operators' orders are not stored
+	votes  *lasting.Dir[lease.Record]    // nil if votes are not stored
+	orders *lasting.Dir[verdicts.Stored] // nil if operators' orders are not stored
 	mu     sync.Mutex
-	runs   map[under]*run
+	runs   map[runKey]*run
 
-	limits *limiter // nil: none are shared
+	limits *limiter // nil if no limits are shared
 
-	held   map[string]bool // tenants that have been told of as held back since heldAt; the module's actor's
-	heldAt float64
+	reportedTenants map[string]bool // tenants that have been told of as held back since heldAt; the module's actor's
+	reportedSince   float64
 }
 
-// report is what a probe found, as it travels between brokers.
-type report struct {
+// probeReport is the result of a probe in messages between brokers.
+type probeReport struct {
 	Served bool
 	Load   map[string]float64
 }
 
 const (
-	endsMost = 256
+	maxProbeResults = 256
 )
 
-// startFeatures starts what the installation has switched on.
+// startFeatures starts the features that the installation enables.
 func (b *Broker) startFeatures() error {
 	if s := b.features.Sharing; s != nil {
-		if err := b.share(s); err != nil {
+		if err := b.startSharing(s); err != nil {
 			return err
 		}
 	}
 	if k := b.features.Cells; k != nil {
-		b.confine(k)
+		b.startCells(k)
 	}
 	if w := b.features.Watch; w != nil {
-		watched, err := watched(b.told.Flat, b.told.Site.TypeIndex, w)
+		watched, err := shadowSettings(b.startFile.Flat, b.startFile.Site.TypeIndex, w)
 		if err != nil {
 			return err
 		}
@@ -79,24 +79,24 @@
 	if c := b.features.Control; c != nil {
 		served := control.Served{Pages: map[string]func() (any, bool){}}
 		if b.features.Cells != nil {
-			served.Pages["cells"] = b.cells
+			served.Pages["cells"] = b.cellViews
 		}
-		if b.shared != nil {
+		if b.sharing != nil {
 			served.Pages["sharing"] = func() (any, bool) {
-				v, running := b.shared.actor.State()
+				v, running := b.sharing.actor.State()
 				return v, running
 			}
-			if l := b.shared.limits; l != nil {
-				served.Orders = map[string]func(url.Values) error{"limits": l.set}
-				served.Pages["limits"] = func() (any, bool) { return l.seen(), true }
+			if l := b.sharing.limits; l != nil {
+				served.Orders = map[string]func(url.Values) error{"limits": l.orderSize}
+				served.Pages["limits"] = func() (any, bool) { return l.view(), true }
 			}
 			if b.features.Sharing.Verdicts != nil {
 				if served.Orders == nil {
 					served.Orders = map[string]func(url.Values) error{}
 				}
-				served.Orders["verdict"] = b.shared.setVerdict
+				served.Orders["verdict"] = b.sharing.orderVerdict
 			}
-			b.shared.serve(&served)
+			b.sharing.addHandlers(&served)
 		}
 		var err error
 		if b.control, err = control.Listen(c.Socket, served); err != nil {
@@ -107,9 +107,9 @@
 	return nil
 }
 
-// confine has tenants confined to cells. Nothing is kept on a disk: the map comes from the document alone, and a move is a
-// change of its pins at the next start.
-func (b *Broker) confine(k *features.Cells) {
+// startCells confines tenants to cells. Nothing is stored on disk: the map is derived from the features document, and a
+// tenant moves by a change of the pins at the next start.
+func (b *Broker) startCells(k *features.Cells) {
 	plan := cells.Plan{Holders: k.Holders, Default: k.Default, Pins: k.Pins, Least: k.Least}
 	limits := map[string]quota.Limits{}
 	for _, c := range k.Cells {
@@ -118,15 +118,15 @@
 			TenantRate: c.TenantRate, TenantBurst: c.TenantBurst}
 	}
 	num := func(name string) float64 {
-		x, _ := b.told.Flat[name].(float64)
+		x, _ := b.startFile.Flat[name].(float64)
 		return x
 	}
-	chance := rand.New(rand.NewPCG(b.told.Seed, 0xce11))
+	chance := rand.New(rand.NewPCG(b.startFile.Seed, 0xce11))
 	b.core.Confine(plan, limits, num("rules.cold"), num("limit.maxRetryAfter"), chance.Float64)
 }
 
-// watched is what the module is told with the watched settings in place of the present ones.
-func watched(flat map[string]any, types map[string]int, w *features.Watch) (map[string]any, error) {
+// shadowSettings returns the module's settings with those of the watch block in their place.
+func shadowSettings(flat map[string]any, types map[string]int, w *features.Watch) (map[string]any, error) {
 	other := maps.Clone(flat)
 	for name, on := range map[string]*bool{"limit.secondCopies": w.SecondCopies, "limit.cancelling": w.Cancelling, "limit.peers": w.Notes} {
 		if on != nil {
@@ -151,8 +151,8 @@
 	return other, nil
 }
 
-// cells asks the module's actor, which alone may look at the core.
-func (b *Broker) cells() (any, bool) {
+// cellViews queries the actor for the state of the cells; only the actor may access the core.
+func (b *Broker) cellViews() (any, bool) {
 	reply := make(chan []core.CellView, 1)
 	b.put(core.AskCells{Reply: reply})
 	select {
@@ -163,10 +163,10 @@
 	}
 }
 
-// share joins the other brokers.
-func (b *Broker) share(s *features.Sharing) error {
+// startSharing joins the other brokers.
+func (b *Broker) startSharing(s *features.Sharing) error {
 	boot := rand.Uint64()
-	sealer, err := gossip.NewSealer(boot, sealing(s.Keys), 0)
+	sealer, err := gossip.NewSealer(boot, sealerKeys(s.Keys), 0)
 	if err != nil {
 		return fmt.Errorf("features: sharing: %w", err)
 	}
@@ -177,19 +177,19 @@
 	}
 	begun, base := b.clocks.Elapsed(), wall()
 	now := func() float64 { return base + float64(b.clocks.Elapsed()-begun)/1e6 }
-	plan := sharing.Plan{Name: b.told.Name, Addr: s.Advertise, Boot: boot, Incarnation: uint64(wall()), Weight: s.Weight,
+	plan := sharing.Plan{Name: b.startFile.Name, Addr: s.Advertise, Boot: boot, Incarnation: uint64(wall()), Weight: s.Weight,
 		Roster: s.Members, Seeds: s.Join, Timing: membership.Standard().Scaled(s.Pace), Drift: s.ClockDrift,
-		Floor: uint64(wall()), Seed: b.told.Seed}
+		Floor: uint64(wall()), Seed: b.startFile.Seed}
 	for _, d := range s.Duties {
 		plan.Duties = append(plan.Duties, duties.Duty{Name: d.Name, Period: float64(d.Period) / 1e6})
 	}
 	work := sharer.Work{Wall: wall}
-	dir, err := b.leases(&plan, &work)
+	dir, err := b.openLeases(&plan, &work)
 	if err != nil {
 		carrier.Close()
 		return err
 	}
-	limits, err := b.limits(&plan, boot, now)
+	limits, err := b.openLimits(&plan, boot, now)
 	if err != nil {
 		carrier.Close()
 		if dir != nil {
@@ -197,10 +197,10 @@
 		}
 		return err
 	}
-	sh := &shared{b: b, now: now, limits: limits, runs: map[under]*run{}, votes: dir, sealer: sealer, ends: make(chan core.Probed, endsMost), lists: make(chan core.Listed, 1), done: make(chan struct{})}
-	sh.lists <- b.core.Share()
+	sh := &sharingState{b: b, now: now, limits: limits, runs: map[runKey]*run{}, votes: dir, sealer: sealer, probeResults: make(chan core.Probed, maxProbeResults), nodeLists: make(chan core.Listed, 1), done: make(chan struct{})}
+	sh.nodeLists <- b.core.Share()
 	if s.Verdicts != nil {
-		zone := fmt.Sprint(b.told.Flat["zone"])
+		zone := fmt.Sprint(b.startFile.Flat["zone"])
 		plan.Verdicts = &verdicts.Rules{Self: plan.Name, Zone: zone, Run: plan.Incarnation, Fresh: ms64(s.Verdicts.Fresh), Quorum: s.Verdicts.Quorum, Widest: s.Verdicts.Widest,
 			Roster: slices.Sorted(maps.Keys(s.Members))}
 		b.core.Judge()
@@ -211,26 +211,26 @@
 				sh.closeDirs()
 				return fmt.Errorf("features: sharing: verdicts: %w", err)
 			}
-			// What is missing there the others know.
+			// Missing orders are learned from the other brokers.
 			b.log.Info().Str("dir", path).Int("orders", len(found.Records)).Msg("operators' orders on stores are as they were stored")
 			plan.Orders, work.Orders, sh.orders = found.Records, orders, orders
 		}
 	}
 	plan.Notes = s.Notes
-	work.Verdict, work.Note = sh.verdict, func(note []byte) { b.put(core.Told{Note: note}) }
-	work.Turn, work.Heard, work.Begin, work.Extend, work.Cancel = sh.turn, sh.heard, sh.begin, sh.extend, sh.cancel
+	work.Verdict, work.Note = sh.applyVerdict, func(note []byte) { b.put(core.Told{Note: note}) }
+	work.Turn, work.Heard, work.Begin, work.Extend, work.Cancel = sh.probe, sh.peerProbed, sh.begin, sh.extend, sh.cancel
 	sh.actor = sharer.Start(plan, carrier, now, work, b.log)
-	b.shared = sh
+	b.sharing = sh
 	if limits != nil {
-		limits.pokes(sh.actor.Poke)
+		limits.setWake(sh.actor.Poke)
 		b.core.Limit(limits)
 	}
-	go sh.pass()
+	go sh.forward()
 	return nil
 }
 
-// closeDirs lets other processes use the directories.
-func (s *shared) closeDirs() {
+// closeDirs closes the directories, which unlocks them for other processes.
+func (s *sharingState) closeDirs() {
 	if s.votes != nil {
 		s.votes.Close()
 	}
@@ -242,64 +242,65 @@
 	}
 }
 
-func sealing(keys []features.Key) (all []gossip.Key) {
+func sealerKeys(keys []features.Key) (all []gossip.Key) {
 	for _, k := range keys {
 		all = append(all, gossip.Key{Number: k.Number, Secret: k.Secret})
 	}
 	return all
 }
 
-// turn has a store probed; heard passes on what another broker found. Both are the sharing actor's calls.
-func (s *shared) turn(duty, item string) {
-	if duty == probing {
+// probe has a store probed; peerProbed forwards the result of another broker's probe. The sharing actor calls both.
+func (s *sharingState) probe(duty, item string) {
+	if duty == probeDuty {
 		s.b.put(core.ProbeFor{Host: item})
 	}
 }
 
-func (s *shared) heard(duty, item, _ string, age float64, data []byte) {
-	var r report
-	if duty == probing && len(data) > 0 && sharing.Unmarshal(data, &r) == nil {
+func (s *sharingState) peerProbed(duty, item, _ string, age float64, data []byte) {
+	var r probeReport
+	if duty == probeDuty && len(data) > 0 && sharing.Unmarshal(data, &r) == nil {
 		s.b.put(core.ProbeHeard{Host: item, Age: age, Served: r.Served, Load: r.Load})
 	}
 }
 
-// probed and listed are the module's actor's calls: they never wait, or two actors could wait for each other.
-func (s *shared) probed(p core.Probed) {
+// offerProbeResult and offerNodeList are called by the core's actor. They never block, since the two actors could
+// deadlock.
+func (s *sharingState) offerProbeResult(p core.Probed) {
 	select {
-	case s.ends <- p:
+	case s.probeResults <- p:
 	default:
-		s.lost.Add(1)
+		s.droppedResults.Add(1)
 	}
 }
 
-func (s *shared) listed(l core.Listed) {
+func (s *sharingState) offerNodeList(l core.Listed) {
 	for {
 		select {
-		case s.lists <- l:
+		case s.nodeLists <- l:
 			return
 		default:
 		}
 		select {
-		case <-s.lists: // an older one that nobody has looked at
+		case <-s.nodeLists: // an older list that was not read
 		default:
 		}
 	}
 }
 
-// pass hands on what the module's actor left.
-func (s *shared) pass() {
+// forward passes queued probe results and node lists to the sharing actor.
+func (s *sharingState) forward() {
 	for {
 		select {
-		case p := <-s.ends:
-			data, err := sharing.Marshal(&report{Served: p.Served, Load: p.Load})
+		case p := <-s.probeResults:
+			data, err := sharing.Marshal(&probeReport{Served: p.Served, Load: p.Load})
 			if err != nil {
 				data = nil
 			}
-			s.actor.Finished(probing, p.Host, data)
-		case l := <-s.lists:
-			s.actor.Items(probing, l.Hosts)
+			s.actor.Finished(probeDuty, p.Host, data)
+		case l := <-s.nodeLists:
+			s.actor.Items(probeDuty, l.Hosts)
 			if s.b.features.Sharing.Verdicts != nil {
-				s.actor.Give(stores(l.Nodes))
+				s.actor.Give(verdictStores(l.Nodes))
 			}
 		case <-s.done:
 			return
@@ -307,36 +308,38 @@
 	}
 }
 
-// RenewFeatures takes up a document that has been read again: the members' keys at once, the rest at the next start.
+// RenewFeatures applies a features document that was read again: keys of the members and limits at once, the rest at
+// the next start.
 func (b *Broker) RenewFeatures(f *features.Document) error {
 	later := b.features.Differ(f)
-	if b.shared != nil && f.Sharing != nil {
-		if err := b.shared.sealer.Rekey(sealing(f.Sharing.Keys)); err != nil {
+	if b.sharing != nil && f.Sharing != nil {
+		if err := b.sharing.sealer.Rekey(sealerKeys(f.Sharing.Keys)); err != nil {
 			return fmt.Errorf("features: sharing: %w", err)
 		}
 	}
-	if b.shared != nil && b.shared.limits != nil {
-		b.shared.limits.renew(f.Limits)
+	if b.sharing != nil && b.sharing.limits != nil {
+		b.sharing.limits.applyDocument(f.Limits)
 	}
 	b.log.Info().Strs("at_next_start", later).Msg("features read again")
 	return nil
 }
 
-// stopFeatures ends them; the others hear that this broker leaves while its clients are still served.
+// stopFeatures stops the features. The other brokers are notified that this broker leaves while it still serves clients.
+// The channel is closed when all have stopped.
 func (b *Broker) stopFeatures() <-chan struct{} {
 	over := make(chan struct{})
 	if b.control != nil {
 		b.control.Close()
 	}
-	if b.shared == nil {
+	if b.sharing == nil {
 		close(over)
 		return over
 	}
 	go func() {
 		defer close(over)
-		b.shared.actor.Stop()
-		close(b.shared.done)
-		b.shared.closeDirs()
+		b.sharing.actor.Stop()
+		close(b.sharing.done)
+		b.sharing.closeDirs()
 	}()
 	return over
 }
--- a/internal/broker/leases.go
+++ b/internal/broker/leases.go
@@ -21,23 +21,24 @@
 	"gullstair/internal/tasks"
 )
 
-// run is an occurrence of a task that this broker has begun.
+// run is an occurrence of a task that this broker has started.
 type run struct {
 	task   tasks.Begin
 	guard  *guard.Remote
 	grace  time.Duration
 	until  float64
-	cancel string // before its guard was there
+	cancel string // reason of a cancellation that came before the guard was started
 }
 
-// Warning is how long before a lease's end what goes on under it is told to end, and how long before it is killed, for a term.
+// Warning returns how long before the end of a lease its command is asked to stop (grace) and how long before it is
+// killed (lead), for a lease term.
 func Warning(term time.Duration) (grace, lead time.Duration) {
 	lead = max(50*time.Millisecond, term/10)
 	return lead + term*3/20, lead
 }
 
-// leases puts tasks and the directory of votes into a plan.
-func (b *Broker) leases(plan *sharing.Plan, work *sharer.Work) (*lasting.Dir[lease.Record], error) {
+// openLeases adds the tasks to the plan and opens the directory of votes.
+func (b *Broker) openLeases(plan *sharing.Plan, work *sharer.Work) (*lasting.Dir[lease.Record], error) {
 	for _, t := range b.features.Tasks {
 		plan.Tasks = append(plan.Tasks, tasks.Task{Name: t.Name, Every: ms64(t.Every), At: t.Schedule, Term: ms64(t.Term), Holders: t.Holders,
 			Once: t.Once, Timeout: ms64(t.Timeout), Prefer: t.Prefer})
@@ -66,22 +67,23 @@
 
 func ms64(d time.Duration) float64 { return float64(d) / 1e6 }
 
-// deadline puts a moment of the leases' clock on the machine's. That one is read first: what comes between makes it earlier, never later.
-func (s *shared) deadline(until float64) int64 {
+// toGuardClock converts a time on the clock of leases to guard.Now. It reads guard.Now first: a pause between the two
+// reads makes the result earlier, never later.
+func (s *sharingState) toGuardClock(until float64) int64 {
 	at := guard.Now()
 	return at + int64((until-s.now())*1e6)
 }
 
-// begin starts an occurrence under a guard of its own. It is the sharing actor's call and does not wait.
-func (s *shared) begin(t tasks.Begin) {
+// begin starts an occurrence in a guard process of its own. The sharing actor calls it; it does not block.
+func (s *sharingState) begin(t tasks.Begin) {
 	r := &run{task: t, until: t.Until}
 	s.mu.Lock()
-	s.runs[under{t.Lease, t.Fence}] = r
+	s.runs[runKey{t.Lease, t.Fence}] = r
 	s.mu.Unlock()
 	go func() {
-		result := s.guarded(r)
+		result := s.runGuarded(r)
 		s.mu.Lock()
-		delete(s.runs, under{t.Lease, t.Fence})
+		delete(s.runs, runKey{t.Lease, t.Fence})
 		s.mu.Unlock()
 		s.b.log.Info().Str("task", t.Task).Int("slot", t.Slot).Uint64("fence", t.Fence).Int("code", result.Code).Str("why", result.Why).
 			Msg("a task has ended")
@@ -89,7 +91,7 @@
 	}()
 }
 
-func (s *shared) guarded(r *run) guard.Result {
+func (s *sharingState) runGuarded(r *run) guard.Result {
 	t := r.task
 	var argv []string
 	var term time.Duration
@@ -105,12 +107,12 @@
 	spec := guard.Spec{Argv: argv, Timeout: time.Duration(t.Timeout * 1e6)}
 	spec.Grace, spec.Lead = Warning(term)
 	s.mu.Lock()
-	spec.Until = s.deadline(r.until)
+	spec.Until = s.toGuardClock(r.until)
 	s.mu.Unlock()
 	args := []string{"guard", "--until", strconv.FormatInt(spec.Until, 10), "--grace", spec.Grace.String(), "--lead", spec.Lead.String(),
 		"--timeout", spec.Timeout.String(), "--"}
 	cmd := exec.Command(self, append(args, argv...)...)
-	spec.Mark = mark(t.Lease, t.Fence)
+	spec.Mark = runMark(t.Lease, t.Fence)
 	cmd.Env = append(os.Environ(), Environment(t.Lease, t.Slot, t.Fence, t.Until)...)
 	cmd.Env = append(cmd.Env, fmt.Sprintf("GULLSTAIR_DUE_MS=%.0f", t.Due))
 	cmd.Stderr = os.Stderr
@@ -124,51 +126,54 @@
 	if r.cancel != "" {
 		g.Cancel(r.cancel, r.grace)
 	} else {
-		g.Extend(s.deadline(r.until))
+		g.Extend(s.toGuardClock(r.until))
 	}
 	s.mu.Unlock()
 	return g.Wait()
 }
 
-// Environment is what a command under a lease is told: the lease, its slot, its fencing number, and up to when it may go on, in Unix ms, unless the lease
-// is renewed.
+// Environment returns the environment variables of a command under a lease: the lease, its slot, its fencing token, and
+// the time, in Unix ms, until which it may run unless the lease is renewed.
 func Environment(name string, slot int, fence uint64, untilMS float64) []string {
 	return []string{"GULLSTAIR_LEASE=" + name, "GULLSTAIR_SLOT=" + strconv.Itoa(slot), "GULLSTAIR_FENCE=" + strconv.FormatUint(fence, 10),
-		fmt.Sprintf("GULLSTAIR_UNTIL_MS=%.0f", untilMS), mark(name, fence)}
+		fmt.Sprintf("GULLSTAIR_UNTIL_MS=%.0f", untilMS), runMark(name, fence)}
 }
 
-// mark is what no other run has in its environment: leases count their fencing numbers each by itself.
-func mark(name string, fence uint64) string { return fmt.Sprintf("GULLSTAIR_RUN=%s#%d", name, fence) }
+// runMark returns an environment variable that is unique to a run. It includes the lease, since each lease counts its
+// own fencing tokens.
+func runMark(name string, fence uint64) string {
+	return fmt.Sprintf("GULLSTAIR_RUN=%s#%d", name, fence)
+}
 
-// under names a run.
-type under struct {
+// runKey identifies a run.
+type runKey struct {
 	lease string
 	fence uint64
 }
 
-func (s *shared) extend(e tasks.Extend) {
+func (s *sharingState) extend(e tasks.Extend) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r := s.runs[under{e.Lease, e.Fence}]; r != nil {
+	if r := s.runs[runKey{e.Lease, e.Fence}]; r != nil {
 		r.until = max(r.until, e.Until)
 		if r.guard != nil {
-			go r.guard.Extend(s.deadline(r.until))
+			go r.guard.Extend(s.toGuardClock(r.until))
 		}
 	}
 }
 
-func (s *shared) cancel(c tasks.Cancel) {
+func (s *sharingState) cancel(c tasks.Cancel) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if r := s.runs[under{c.Lease, c.Fence}]; r != nil {
+	if r := s.runs[runKey{c.Lease, c.Fence}]; r != nil {
 		if r.cancel = c.Why; r.guard != nil {
 			go r.guard.Cancel(c.Why, r.grace)
 		}
 	}
 }
 
-// serve adds what operators may ask and order of leases.
-func (s *shared) serve(c *control.Served) {
+// addHandlers adds the orders and streams for leases to the control socket.
+func (s *sharingState) addHandlers(c *control.Served) {
 	if s.b.features.Lease == nil && len(s.b.features.Tasks) == 0 {
 		return
 	}
@@ -187,7 +192,7 @@
 	}
 }
 
-// HoldEvent is what somebody who holds a lease by hand is told; moments are by guard.Now.
+// HoldEvent is an event for a client that holds a lease over the control socket. Until is a time of guard.Now.
 type HoldEvent struct {
 	Lease   string  `json:"lease,omitempty"`
 	Slot    int     `json:"slot,omitempty"`
@@ -197,15 +202,15 @@
 	Revoked string  `json:"revoked,omitempty"`
 }
 
-// HoldDone is what they tell: nothing goes on under it any more.
+// HoldDone is sent by the client when its command under the lease has ended.
 type HoldDone struct {
 	Done bool `json:"done"`
 }
 
 const holdEvents = 16
 
-// hold serves one lease that is held by hand, for as long as whoever holds it stays.
-func (s *shared) hold(q url.Values, conn io.ReadWriteCloser) {
+// hold serves one lease that a client holds over the control socket, until the client disconnects.
+func (s *sharingState) hold(q url.Values, conn io.ReadWriteCloser) {
 	out := json.NewEncoder(conn)
 	holders, err := strconv.Atoi(q.Get("holders"))
 	term, termErr := time.ParseDuration(q.Get("term"))
@@ -220,7 +225,7 @@
 	go func() {
 		var d HoldDone
 		err := json.NewDecoder(conn).Decode(&d)
-		clean <- err == nil && d.Done // else the command may still go on
+		clean <- err == nil && d.Done // otherwise the command may still run
 	}()
 	for {
 		var event HoldEvent
@@ -229,13 +234,13 @@
 			s.actor.Close(h.ID, done)
 			return
 		case <-s.done:
-			return // it runs out
+			return // the lease expires
 		case e := <-events:
 			switch v := e.(type) {
 			case tasks.Granted:
-				event = HoldEvent{Lease: v.Lease, Slot: v.Slot, Fence: v.Fence, Until: s.deadline(v.Until), UntilMS: v.Until}
+				event = HoldEvent{Lease: v.Lease, Slot: v.Slot, Fence: v.Fence, Until: s.toGuardClock(v.Until), UntilMS: v.Until}
 			case tasks.Extended:
-				event = HoldEvent{Until: s.deadline(v.Until), UntilMS: v.Until}
+				event = HoldEvent{Until: s.toGuardClock(v.Until), UntilMS: v.Until}
 			case tasks.Revoked:
 				event = HoldEvent{Revoked: v.Why}
 			}
--- a/internal/broker/limits.go
+++ b/internal/broker/limits.go
@@ -22,44 +22,44 @@
 	"gullstair/internal/sharing"
 )
 
-// limiter has scans taken within the fleet's limits: the module's actor asks it, the sharing actor brings it the others' messages. A lock is all that
-// is between them, so that a scan never waits for a message.
+// limiter applies the fleet's limits to scans: the core's actor queries it, the sharing actor passes it the messages of
+// the other brokers. A lock protects it, so that a scan never waits for a message.
 type limiter struct {
-	now    func() float64
-	poke   func() // the sharing actor: something is due earlier
-	moved  func() // the module's actor: scans that wait may be taken
-	limits []features.Limit
+	now         func() float64
+	wakeSharing func() // wakes the sharing actor when something is due earlier
+	notifyCore  func() // tells the core's actor that queued scans may be admitted
+	limits      []features.Limit
 
-	mu     sync.Mutex
-	in     []shares.Input // operators' orders, for the sharing actor
-	core   *shares.Core
-	due    float64                       // as the sharing actor knows it
-	queue  *lasting.Queue[shares.Record] // nil: what is lent does not last
-	dir    *lasting.Dir[shares.Record]
-	unkept int // marks stored since the last snapshot
-	uses   []shares.Use
-	names  []string // why a limit turns a scan away
+	mu                 sync.Mutex
+	pending            []shares.Input // operators' orders and disk events for the next Step
+	core               *shares.Core
+	due                float64                       // the due time that the sharing actor knows
+	queue              *lasting.Queue[shares.Record] // nil if loans are not stored
+	dir                *lasting.Dir[shares.Record]
+	marksSinceSnapshot int // loan marks stored since the last snapshot
+	scratch            []shares.Use
+	reasons            []string // reasons for refused scans, by limit
 }
 
 const (
-	limitKeys  = 100000 // keys of all limits that are kept
-	seenMost   = 20     // of a limit that operators are shown
-	limitAfter = 30000.0
-	keyKept    = 60 // bytes of a longer key that are kept beside its hash
-	keyWhole   = 100
-	endsLateMs = 50.0 // a scan's last answer may come so long after its time is up
-	// marksMost is after how many marks all of them take the place of the log.
-	marksMost = 20000
+	maxLimitKeys      = 100000 // maximum number of keys kept over all limits
+	maxShownKeys      = 20     // maximum number of keys of a limit shown to operators
+	defaultRetryAfter = 30000.0
+	keptKeyBytes      = 60 // bytes of a longer key that are kept before its hash
+	maxKeyBytes       = 100
+	lateEndMs         = 50.0 // the end of a scan may be processed this long after its deadline
+	// snapshotEvery is the number of stored marks after which a snapshot replaces the log.
+	snapshotEvery = 20000
 )
 
-// limits puts the fleet's limits into a plan; nil: there are none.
-func (b *Broker) limits(plan *sharing.Plan, boot uint64, now func() float64) (*limiter, error) {
+// openLimits adds the fleet's limits to the plan and returns their limiter; nil if there are none.
+func (b *Broker) openLimits(plan *sharing.Plan, boot uint64, now func() float64) (*limiter, error) {
 	if len(b.features.Limits) == 0 {
 		return nil, nil
 	}
-	l := &limiter{now: now, poke: func() {}, moved: func() { b.put(core.LimitsMoved{}) }, limits: b.features.Limits}
-	rules := shares.Rules{Self: plan.Name, Boot: boot, Drift: plan.Drift, Most: limitKeys, Loans: true, After: limitAfter}
-	if after, is := b.told.Flat["limit.maxRetryAfter"].(float64); is && after > 0 {
+	l := &limiter{now: now, wakeSharing: func() {}, notifyCore: func() { b.put(core.LimitsMoved{}) }, limits: b.features.Limits}
+	rules := shares.Rules{Self: plan.Name, Boot: boot, Drift: plan.Drift, Most: maxLimitKeys, Loans: true, After: defaultRetryAfter}
+	if after, is := b.startFile.Flat["limit.maxRetryAfter"].(float64); is && after > 0 {
 		rules.After = after
 	}
 	for name := range plan.Roster {
@@ -73,36 +73,36 @@
 			x.Kind, x.Size = shares.Stock, f.Open+f.Work
 		}
 		limits = append(limits, x)
-		l.names = append(l.names, fmt.Sprintf("the fleet's limit %s", f.Name))
+		l.reasons = append(l.reasons, fmt.Sprintf("the fleet's limit %s", f.Name))
 	}
-	l.core = shares.New(rules, limits, rand.New(rand.NewPCG(b.told.Seed, boot^0x11a17)).Float64)
+	l.core = shares.New(rules, limits, rand.New(rand.NewPCG(b.startFile.Seed, boot^0x11a17)).Float64)
 	plan.Limits = l
 	if b.features.Lent != "" {
-		return l, l.keep(b.features.Lent, b.log)
+		return l, l.openDir(b.features.Lent, b.log)
 	}
 	return l, nil
 }
 
-// keep has what is lent last in a directory.
-func (l *limiter) keep(path string, log zerolog.Logger) error {
+// openDir stores loans durably in a directory and restores those that it finds there.
+func (l *limiter) openDir(path string, log zerolog.Logger) error {
 	dir, found, err := lasting.Open[shares.Record](path, lasting.Loans)
 	if err != nil {
 		return fmt.Errorf("features: limits: %w", err)
 	}
 	if l.core.Restore(found.Records, found.Sound) {
-		log.Info().Str("dir", path).Int("marks", len(found.Records)).Msg("what was lent of limits is as it was stored: the rest is used at once")
+		log.Info().Str("dir", path).Int("marks", len(found.Records)).Msg("loans of limits restored: the capacity that is not lent is used at once")
 	} else {
-		log.Warn().Str("dir", path).Str("because", cmp.Or(found.Why, "limits or members were others")).Msg("what was lent of limits may be more than is known: home shares rest for a term")
+		log.Warn().Str("dir", path).Str("because", cmp.Or(found.Why, "limits or members have changed")).Msg("loans of limits may be incomplete: this broker's own shares are not used for a term")
 	}
 	l.dir = dir
-	l.queue = lasting.NewQueue(dir, func(upto uint64) { l.order(shares.Stored{Upto: upto}) }, func(err error) {
-		log.Error().Err(err).Msg("what is lent of limits can't be stored: this broker lends nothing any more, until it is started again")
-		l.order(shares.DiskLost{})
+	l.queue = lasting.NewQueue(dir, func(upto uint64) { l.enqueue(shares.Stored{Upto: upto}) }, func(err error) {
+		log.Error().Err(err).Msg("cannot store loans of limits: this broker lends nothing until it is restarted")
+		l.enqueue(shares.DiskLost{})
 	})
 	return nil
 }
 
-// close ends it; what is under way to the disk was told to nobody.
+// close closes the queue and the directory. Writes in progress were not announced to other brokers.
 func (l *limiter) close() {
 	if l.queue != nil {
 		l.queue.Close()
@@ -110,13 +110,13 @@
 	}
 }
 
-// asked lists what a scan takes. It is good until the next call.
-func (l *limiter) asked(account, cell string, work float64) []shares.Use {
-	l.uses = l.uses[:0]
+// scanUses returns what a scan takes from each limit. The result is valid until the next call.
+func (l *limiter) scanUses(account, cell string, work float64) []shares.Use {
+	l.scratch = l.scratch[:0]
 	for i := range l.limits {
 		f := &l.limits[i]
 		if f.Further {
-			continue // no scan counts there
+			continue // applies to further dispatches, not to scans
 		}
 		u := shares.Use{Limit: i, Cost: 1}
 		switch f.For {
@@ -128,51 +128,52 @@
 		if f.Work > 0 {
 			u.Cost = work
 		}
-		if len(u.Key) > keyWhole {
+		if len(u.Key) > maxKeyBytes {
 			h := fnv.New128a()
 			h.Write([]byte(u.Key))
-			u.Key = u.Key[:keyKept] + hex.EncodeToString(h.Sum(nil))
+			u.Key = u.Key[:keptKeyBytes] + hex.EncodeToString(h.Sum(nil))
 		}
-		l.uses = append(l.uses, u)
+		l.scratch = append(l.scratch, u)
 	}
-	return l.uses
+	return l.scratch
 }
 
-// Take is the module's actor's call.
+// Take implements core.Limiter.
 func (l *limiter) Take(account, cell string, work, lasts float64) core.Ruling {
-	return l.rule(l.core.Take, account, cell, work, lasts)
+	return l.decide(l.core.Take, account, cell, work, lasts)
 }
 
-// Again is the module's actor's call.
+// Retry implements core.Limiter.
 func (l *limiter) Again(account, cell string, work, lasts float64) core.Ruling {
-	return l.rule(l.core.Again, account, cell, work, lasts)
+	return l.decide(l.core.Again, account, cell, work, lasts)
 }
 
-func (l *limiter) rule(ask func(float64, []shares.Use, float64) shares.Verdict, account, cell string, work, lasts float64) core.Ruling {
+func (l *limiter) decide(ask func(float64, []shares.Use, float64) shares.Verdict, account, cell string, work, lasts float64) core.Ruling {
 	l.mu.Lock()
-	v := ask(l.now(), l.asked(account, cell, work), lasts+endsLateMs)
+	v := ask(l.now(), l.scanUses(account, cell, work), lasts+lateEndMs)
 	sooner := l.core.Due() < l.due
 	if sooner {
 		l.due = l.core.Due()
 	}
 	l.mu.Unlock()
 	if sooner {
-		l.poke()
+		l.wakeSharing()
 	}
 	if v.Taken {
 		return core.Ruling{Taken: true}
 	}
-	return core.Ruling{Why: l.names[v.Limit], After: v.After, Wait: v.Wait}
+	return core.Ruling{Why: l.reasons[v.Limit], After: v.After, Wait: v.Wait}
 }
 
-// further is the number of the limit on further dispatches; below 0: there is none.
-func (l *limiter) further() int {
+// furtherLimit returns the index of the limit on further dispatches, or -1 if there is none.
+func (l *limiter) furtherLimit() int {
 	return slices.IndexFunc(l.limits, func(f features.Limit) bool { return f.Further })
 }
 
-// Left is the module's actor's call: how many further dispatches this broker's share of the fleet's budget has room for now; +Inf where there is none.
+// FleetBudget implements core.Limiter. It returns how many further dispatches this broker's share of the fleet's budget
+// allows now; +Inf without a budget.
 func (l *limiter) Left() float64 {
-	i := l.further()
+	i := l.furtherLimit()
 	if i < 0 {
 		return math.Inf(1)
 	}
@@ -181,9 +182,9 @@
 	return l.core.Room(l.now(), shares.Use{Limit: i})
 }
 
-// Further is the module's actor's call: one more is to be sent, or would be if there were room.
+// TakeFurther implements core.Limiter.
 func (l *limiter) Further() bool {
-	i := l.further()
+	i := l.furtherLimit()
 	if i < 0 {
 		return true
 	}
@@ -195,33 +196,33 @@
 	}
 	l.mu.Unlock()
 	if sooner {
-		l.poke()
+		l.wakeSharing()
 	}
 	return v.Taken
 }
 
-// Done is the module's actor's call.
+// Done implements core.Limiter.
 func (l *limiter) Done(account, cell string, work float64) {
 	l.mu.Lock()
-	l.core.Done(l.now(), l.asked(account, cell, work))
+	l.core.Done(l.now(), l.scanUses(account, cell, work))
 	l.mu.Unlock()
 }
 
-// Step is the sharing actor's call.
+// Step steps the limits. The sharing actor calls it.
 func (l *limiter) Step(now float64, in []shares.Input) []shares.Send {
 	l.mu.Lock()
-	out := l.core.Step(now, append(l.in, in...))
-	l.in = nil
+	out := l.core.Step(now, append(l.pending, in...))
+	l.pending = nil
 	l.due = l.core.Due()
 	came := l.core.Came()
 	stores := l.core.Stores()
 	var all []shares.Record
-	if l.unkept += len(stores); l.unkept >= marksMost {
-		l.unkept, all = 0, l.core.Records()
+	if l.marksSinceSnapshot += len(stores); l.marksSinceSnapshot >= snapshotEvery {
+		l.marksSinceSnapshot, all = 0, l.core.Records()
 	}
 	l.mu.Unlock()
 	if came {
-		l.moved()
+		l.notifyCore()
 	}
 	if l.queue != nil {
 		for _, s := range stores {
@@ -234,40 +235,40 @@
 	return out
 }
 
-// Due is the sharing actor's call.
+// Due returns when Step must be called next. The sharing actor calls it.
 func (l *limiter) Due() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.due = l.core.Due(); len(l.in) > 0 {
+	if l.due = l.core.Due(); len(l.pending) > 0 {
 		return math.Inf(-1)
 	}
 	return l.due
 }
 
-func (l *limiter) order(in ...shares.Input) {
+func (l *limiter) enqueue(in ...shares.Input) {
 	l.mu.Lock()
-	l.in = append(l.in, in...)
-	poke := l.poke
+	l.pending = append(l.pending, in...)
+	poke := l.wakeSharing
 	l.mu.Unlock()
 	poke()
 }
 
-// pokes names who is to be told that something is due earlier. The disk's word may come before.
-func (l *limiter) pokes(poke func()) {
+// setWake sets the function that wakes the sharing actor. Disk events may arrive before it is set.
+func (l *limiter) setWake(poke func()) {
 	l.mu.Lock()
-	l.poke = poke
+	l.wakeSharing = poke
 	l.mu.Unlock()
 }
 
-// set is an operator's order: another size of a limit for a while, or none any more.
-func (l *limiter) set(q url.Values) error {
+// orderSize executes an operator's order to override the size of a limit for a time, or to clear the override.
+func (l *limiter) orderSize(q url.Values) error {
 	at := slices.IndexFunc(l.limits, func(f features.Limit) bool { return f.Name == q.Get("limit") })
 	if at < 0 {
 		return fmt.Errorf("this broker has no limit %q", q.Get("limit"))
 	}
 	f := l.limits[at]
 	if q.Get("do") == "clear" {
-		l.order(shares.Set{Limit: f.Name})
+		l.enqueue(shares.Set{Limit: f.Name})
 		return nil
 	}
 	size, err := strconv.ParseFloat(q.Get("size"), 64)
@@ -287,34 +288,34 @@
 	if err != nil || span < time.Second || span > 30*24*time.Hour {
 		return fmt.Errorf("for %q is not a time from 1s to 720h", q.Get("for"))
 	}
-	l.order(shares.Set{Limit: f.Name, Size: size, Burst: burst, For: ms64(span)})
+	l.enqueue(shares.Set{Limit: f.Name, Size: size, Burst: burst, For: ms64(span)})
 	return nil
 }
 
-// renew takes up the sizes of a document that was read again.
-func (l *limiter) renew(limits []features.Limit) {
+// applyDocument applies the limit sizes of a features document that was read again.
+func (l *limiter) applyDocument(limits []features.Limit) {
 	for _, f := range limits {
 		if slices.ContainsFunc(l.limits, func(o features.Limit) bool { return o.Name == f.Name && (o.Rate > 0) == (f.Rate > 0) }) {
 			size := f.Rate
 			if size == 0 {
 				size = f.Open + f.Work
 			}
-			l.order(shares.Document{Limit: f.Name, Size: size, Burst: f.Burst})
+			l.enqueue(shares.Document{Limit: f.Name, Size: size, Burst: f.Burst})
 		}
 	}
 }
 
-// LimitsSeen is what the control socket shows of the fleet's limits.
+// LimitsSeen is the state of the fleet's limits for the control socket.
 type LimitsSeen struct {
-	Limits   []shares.Seen `json:"limits"` // of each the busiest keys
+	Limits   []shares.Seen `json:"limits"` // the busiest keys of each limit
 	Accounts int           `json:"accounts"`
 	Counts   shares.Counts `json:"counts"`
 }
 
-func (l *limiter) seen() LimitsSeen {
+func (l *limiter) view() LimitsSeen {
 	l.mu.Lock()
 	s := LimitsSeen{Limits: l.core.Seen(l.now()), Accounts: l.core.Accounts(), Counts: l.core.Counts}
 	l.mu.Unlock()
-	s.Limits = shares.Busiest(s.Limits, seenMost) // scans do not wait for that
+	s.Limits = shares.Busiest(s.Limits, maxShownKeys) // outside the lock, so that scans do not wait for it
 	return s
 }
--- a/internal/broker/verdicts.go
+++ b/internal/broker/verdicts.go
@@ -12,44 +12,44 @@
 	"gullstair/logic"
 )
 
-// stores puts the list into the words of verdicts.
-func stores(nodes []core.Node) (s verdicts.Stores) {
+// verdictStores converts the node list for package verdicts.
+func verdictStores(nodes []core.Node) (s verdicts.Stores) {
 	for _, n := range nodes {
 		s.All = append(s.All, verdicts.Store{Name: n.Host, Set: n.Cell, Born: n.Born, Ready: n.Readiness == logic.Ready})
 	}
 	return s
 }
 
-// judged passes on what the module counts for or against a store. It is the module's actor's call and never waits.
-func (s *shared) judged(j core.Judged) {
+// offerOutcome passes an outcome of a store to the sharing actor. The core's actor calls it; it never blocks.
+func (s *sharingState) offerOutcome(j core.Judged) {
 	if s != nil {
 		s.actor.Offer(verdicts.Saw{Store: j.Host, Kind: Seen(j)})
 	}
 }
 
-// heldBack passes on whom a limit turned away. It is the module's actor's call and never waits; a tenant that asks much is told of once a second, and what comes in
-// between is counted here, so that it does not crowd the sharing actor.
-func (s *shared) heldBack(h core.HeldBack) {
+// offerRefusal passes a tenant that a limit refused to the sharing actor. The core's actor calls it; it never blocks.
+// Each tenant is reported once per refusalInterval, so that busy tenants do not flood the sharing actor.
+func (s *sharingState) offerRefusal(h core.HeldBack) {
 	if s == nil {
 		return
 	}
 	now := s.now()
-	if now >= s.heldAt+heldEvery || len(s.held) >= heldMost {
-		s.held, s.heldAt = map[string]bool{}, now
+	if now >= s.reportedSince+refusalInterval || len(s.reportedTenants) >= maxRefusedTenants {
+		s.reportedTenants, s.reportedSince = map[string]bool{}, now
 	}
-	if s.held[h.Account] {
+	if s.reportedTenants[h.Account] {
 		return
 	}
-	s.held[h.Account] = true
+	s.reportedTenants[h.Account] = true
 	s.actor.Offer(verdicts.HeldBack{Tenant: h.Account, Why: h.Why})
 }
 
 const (
-	heldEvery = 100.0 // ms in which a tenant is told of once
-	heldMost  = 1000
+	refusalInterval   = 100.0 // ms in which a tenant is reported once
+	maxRefusedTenants = 1000
 )
 
-// Seen is what an outcome that the module judged is among the members' words.
+// Seen converts an outcome to the kind of verdict that the brokers exchange.
 func Seen(j core.Judged) verdicts.Kind {
 	if j.Late {
 		return verdicts.Slow
@@ -57,12 +57,13 @@
 	return map[logic.Outcome]verdicts.Kind{logic.Completed: verdicts.Well, logic.Errored: verdicts.Fails, logic.Overdue: verdicts.Silent, logic.Saturated: verdicts.Full}[j.Outcome]
 }
 
-// Held is a verdict as the module hears of it.
+// Held converts a verdict for the decision module.
 func Held(v verdicts.Verdict) core.Held {
 	h := core.Held{Host: v.Store, Outcome: logic.Errored, Age: v.Age, Drained: v.Drain}
 	switch {
 	case v.Kind == verdicts.Well && v.Was < verdicts.Fails:
-		// Only a drain has changed, or a load is over, which the module lets go when it is not told of it again: as a recovery it would let a node work that fails here.
+		// Only a drain has changed, or an overload has ended, which expires in the module by itself. Reported as a recovery
+		// it would re-enable a node that fails for this broker.
 		h.Outcome = 0
 	case v.Kind == verdicts.Well:
 		h.Outcome = logic.Completed
@@ -72,20 +73,20 @@
 	return h
 }
 
-// tell passes the module's note on. It is the module's actor's call and never waits.
-func (s *shared) tell(note []byte) {
+// offerNote passes a note of the module to the sharing actor. The core's actor calls it; it never blocks.
+func (s *sharingState) offerNote(note []byte) {
 	if s != nil {
 		s.actor.Offer(sharing.Note{Data: slices.Clone(note)})
 	}
 }
 
-// verdict brings what the fleet holds of a store to the module. It is the sharing actor's call.
-func (s *shared) verdict(v verdicts.Verdict) {
+// applyVerdict passes the fleet's verdict on a store to the module. The sharing actor calls it.
+func (s *sharingState) applyVerdict(v verdicts.Verdict) {
 	s.b.put(Held(v))
 }
 
-// setVerdict is an operator's order.
-func (s *shared) setVerdict(q url.Values) error {
+// orderVerdict executes an operator's order to drain, rest or clear a store.
+func (s *sharingState) orderVerdict(q url.Values) error {
 	v := verdicts.Set{Store: q.Get("store"), Reason: q.Get("reason"), Do: verdicts.Do(q.Get("do"))}
 	if v.Store == "" || len(v.Store) > 120 {
 		return fmt.Errorf("a store's name of 1 to 120 bytes is needed")
--- a/internal/broker/verdicts_test.go
+++ b/internal/broker/verdicts_test.go
@@ -10,7 +10,8 @@
 	"gullstair/logic"
 )
 
-// The module hears what a verdict is to it. That only a drain has changed, or that a load is over, is no recovery: a node that fails here would work again by it.
+// Each verdict maps to the outcome for the module. A change of a drain alone, or the end of an overload, must not count as
+// a recovery: that would re-enable a node that fails for this broker.
 func TestHeld(t *testing.T) {
 	for _, c := range []struct {
 		kind, was verdicts.Kind
