--- a/internal/cells/cells.go
+++ b/internal/cells/cells.go
@@ -1,10 +1,9 @@
-// Package cells decides which cell a tenant belongs to and which stores a cell may use. A map is a versioned, immutable
-// snapshot: whoever began with one goes on with it, whatever comes later. It has no I/O and no clock, and the same input
-// gives the same map everywhere.
+// Package cells maps tenants to cells and cells to stores. A Map is a versioned, immutable snapshot: a scan keeps the map
+// with which it started. The package does no I/O and reads no clock; the same input gives the same map on every broker.
 //
-// Cells are made by shuffle sharding: of the holders of each shard every cell has a few, drawn by rendezvous hashing
-// and spread over zones. A cell can so serve every scan, two cells rarely have all their stores in common, and a
-// store that comes or goes moves nothing but its own places.
+// Cells are built by shuffle sharding: each cell gets a few holders of each shard, picked by rendezvous hashing and spread
+// over zones. Thus every cell can serve every scan, two cells rarely share all their stores, and a store that joins or
+// leaves changes only its own assignments.
 package cells
 
 import (
@@ -17,50 +16,50 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// Store is one store, with the set of stores that hold the same shards.
+// Store is a store. Set is the number of the set of stores that hold the same shards.
 type Store struct {
 	Name, Zone string
 	Set        int
 }
 
-// Plan says how a map is made.
+// Plan is the configuration from which a Map is built.
 type Plan struct {
 	Cells   []Cell
-	Holders int               // stores of each set that a cell has, where the set has so many
-	Default string            // the cell of tenants that are in no other; "": they are spread over all by weight
-	Pins    map[string]string // tenants with a cell of their own choosing
-	Least   float64           // share of a cell's holders of a shard that must be there, or the cell refuses
+	Holders int               // number of stores of each set in a cell, if the set has that many
+	Default string            // the cell of tenants without a pin; "" spreads them over all cells by weight
+	Pins    map[string]string // tenants that are assigned to a fixed cell
+	Least   float64           // share of a cell's holders of a set that must be up; below it the cell refuses scans
 }
 
-// Cell is one, with its weight against others in the spread of tenants.
+// Cell is a cell with its weight in the distribution of tenants.
 type Cell struct {
 	Name   string
 	Weight float64
 }
 
-// Map is a snapshot. It may be read by any number of goroutines.
+// Map is an immutable assignment of tenants to cells and of stores to cells. It is safe for concurrent use.
 type Map struct {
 	Version uint64
 	plan    Plan
-	cells   []*members
+	cells   []*cellStores
 	byName  map[string]int
-	moved   *iradix.Tree[int] // tenants that are not where the plan alone would put them
+	moved   *iradix.Tree[int] // tenants that were moved away from the cell of the plan
 	sets    int
 }
 
-type members struct {
+type cellStores struct {
 	Cell
 	bySet  [][]string
 	stores map[string]bool
 }
 
-// Unplaced is a cell that can't be: a set has no store for it.
-type Unplaced struct {
+// MissingStoreError reports a cell that cannot be built because a set has no store.
+type MissingStoreError struct {
 	Cell string
 	Set  int
 }
 
-func (u *Unplaced) Error() string {
+func (u *MissingStoreError) Error() string {
 	return fmt.Sprintf("cell %q has no store of set %d: scans for its shards could not be served", u.Cell, u.Set)
 }
 
@@ -68,30 +67,31 @@
 	return xxhash.Sum64String(fmt.Sprintf("%s\x00%d\x00%s", cell, set, store))
 }
 
-// Make makes a map of a plan, over sets numbered from 0. Tenants that were moved stay so if old is not nil, as long as their cell is there.
+// Build builds a map from a plan, over sets numbered from 0. Tenants that were moved in old keep their cells as long as
+// these exist. Old may be nil.
 func Make(version uint64, plan Plan, stores []Store, sets int, old *Map) (*Map, error) {
 	if len(plan.Cells) == 0 {
-		return nil, fmt.Errorf("cells: none is named")
+		return nil, fmt.Errorf("cells: no cell is defined")
 	}
 	plan.Holders = max(1, plan.Holders)
 	m := &Map{Version: version, plan: plan, byName: map[string]int{}, moved: iradix.New[int](), sets: sets}
 	bySet := make([][]Store, sets)
 	for _, s := range stores {
 		if s.Set < 0 || s.Set >= sets {
-			return nil, fmt.Errorf("cells: store %q is of set %d, there are %d", s.Name, s.Set, sets)
+			return nil, fmt.Errorf("cells: store %q is of set %d, but there are %d sets", s.Name, s.Set, sets)
 		}
 		bySet[s.Set] = append(bySet[s.Set], s)
 	}
 	for i, c := range plan.Cells {
 		if _, twice := m.byName[c.Name]; twice || c.Name == "" {
-			return nil, fmt.Errorf("cells: the name %q is there twice or empty", c.Name)
+			return nil, fmt.Errorf("cells: cell name %q is used twice or empty", c.Name)
 		}
 		c.Weight = cmp.Or(max(0, c.Weight), 1)
 		m.byName[c.Name] = i
-		k := &members{Cell: c, bySet: make([][]string, sets), stores: map[string]bool{}}
+		k := &cellStores{Cell: c, bySet: make([][]string, sets), stores: map[string]bool{}}
 		for set, list := range bySet {
-			if k.bySet[set] = choose(c.Name, set, list, plan.Holders); len(k.bySet[set]) == 0 {
-				return nil, &Unplaced{c.Name, set}
+			if k.bySet[set] = pickHolders(c.Name, set, list, plan.Holders); len(k.bySet[set]) == 0 {
+				return nil, &MissingStoreError{c.Name, set}
 			}
 			for _, name := range k.bySet[set] {
 				k.stores[name] = true
@@ -100,11 +100,11 @@
 		m.cells = append(m.cells, k)
 	}
 	if _, there := m.byName[plan.Default]; plan.Default != "" && !there {
-		return nil, fmt.Errorf("cells: the default cell %q is not among them", plan.Default)
+		return nil, fmt.Errorf("cells: the default cell %q is not defined", plan.Default)
 	}
 	for tenant, cell := range plan.Pins {
 		if _, there := m.byName[cell]; !there {
-			return nil, fmt.Errorf("cells: tenant %q is pinned to cell %q, which is not among them", tenant, cell)
+			return nil, fmt.Errorf("cells: tenant %q is pinned to cell %q, which is not defined", tenant, cell)
 		}
 	}
 	if old != nil {
@@ -120,8 +120,8 @@
 	return m, nil
 }
 
-// choose draws a cell's holders of a set: the best by score, each from a zone of its own as far as there are.
-func choose(cell string, set int, list []Store, most int) (names []string) {
+// pickHolders picks a cell's holders of a set: the best by score, spread over as many zones as possible.
+func pickHolders(cell string, set int, list []Store, most int) (names []string) {
 	list = slices.Clone(list)
 	slices.SortFunc(list, func(a, b Store) int {
 		return cmp.Or(cmp.Compare(score(cell, b.Name, set), score(cell, a.Name, set)), cmp.Compare(a.Name, b.Name))
@@ -141,7 +141,7 @@
 	return names
 }
 
-// Of is the cell of a tenant.
+// CellOf returns the cell of a tenant.
 func (m *Map) Of(tenant string) string { return m.cells[m.index(tenant)].Name }
 
 func (m *Map) index(tenant string) int {
@@ -164,7 +164,7 @@
 	return best
 }
 
-// Stores are those that a cell may use. Nobody may change them.
+// Stores returns the stores that a cell may use. The result is read-only.
 func (m *Map) Stores(cell string) map[string]bool {
 	if i, there := m.byName[cell]; there {
 		return m.cells[i].stores
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// Holders are a cell's stores of a set, the best first.
+// Holders returns a cell's stores of a set, the best first.
 func (m *Map) Holders(cell string, set int) []string {
 	if i, there := m.byName[cell]; there && set >= 0 && set < m.sets {
 		return m.cells[i].bySet[set]
@@ -180,7 +180,7 @@
 	return nil
 }
 
-// Names are the cells', in the plan's order.
+// Names returns the names of the cells in the order of the plan.
 func (m *Map) Names() (all []string) {
 	for _, c := range m.cells {
 		all = append(all, c.Name)
@@ -188,7 +188,7 @@
 	return all
 }
 
-// Move gives a new map in which tenants belong to a cell; the old one stays as it is.
+// Move returns a new map in which the tenants belong to a cell; m does not change.
 func (m *Map) Move(version uint64, cell string, tenants ...string) (*Map, error) {
 	to, there := m.byName[cell]
 	if !there {
@@ -207,8 +207,8 @@
 	return &fresh, nil
 }
 
-// Where says of each tenant that was moved where it is now.
-func (m *Map) Where() map[string]string {
+// MovedTenants returns the current cell of each tenant that was moved.
+func (m *Map) MovedTenants() map[string]string {
 	all := map[string]string{}
 	m.moved.Root().Walk(func(tenant []byte, at int) bool {
 		all[string(tenant)] = m.cells[at].Name
@@ -217,11 +217,11 @@
 	return all
 }
 
-// Moved counts the tenants that are not where the plan alone would put them.
-func (m *Map) Moved() int { return m.moved.Len() }
+// MovedCount returns the number of moved tenants.
+func (m *Map) MovedCount() int { return m.moved.Len() }
 
-// Lost says whether a cell has lost so many of its holders of some set that it must refuse; then which set. Up says of a
-// store whether it may be given work. Nothing spills onto stores of other cells.
+// Lost reports whether a cell has lost so many holders of some set that it must refuse scans, and which set. Up reports
+// whether a store accepts work. Load never spills onto stores of other cells.
 func (m *Map) Lost(cell string, up func(store string) bool) (set int, lost bool) {
 	i, there := m.byName[cell]
 	if !there {
@@ -241,16 +241,16 @@
 	return 0, false
 }
 
-// Overlap tells how far cells are apart.
+// Overlap measures how isolated the cells of a map are from each other.
 type Overlap struct {
-	Combinations float64 // ways to draw one cell's stores
+	Combinations float64 // number of ways to pick the stores of one cell
 	SameCell     float64 // share of pairs of tenants in one cell
 	AnyStore     float64 // share of pairs of cells that have some store in common
 	AllStores    float64 // share of pairs of cells that have all stores in common
-	MeanShared   float64 // share of a cell's stores that another cell has too, in the mean
+	MeanShared   float64 // mean share of a cell's stores that another cell also has
 }
 
-// Overlap measures the map for some tenants.
+// Overlap computes the overlap of the cells for some tenants.
 func (m *Map) Overlap(tenants []string) (o Overlap) {
 	o.Combinations = 1
 	count := make([]float64, len(m.cells))
@@ -288,7 +288,7 @@
 	return o
 }
 
-// Combinations is in how many ways so many of n can be drawn.
+// Combinations returns the binomial coefficient n over of.
 func Combinations(n, of int) float64 {
 	x := 1.0
 	for i := range min(of, n) {
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -25,8 +25,8 @@
 	return p
 }
 
-// Every cell can serve every shard, from zones of its own, whatever stores and cells there are; and the same input gives
-// the same map.
+// Every cell can serve every shard, with holders spread over zones, for any stores and cells; the same input gives the
+// same map.
 func TestEveryCellHoldsEveryShard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sets, each := rapid.IntRange(1, 6).Draw(t, "sets"), rapid.IntRange(1, 7).Draw(t, "each")
@@ -79,7 +79,7 @@
 			}
 		}
 		if was[gone.Name] {
-			assert.LessOrEqual(t, lost, 2, "%s: the one that is gone, and one for its zone's sake", c)
+			assert.LessOrEqual(t, lost, 2, "%s: the gone store, and one more for the spread over zones", c)
 		} else {
 			assert.True(t, maps.Equal(was, is), "%s has not changed", c)
 		}
@@ -96,7 +96,7 @@
 	for i := range 6000 {
 		count[m.Of(fmt.Sprint("t", i))]++
 	}
-	assert.InDelta(t, 3000, count["cell-0"], 150, "three of six parts by weight")
+	assert.InDelta(t, 3000, count["cell-0"], 150, "weight 3 of 6")
 	assert.InDelta(t, 1000, count["cell-1"], 120)
 	assert.Equal(t, "cell-3", m.Of("vip"))
 	to := "cell-1"
@@ -106,16 +106,16 @@
 	moved, err := m.Move(6, to, "t1", "vip")
 	require.NoError(t, err)
 	assert.Equal(t, to, moved.Of("t1"))
-	assert.Equal(t, to, moved.Of("vip"), "a move goes before a pin")
-	assert.Equal(t, "cell-3", m.Of("vip"), "who began with the old map goes on with it")
+	assert.Equal(t, to, moved.Of("vip"), "a move overrides a pin")
+	assert.Equal(t, "cell-3", m.Of("vip"), "the old map does not change")
 	later, err := Make(7, p, stores(2, 5), 2, moved)
 	require.NoError(t, err)
-	assert.Equal(t, to, later.Of("t1"), "moves outlast a new list")
+	assert.Equal(t, to, later.Of("t1"), "moves survive a new list")
 	fewer := p
 	fewer.Cells, fewer.Pins = []Cell{{Name: "cell-0"}}, nil
 	later, err = Make(8, fewer, stores(2, 5), 2, moved)
 	require.NoError(t, err)
-	assert.Equal(t, "cell-0", later.Of("t1"), "its cell is gone")
+	assert.Equal(t, "cell-0", later.Of("t1"), "its cell no longer exists")
 	p.Default, p.Pins = "cell-2", nil
 	m, err = Make(9, p, stores(2, 6), 2, nil)
 	require.NoError(t, err)
@@ -128,8 +128,8 @@
 		do   func(p *Plan, s *[]Store)
 		want string
 	}{
-		"no cell":         {func(p *Plan, _ *[]Store) { p.Cells = nil }, "none is named"},
-		"twice":           {func(p *Plan, _ *[]Store) { p.Cells = append(p.Cells, p.Cells[0]) }, "there twice"},
+		"no cell":         {func(p *Plan, _ *[]Store) { p.Cells = nil }, "no cell is defined"},
+		"twice":           {func(p *Plan, _ *[]Store) { p.Cells = append(p.Cells, p.Cells[0]) }, "is used twice"},
 		"no default":      {func(p *Plan, _ *[]Store) { p.Default = "x" }, `default cell "x"`},
 		"no pin":          {func(p *Plan, _ *[]Store) { p.Pins = map[string]string{"t": "x"} }, `pinned to cell "x"`},
 		"no such set":     {func(_ *Plan, s *[]Store) { (*s)[0].Set = 9 }, "is of set 9"},
@@ -149,7 +149,8 @@
 	assert.ErrorContains(t, err, "no cell")
 }
 
-// A cell that has lost half of a shard's holders or more refuses; the others don't notice, unless they share those stores.
+// A cell that has lost half or more of the holders of a set refuses scans; other cells are not affected unless they share
+// those stores.
 func TestLost(t *testing.T) {
 	m, err := Make(1, plan(10, 3), stores(3, 9), 3, nil)
 	require.NoError(t, err)
@@ -194,7 +195,7 @@
 
 const many = 100000
 
-// The persistent map against a plain one copied for each move, at 100,000 moved tenants.
+// Compares the persistent map with a plain map that is copied for each move, at 100,000 moved tenants.
 func BenchmarkMove(b *testing.B) {
 	b.Run("persistent", func(b *testing.B) {
 		m, err := Make(1, plan(20, 2), stores(2, 6), 2, nil)
--- a/internal/cells/moves.go
+++ b/internal/cells/moves.go
@@ -8,103 +8,104 @@
 	"slices"
 )
 
-// State is how far a move is.
+// State is the state of a move.
 type State string
 
 const (
-	Planned  State = "planned"  // ordered, and noted in the log
-	Warming  State = "warming"  // it waits until the new cell's stores may take the tenants
-	Switched State = "switched" // new scans go to the new cell; those that began before go on in the old one
-	Done     State = "done"     // no scan is left in the old cell
-	Undone   State = "undone"   // it went back, and nobody is left where it had gone
+	Planned  State = "planned"  // ordered and written to the log
+	Warming  State = "warming"  // waits until the stores of the new cell are warm
+	Switched State = "switched" // new scans use the new cell; scans that started before stay in the old one
+	Done     State = "done"     // no scan is open in the old cell
+	Reverted State = "undone"   // the move was reverted, and no scan is open in the new cell
 )
 
-// Over says whether a move has ended.
-func (s State) Over() bool { return s == Done || s == Undone }
+// Finished reports whether a move has ended.
+func (s State) Finished() bool { return s == Done || s == Reverted }
 
-// Move is one move of tenants to a cell.
+// Move is a move of tenants to a cell. It is stored as JSON under its field names.
 type Move struct {
 	ID      string
 	Author  string
 	To      string
-	Was     map[string]string // each tenant's cell before
+	Was     map[string]string // the cell of each tenant before the move
 	State   State
 	Paused  bool
-	Back    bool    // it is going back
-	Version uint64  // of the map that switched it, or switched it back
-	Since   float64 // wall clock in ms, of the last change of state
+	Back    bool    // the move is being reverted
+	Version uint64  // of the map that switched the tenants, or switched them back
+	Since   float64 // time of the last state change; wall clock in ms
 }
 
-// Tenants of a move, in order.
+// Tenants returns the tenants of a move, sorted.
 func (m *Move) Tenants() []string { return slices.Sorted(maps.Keys(m.Was)) }
 
-// Input of Moves: a Begin, Pause, Resume, Back, Written, LogLost, Warm, ScanBegun, ScanEnded or Relist.
+// Input is an input of Moves: BeginMove, Pause, Resume, Revert, Written, LogLost, CellWarm, ScanStarted, ScanEnded or
+// StoresChanged.
 type Input any
 
-// Begin orders a move.
-type Begin struct {
+// BeginMove orders a move.
+type BeginMove struct {
 	ID, Author, To string
 	Tenants        []string
 }
 
-// Pause keeps a move where it is; Resume lets it go on; Back takes it back.
+// Pause stops the progress of a move, Resume continues it, and Revert moves the tenants back.
 type (
 	Pause  struct{ ID string }
 	Resume struct{ ID string }
-	Back   struct{ ID string }
+	Revert struct{ ID string }
 )
 
-// Written says that all records up to this number last.
+// Written reports that all records up to this number are durable.
 type Written struct{ Upto uint64 }
 
-// LogLost says that the log takes nothing more, or that there is none. What was not written does not happen.
+// LogLost reports that the log has failed or that there is none. Changes that are not durable do not take effect.
 type LogLost struct{ Err error }
 
-// Warm says whether a cell's stores may take more tenants: up, and past their cold time.
-type Warm struct {
+// CellWarm reports whether the stores of a cell may take more tenants: they are up and past their cold time.
+type CellWarm struct {
 	Cell string
 	OK   bool
 }
 
-// ScanBegun and ScanEnded tell of scans by the version of the map that they go by.
+// ScanStarted and ScanEnded report scans by the version of the map that they use.
 type (
-	ScanBegun struct{ Version uint64 }
-	ScanEnded struct{ Version uint64 }
+	ScanStarted struct{ Version uint64 }
+	ScanEnded   struct{ Version uint64 }
 )
 
-// Relist brings other stores: the map is made anew, moves stay.
-type Relist struct{ Stores []Store }
+// StoresChanged replaces the stores: the map is rebuilt and moved tenants keep their cells.
+type StoresChanged struct{ Stores []Store }
 
-// Output of Moves: a Write, Use or Refused.
+// Output is an output of Moves: Write, UseMap or Refused.
 type Output any
 
-// Write is a record to be made to last; Written must follow with its number.
+// Write is a record to append to the durable log; Written must follow with its number.
 type Write struct {
 	Number uint64
 	Record []byte
 }
 
-// Use is the map that new scans go by from now on.
-type Use struct{ Map *Map }
+// UseMap is the map for new scans from now on.
+type UseMap struct{ Map *Map }
 
-// Refused says why an order was not taken.
+// Refused reports why an order was rejected.
 type Refused struct{ ID, Why string }
 
 const (
-	movesOpen = 64  // moves that are not over, at once
-	movesKept = 256 // that are over and still shown
-	tenantsAt = 10000
+	maxOpenMoves      = 64  // maximum number of unfinished moves
+	maxFinishedMoves  = 256 // finished moves that are kept for display
+	maxTenantsPerMove = 10000
 )
 
-// record is one change of state, as it lasts.
+// record is one state change in the log. It is stored as JSON under its field names.
 type record struct {
 	Move Move
-	Map  uint64 // the version of the map from here on
+	Map  uint64 // the version of the map from this record on; 0 if it does not change
 }
 
-// Moves is the state machine of all moves. It has no I/O: what it decides takes effect once the log has it, so a crash at
-// any moment leaves each move in the state it had or in the next one, and a restart goes on from there. A scan is never
-// moved: it ends by the map that it began with, and gets one answer from it.
+// Moves is the state machine of all moves. It does no I/O. A decision takes effect once its record is durable: after a
+// crash each move is in its previous state or in the next one, and a restart continues from there. A scan is never moved:
+// it completes on the map with which it started.
 type Moves struct {
 	Map    *Map
 	plan   Plan
@@ -114,19 +115,19 @@
 	moves   map[string]*Move
 	order   []string
 	warm    map[string]bool
-	open    map[uint64]int // scans by version
+	open    map[uint64]int // number of open scans by map version
 	number  uint64
-	waiting map[uint64]record // written, not yet known to last
-	busy    map[string]bool   // moves with such a record
-	lost    error
+	pending map[uint64]record // records that are being written and not yet known to be durable
+	writing map[string]bool   // moves with a pending record
+	logErr  error
 	now     float64
 	out     []Output
 }
 
-// NewMoves begins with a plan and its stores, and what the log holds: a snapshot and the records after it.
+// NewMoves returns the moves of a plan and its stores, restored from a snapshot and the log records after it.
 func NewMoves(plan Plan, stores []Store, sets int, snapshot []byte, records [][]byte) (*Moves, error) {
 	v := &Moves{plan: plan, sets: sets, stores: stores, moves: map[string]*Move{}, warm: map[string]bool{}, open: map[uint64]int{},
-		waiting: map[uint64]record{}, busy: map[string]bool{}}
+		pending: map[uint64]record{}, writing: map[string]bool{}}
 	m, err := Make(1, plan, stores, sets, nil)
 	if err != nil {
 		return nil, err
@@ -140,23 +141,23 @@
 	for i, b := range records {
 		var r record
 		if err := json.Unmarshal(b, &r); err != nil {
-			return nil, fmt.Errorf("cells: record %d can't be read: %w", i, err)
+			return nil, fmt.Errorf("cells: decode record %d: %w", i, err)
 		}
 		v.apply(r)
 	}
 	return v, nil
 }
 
-// kept is a snapshot: where moved tenants are outlasts the moves that brought them there.
-type kept struct {
+// storedSnapshot is a snapshot in JSON. It holds the cells of moved tenants, since finished moves are dropped in time.
+type storedSnapshot struct {
 	Version uint64
 	Where   map[string]string
 	Moves   []Move
 }
 
-// Snapshot is what stands in the place of all records so far.
+// Snapshot returns a snapshot that replaces all records so far.
 func (v *Moves) Snapshot() ([]byte, error) {
-	k := kept{Version: v.Map.Version, Where: v.Map.Where()}
+	k := storedSnapshot{Version: v.Map.Version, Where: v.Map.MovedTenants()}
 	for _, id := range v.order {
 		k.Moves = append(k.Moves, *v.moves[id])
 	}
@@ -164,11 +165,11 @@
 }
 
 func (v *Moves) restore(snapshot []byte) error {
-	var k kept
+	var k storedSnapshot
 	if err := json.Unmarshal(snapshot, &k); err != nil {
-		return fmt.Errorf("cells: the snapshot can't be read: %w", err)
+		return fmt.Errorf("cells: decode snapshot: %w", err)
 	}
-	v.place(k.Where)
+	v.placeTenants(k.Where)
 	v.renumber(k.Version)
 	for _, m := range k.Moves {
 		v.apply(record{Move: m})
@@ -176,8 +177,8 @@
 	return nil
 }
 
-// place puts tenants into cells; those whose cell is no more are where the plan has them.
-func (v *Moves) place(where map[string]string) {
+// placeTenants moves tenants to cells; tenants whose cell no longer exists stay in the cell of the plan.
+func (v *Moves) placeTenants(where map[string]string) {
 	to := map[string][]string{}
 	for _, t := range slices.Sorted(maps.Keys(where)) {
 		to[where[t]] = append(to[where[t]], t)
@@ -189,14 +190,14 @@
 	}
 }
 
-// renumber gives the present map a version.
+// renumber sets the version of the current map.
 func (v *Moves) renumber(version uint64) {
 	fresh := *v.Map
 	fresh.Version = version
 	v.Map = &fresh
 }
 
-// List is what is seen of all moves, the oldest first.
+// List returns all moves, the oldest first.
 func (v *Moves) List() (all []Move) {
 	for _, id := range v.order {
 		m := *v.moves[id]
@@ -206,7 +207,7 @@
 	return all
 }
 
-// apply puts a record that lasts into effect. It is the one place where a move's state changes.
+// apply applies a durable record. The state of a move changes only here.
 func (v *Moves) apply(r record) {
 	m := r.Move
 	if v.moves[m.ID] == nil {
@@ -218,18 +219,18 @@
 	}
 	over := 0
 	for _, id := range v.order {
-		if v.moves[id].State.Over() {
+		if v.moves[id].State.Finished() {
 			over++
 		}
 	}
-	if over > movesKept {
-		i := slices.IndexFunc(v.order, func(id string) bool { return v.moves[id].State.Over() })
+	if over > maxFinishedMoves {
+		i := slices.IndexFunc(v.order, func(id string) bool { return v.moves[id].State.Finished() })
 		delete(v.moves, v.order[i])
 		v.order = slices.Delete(v.order, i, i+1)
 	}
 }
 
-// switchTo makes the map of a version in which a move's tenants are where it has them.
+// switchTo installs a map with that version in which the tenants are in the cells that the move assigns to them.
 func (v *Moves) switchTo(m *Move, version uint64) {
 	where := map[string]string{}
 	for t, cell := range m.Was {
@@ -237,17 +238,17 @@
 			where[t] = cell
 		}
 	}
-	v.place(where)
+	v.placeTenants(where)
 	v.renumber(version)
 }
 
-// Step takes what happened and returns what is to be done.
+// Step applies the inputs, advances the moves and returns the outputs.
 func (v *Moves) Step(now float64, in []Input) []Output {
 	v.out, v.now = nil, max(v.now, now)
 	before := v.Map
 	for _, x := range in {
 		switch o := x.(type) {
-		case Begin:
+		case BeginMove:
 			if why := v.begin(o); why != "" {
 				v.refuse(o.ID, why)
 			}
@@ -255,30 +256,30 @@
 			v.change(o.ID, func(m *Move) string { m.Paused = true; return "" })
 		case Resume:
 			v.change(o.ID, func(m *Move) string { m.Paused = false; return "" })
-		case Back:
-			v.change(o.ID, v.back)
+		case Revert:
+			v.change(o.ID, v.revert)
 		case Written:
 			v.written(o.Upto)
 		case LogLost:
-			v.lost = o.Err
-			if v.lost == nil {
-				v.lost = errors.New("unknown")
+			v.logErr = o.Err
+			if v.logErr == nil {
+				v.logErr = errors.New("unknown")
 			}
-			clear(v.waiting) // whether it lasts is known at the next start alone
-			clear(v.busy)
-		case Warm:
+			clear(v.pending) // only the next start shows which of them are durable
+			clear(v.writing)
+		case CellWarm:
 			v.warm[o.Cell] = o.OK
-		case ScanBegun:
+		case ScanStarted:
 			v.open[o.Version]++
 		case ScanEnded:
 			if v.open[o.Version]--; v.open[o.Version] <= 0 {
 				delete(v.open, o.Version)
 			}
-		case Relist:
+		case StoresChanged:
 			if next, err := Make(v.Map.Version, v.plan, o.Stores, v.sets, v.Map); err == nil {
 				v.Map, v.stores = next, o.Stores
 			} else {
-				v.refuse("", err.Error()) // the old map stays: its cells refuse by themselves what they have lost
+				v.refuse("", err.Error()) // the old map stays in use: its cells refuse scans for sets whose stores they lost
 			}
 		}
 	}
@@ -286,24 +287,24 @@
 		v.advance(v.moves[id])
 	}
 	if v.Map != before {
-		v.out = append(v.out, Use{v.Map})
+		v.out = append(v.out, UseMap{v.Map})
 	}
 	return v.out
 }
 
 func (v *Moves) refuse(id, why string) { v.out = append(v.out, Refused{id, why}) }
 
-func (v *Moves) begin(o Begin) (why string) {
+func (v *Moves) begin(o BeginMove) (why string) {
 	switch open := v.unfinished(); {
-	case v.lost != nil:
-		return fmt.Sprintf("moves need a log that outlives a restart: %v", v.lost)
-	case o.ID == "" || v.moves[o.ID] != nil || v.busy[o.ID]:
+	case v.logErr != nil:
+		return fmt.Sprintf("moves need a log that outlives a restart: %v", v.logErr)
+	case o.ID == "" || v.moves[o.ID] != nil || v.writing[o.ID]:
 		return "a move of this id is there already, or it has none"
-	case len(o.Tenants) == 0 || len(o.Tenants) > tenantsAt:
-		return fmt.Sprintf("%d tenants; from 1 to %d can be moved at once", len(o.Tenants), tenantsAt)
+	case len(o.Tenants) == 0 || len(o.Tenants) > maxTenantsPerMove:
+		return fmt.Sprintf("%d tenants; from 1 to %d can be moved at once", len(o.Tenants), maxTenantsPerMove)
 	case v.Map.Stores(o.To) == nil:
 		return fmt.Sprintf("there is no cell %q", o.To)
-	case open >= movesOpen:
+	case open >= maxOpenMoves:
 		return fmt.Sprintf("%d moves are under way", open)
 	}
 	m := Move{ID: o.ID, Author: o.Author, To: o.To, Was: map[string]string{}, State: Planned, Since: v.now}
@@ -312,13 +313,13 @@
 			return fmt.Sprintf("tenant %q is in cell %q already", t, o.To)
 		}
 	}
-	for _, r := range v.waiting {
-		if shares(&r.Move, &m) {
+	for _, r := range v.pending {
+		if shareTenant(&r.Move, &m) {
 			return fmt.Sprintf("move %q has one of these tenants", r.Move.ID)
 		}
 	}
 	for _, other := range v.moves {
-		if !other.State.Over() && shares(other, &m) {
+		if !other.State.Finished() && shareTenant(other, &m) {
 			return fmt.Sprintf("move %q has one of these tenants", other.ID)
 		}
 	}
@@ -326,7 +327,7 @@
 	return ""
 }
 
-func shares(a, b *Move) bool {
+func shareTenant(a, b *Move) bool {
 	for t := range a.Was {
 		if _, both := b.Was[t]; both {
 			return true
@@ -337,22 +338,22 @@
 
 func (v *Moves) unfinished() (n int) {
 	for _, m := range v.moves {
-		if !m.State.Over() {
+		if !m.State.Finished() {
 			n++
 		}
 	}
 	return n
 }
 
-// change writes an order on a move that is not over.
+// change writes an order for an unfinished move.
 func (v *Moves) change(id string, do func(*Move) string) {
 	old := v.moves[id]
 	switch {
-	case old == nil || old.State.Over():
+	case old == nil || old.State.Finished():
 		v.refuse(id, "there is no such move under way")
-	case v.lost != nil:
-		v.refuse(id, fmt.Sprintf("the log is lost: %v", v.lost))
-	case v.busy[id]:
+	case v.logErr != nil:
+		v.refuse(id, fmt.Sprintf("the log is lost: %v", v.logErr))
+	case v.writing[id]:
 		v.refuse(id, "its last change is still being written: order it again")
 	default:
 		m := *old
@@ -364,21 +365,21 @@
 	}
 }
 
-// back turns a move round: one that has not switched just ends, one that has switches again.
-func (v *Moves) back(m *Move) string {
+// revert reverts a move: a move that has not switched ends at once, one that has switches back.
+func (v *Moves) revert(m *Move) string {
 	if m.Back {
 		return "it is going back already"
 	}
 	m.Back, m.Paused, m.Since = true, false, v.now
 	if m.State != Switched {
-		m.State = Undone
+		m.State = Reverted
 	}
 	return ""
 }
 
-// advance carries a move on as far as it goes now.
+// advance starts the next state change of a move, if it is possible now.
 func (v *Moves) advance(old *Move) {
-	if old.State.Over() || old.Paused || v.busy[old.ID] || v.lost != nil {
+	if old.State.Finished() || old.Paused || v.writing[old.ID] || v.logErr != nil {
 		return
 	}
 	m := *old
@@ -388,22 +389,22 @@
 		m.State = Warming
 		v.write(m, 0)
 	case m.State == Warming && v.warm[m.To]:
-		m.State, m.Version = Switched, v.next()
+		m.State, m.Version = Switched, v.nextVersion()
 		v.write(m, m.Version)
-	case m.State == Switched && m.Back && !v.turned(old):
-		m.Version = v.next()
+	case m.State == Switched && m.Back && !v.tenantsRestored(old):
+		m.Version = v.nextVersion()
 		v.write(m, m.Version)
-	case m.State == Switched && v.left(m.Version):
+	case m.State == Switched && v.scansEndedBefore(m.Version):
 		m.State = Done
 		if m.Back {
-			m.State = Undone
+			m.State = Reverted
 		}
 		v.write(m, 0)
 	}
 }
 
-// turned says whether the map has a move's tenants back where they were.
-func (v *Moves) turned(m *Move) bool {
+// tenantsRestored reports whether the tenants of a move are back in their previous cells.
+func (v *Moves) tenantsRestored(m *Move) bool {
 	for t, cell := range m.Was {
 		if v.Map.Of(t) != cell {
 			return false
@@ -412,8 +413,8 @@
 	return true
 }
 
-// left says whether no scan is open that began before a version.
-func (v *Moves) left(version uint64) bool {
+// scansEndedBefore reports whether no scan is open on a map older than version.
+func (v *Moves) scansEndedBefore(version uint64) bool {
 	for at := range v.open {
 		if at < version {
 			return false
@@ -422,11 +423,11 @@
 	return true
 }
 
-// next is a version that no map has and no record that is being written brings. Each takes some: a move may pass
-// through one map for each cell that its tenants come from.
-func (v *Moves) next() uint64 {
+// nextVersion returns a version that neither a map nor a pending record uses. It leaves a gap, since a move may pass
+// through one intermediate map for each cell that its tenants come from.
+func (v *Moves) nextVersion() uint64 {
 	at := v.Map.Version
-	for _, r := range v.waiting {
+	for _, r := range v.pending {
 		at = max(at, r.Map)
 	}
 	return at + uint64(len(v.plan.Cells)) + 1
@@ -440,16 +441,16 @@
 		return
 	}
 	v.number++
-	v.waiting[v.number], v.busy[m.ID] = r, true
+	v.pending[v.number], v.writing[m.ID] = r, true
 	v.out = append(v.out, Write{v.number, b})
 }
 
 func (v *Moves) written(upto uint64) {
-	for _, n := range slices.Sorted(maps.Keys(v.waiting)) {
+	for _, n := range slices.Sorted(maps.Keys(v.pending)) {
 		if n <= upto {
-			r := v.waiting[n]
-			delete(v.waiting, n)
-			delete(v.busy, r.Move.ID)
+			r := v.pending[n]
+			delete(v.pending, n)
+			delete(v.writing, r.Move.ID)
 			v.apply(r)
 		}
 	}
--- a/internal/confine/confine.go
+++ b/internal/confine/confine.go
@@ -1,8 +1,9 @@
-// Package confine decides of each scan, before the decision module sees it, whether its cell takes it and which nodes it
-// may use. It puts the map of cells, the limits and what the list says together, and has no I/O and no clock.
+// Package confine decides for each scan, before the decision module sees it, whether its cell admits it and which nodes
+// it may use. It combines the map of cells (package cells), the limits (package quota) and the node list. It does no I/O
+// and reads no clock.
 //
-// A scan keeps the map version that it came with: its permitted nodes are those of its cell at that version, for all its
-// dispatches, whatever moves meanwhile.
+// A scan keeps the version of the map with which it was admitted: all its dispatches go to the nodes of its cell at that
+// version, even if tenants move meanwhile.
 package confine
 
 import (
@@ -14,116 +15,118 @@
 	"gullstair/internal/quota"
 )
 
-// Node is one that the list names.
+// Node is a node of the list.
 type Node struct {
-	Number     int64 // the module's
+	Number     int64 // the node's number in the decision module
 	Name, Zone string
 	Set        int
 	Ready      bool
-	Cold       bool // it has started a short while ago
+	Cold       bool // it was started recently
 }
 
-// Verdict on a scan.
+// Verdict is the decision on a scan.
 type Verdict struct {
-	Taken     bool
-	Why       string
-	After     float64 // ms, for a throttled one
-	Cell      string
-	Version   uint64
-	Permitted map[int64]bool // shared by all scans of the cell and version: nobody may change it
+	Admitted   bool
+	Reason     string
+	RetryAfter float64 // ms, for a throttled scan
+	Cell       string
+	Version    uint64
+	Permitted  map[int64]bool // shared by all scans of the cell and version; read-only
 }
 
-// Core is one broker's. Only one goroutine may call it.
-type Core struct {
-	moves  *cells.Moves
-	limits *quota.Core
-	plan   cells.Plan
-	sets   int
-	nodes  map[string]Node
-	places map[string]*place
-	built  map[uint64]map[string]map[int64]bool // permitted nodes, by version and cell
-	open   map[uint64]int
-	lost   map[string]bool
-	counts map[string]*Counts
+// Admission is the state of one broker. It is not safe for concurrent use.
+type Admission struct {
+	moves              *cells.Moves
+	limits             *quota.Limiter
+	plan               cells.Plan
+	sets               int
+	nodes              map[string]Node
+	slots              map[string]*slot
+	permittedByVersion map[uint64]map[string]map[int64]bool // permitted nodes, by version and cell
+	open               map[uint64]int
+	lost               map[string]bool
+	counts             map[string]*Counts
 }
 
-// place is a node's in the map; gone: since when the list no longer names it.
-type place struct {
+// slot is the slot of a node in the map. goneSince is the time at which the list dropped the node; 0 if it has not.
+type slot struct {
 	Node
-	gone float64
+	goneSince float64
 }
 
-// Grace is how long, in ms, a node that is gone keeps its place when nobody comes for it.
-const Grace = 600000.0
+// SlotGrace is how long, in ms, a gone node keeps its slot if no new node takes it over.
+const SlotGrace = 600000.0
 
-// Counts of one cell.
-type Counts struct{ Taken, Refused, Lost int }
+// Counts are the counters of one cell.
+type Counts struct{ Admitted, Refused, Lost int }
 
-// lostAfter is the time to come back that a lost cell tells, in ms: its stores are looked at with each list.
-const lostAfter = 1000.0
+// lostRetryAfter is the retry time, in ms, for scans of a cell that has lost its stores. The cell is evaluated again with
+// each list.
+const lostRetryAfter = 1000.0
 
-// New puts a map's moves and the limits together.
-func New(plan cells.Plan, sets int, moves *cells.Moves, limits *quota.Core) *Core {
-	return &Core{plan: plan, sets: sets, moves: moves, limits: limits, nodes: map[string]Node{}, places: map[string]*place{}, built: map[uint64]map[string]map[int64]bool{},
+// New returns an Admission over the moves of a map and the limits.
+func New(plan cells.Plan, sets int, moves *cells.Moves, limits *quota.Limiter) *Admission {
+	return &Admission{plan: plan, sets: sets, moves: moves, limits: limits, nodes: map[string]Node{}, slots: map[string]*slot{}, permittedByVersion: map[uint64]map[string]map[int64]bool{},
 		open: map[uint64]int{}, lost: map[string]bool{}, counts: map[string]*Counts{}}
 }
 
-// List takes up what the list says, whole, and returns what the moves are to be told of it: the stores as they are now,
-// and of each cell whether it may take more tenants. A node that is gone keeps its place in its cells, which may refuse
-// for it: were the place given to another at once, a cell's load would spill onto stores that others live on. It loses
-// the place to a newcomer of its set, as in a release, or after Grace.
-func (c *Core) List(now float64, nodes []Node) (in []cells.Input) {
+// ApplyList applies a full node list and returns inputs for the moves: the current stores, and for each cell whether it
+// may take more tenants. A gone node keeps its slot in its cells, even if they refuse scans because of it: if another
+// store took the slot at once, the load of the cell would spill onto stores of other cells. The slot passes to a new node
+// of the same set, as in a rollout, or is freed after SlotGrace.
+func (c *Admission) ApplyList(now float64, nodes []Node) (in []cells.Input) {
 	listed := map[string]Node{}
 	var fresh []Node
 	for _, n := range nodes {
 		listed[n.Name] = n
-		if _, known := c.places[n.Name]; !known && len(c.places) > 0 {
+		if _, known := c.slots[n.Name]; !known && len(c.slots) > 0 {
 			fresh = append(fresh, n)
 		}
 	}
-	for name, p := range c.places {
+	for name, p := range c.slots {
 		if n, there := listed[name]; there {
-			p.Node, p.gone = n, 0
-		} else if p.gone == 0 {
-			p.gone = now
+			p.Node, p.goneSince = n, 0
+		} else if p.goneSince == 0 {
+			p.goneSince = now
 		}
 	}
 	slices.SortFunc(fresh, func(a, b Node) int { return strings.Compare(a.Name, b.Name) })
 	for _, n := range fresh {
-		if old := c.heir(n); old != "" {
-			delete(c.places, old)
+		if old := c.takeOver(n); old != "" {
+			delete(c.slots, old)
 		}
 	}
-	for name, p := range c.places {
-		if p.gone > 0 && now-p.gone > Grace {
-			delete(c.places, name)
+	for name, p := range c.slots {
+		if p.goneSince > 0 && now-p.goneSince > SlotGrace {
+			delete(c.slots, name)
 		}
 	}
 	for _, n := range nodes {
-		if c.places[n.Name] == nil {
-			c.places[n.Name] = &place{Node: n}
+		if c.slots[n.Name] == nil {
+			c.slots[n.Name] = &slot{Node: n}
 		}
 	}
 	c.nodes = listed
 	var stores []cells.Store
-	for _, name := range slices.Sorted(maps.Keys(c.places)) {
-		p := c.places[name]
+	for _, name := range slices.Sorted(maps.Keys(c.slots)) {
+		p := c.slots[name]
 		stores = append(stores, cells.Store{Name: name, Zone: p.Zone, Set: p.Set})
 	}
-	clear(c.built)
-	in = append(in, cells.Relist{Stores: stores})
-	return append(in, c.Look()...)
+	clear(c.permittedByVersion)
+	in = append(in, cells.StoresChanged{Stores: stores})
+	return append(in, c.Reevaluate()...)
 }
 
-// heir is the gone node whose place a newcomer takes: of its set, rather of its zone, the one gone longest.
-func (c *Core) heir(n Node) (old string) {
+// takeOver returns the gone node whose slot a new node takes over: of the same set, preferably of the same zone, the one
+// gone longest. It returns "" if there is none.
+func (c *Admission) takeOver(n Node) (old string) {
 	best := 0.0
-	for _, name := range slices.Sorted(maps.Keys(c.places)) {
-		p := c.places[name]
-		if p.gone == 0 || p.Set != n.Set {
+	for _, name := range slices.Sorted(maps.Keys(c.slots)) {
+		p := c.slots[name]
+		if p.goneSince == 0 || p.Set != n.Set {
 			continue
 		}
-		rank := 1e15 - p.gone
+		rank := 1e15 - p.goneSince
 		if p.Zone == n.Zone {
 			rank += 1e15
 		}
@@ -134,19 +137,19 @@
 	return old
 }
 
-// Look looks at the cells anew: which are lost, and which may take more tenants. It is to be called after a Relist took
-// effect, and now and then, since nodes get warm by themselves.
-func (c *Core) Look() (in []cells.Input) {
+// Reevaluate determines which cells have lost their stores, and returns which may take more tenants. Call it after
+// StoresChanged took effect, and periodically, since nodes warm up without a new list.
+func (c *Admission) Reevaluate() (in []cells.Input) {
 	for _, cell := range c.moves.Map.Names() {
 		_, c.lost[cell] = c.moves.Map.Lost(cell, func(s string) bool { return c.nodes[s].Ready })
 		_, cold := c.moves.Map.Lost(cell, func(s string) bool { return c.nodes[s].Ready && !c.nodes[s].Cold })
-		in = append(in, cells.Warm{Cell: cell, OK: !cold})
+		in = append(in, cells.CellWarm{Cell: cell, OK: !cold})
 	}
 	return in
 }
 
-// Take is asked for each scan that comes. One that is taken must be told of with Ended.
-func (c *Core) Take(now float64, tenant string, a quota.Ask) Verdict {
+// Admit decides on a scan. ScanEnded must be called for each admitted scan.
+func (c *Admission) Admit(now float64, tenant string, a quota.Request) Verdict {
 	m := c.moves.Map
 	v := Verdict{Cell: m.Of(tenant), Version: m.Version}
 	k := c.counts[v.Cell]
@@ -156,29 +159,29 @@
 	}
 	if c.lost[v.Cell] {
 		k.Lost++
-		v.Why, v.After = "the cell has lost most of its stores", lostAfter
+		v.Reason, v.RetryAfter = "the cell has lost most of its stores", lostRetryAfter
 		return v
 	}
-	if q := c.limits.Take(now, v.Cell, tenant, a); q.Why != quota.Taken {
+	if q := c.limits.Admit(now, v.Cell, tenant, a); q.Reason != quota.Admitted {
 		k.Refused++
-		v.Why, v.After = q.Why.String(), q.After
+		v.Reason, v.RetryAfter = q.Reason.String(), q.RetryAfter
 		return v
 	}
-	k.Taken++
+	k.Admitted++
 	c.open[v.Version]++
-	v.Taken, v.Permitted = true, c.permitted(v.Version, v.Cell)
+	v.Admitted, v.Permitted = true, c.permitted(v.Version, v.Cell)
 	return v
 }
 
-// permitted makes a cell's nodes at the present version once for all its scans.
-func (c *Core) permitted(version uint64, cell string) map[int64]bool {
-	of := c.built[version]
+// permitted returns the nodes of a cell at the current version. The set is built once for all scans.
+func (c *Admission) permitted(version uint64, cell string) map[int64]bool {
+	of := c.permittedByVersion[version]
 	if of == nil {
-		for old := range c.built {
-			delete(c.built, old) // those of older versions are with their scans
+		for old := range c.permittedByVersion {
+			delete(c.permittedByVersion, old) // sets of older versions are kept by their scans
 		}
 		of = map[string]map[int64]bool{}
-		c.built[version] = of
+		c.permittedByVersion[version] = of
 	}
 	if of[cell] == nil {
 		set := map[int64]bool{}
@@ -192,17 +195,17 @@
 	return of[cell]
 }
 
-// Ended is told of each scan that was taken, however it ended. It returns what the moves are to be told.
-func (c *Core) Ended(now float64, v Verdict, tenant string, a quota.Ask, took float64) (in []cells.Input) {
-	c.limits.Ended(now, v.Cell, tenant, a, took)
+// ScanEnded records the end of an admitted scan and returns inputs for the moves.
+func (c *Admission) ScanEnded(now float64, v Verdict, tenant string, a quota.Request, took float64) (in []cells.Input) {
+	c.limits.ScanEnded(now, v.Cell, tenant, a, took)
 	if c.open[v.Version]--; c.open[v.Version] <= 0 {
 		delete(c.open, v.Version)
 	}
 	return []cells.Input{cells.ScanEnded{Version: v.Version}}
 }
 
-// Lost names the cells that refuse.
-func (c *Core) Lost() (names []string) {
+// LostCells returns the names of the cells that refuse scans since they lost their stores.
+func (c *Admission) LostCells() (names []string) {
 	for cell, lost := range c.lost {
 		if lost {
 			names = append(names, cell)
@@ -212,8 +215,8 @@
 	return names
 }
 
-// Counts of a cell.
-func (c *Core) Counts(cell string) Counts {
+// Counts returns the counters of a cell.
+func (c *Admission) Counts(cell string) Counts {
 	if k := c.counts[cell]; k != nil {
 		return *k
 	}
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -15,11 +15,11 @@
 // methods then do nothing.
 type guard struct {
 	plan        cells.Plan
-	limits      *quota.Core
+	limits      *quota.Limiter
 	sets        int
 	coldTime    float64 // how long, in ms, a node counts as cold after its start
 	nextCheckAt float64
-	confine     *confine.Core // nil until a list has a store for every set, since no cell can be built before
+	confine     *confine.Admission // nil until a list has a store for every set, since no cell can be built before
 	moves       *cells.Moves
 }
 
@@ -38,7 +38,7 @@
 	if c.guard == nil || c.guard.confine == nil {
 		return nil
 	}
-	lost := c.guard.confine.Lost()
+	lost := c.guard.confine.LostCells()
 	for _, v := range c.guard.limits.Views() {
 		all = append(all, CellView{View: v, Lost: slices.Contains(lost, v.Name), Stores: len(c.guard.moves.Map.Stores(v.Name)),
 			Version: c.guard.moves.Map.Version})
@@ -54,7 +54,9 @@
 	Version uint64 `json:"version"`
 }
 
-func (r *Scan) ask() quota.Ask { return quota.Ask{Work: r.work, Size: 1 + len(r.Parts)} }
+func (r *Scan) quotaRequest() quota.Request {
+	return quota.Request{Work: r.work, Size: 1 + len(r.Parts)}
+}
 
 // admittedByCell reports whether the cell of a scan admits it. If not, the scan has been throttled.
 func (c *Core) admittedByCell(r *Scan) bool {
@@ -62,20 +64,20 @@
 		return true
 	}
 	if c.guard.confine == nil {
-		r.verdict = confine.Verdict{Why: "no cell can be laid out: some shards have no store"}
+		r.verdict = confine.Verdict{Reason: "no cell can be laid out: some shards have no store"}
 	} else {
-		r.verdict = c.guard.confine.Take(c.now, r.Account, r.ask())
+		r.verdict = c.guard.confine.Admit(c.now, r.Account, r.quotaRequest())
 	}
-	if r.verdict.Taken {
-		c.guard.step(c.now, cells.ScanBegun{Version: r.verdict.Version})
+	if r.verdict.Admitted {
+		c.guard.step(c.now, cells.ScanStarted{Version: r.verdict.Version})
 		return true
 	}
 	c.Counts.Confined++
 	c.Counts.Throttled++
-	c.reportRefusal(r, r.verdict.Why)
-	reply := Reply{Scan: r, Kind: logic.Throttle, Why: r.verdict.Why}
+	c.reportRefusal(r, r.verdict.Reason)
+	reply := Reply{Scan: r, Kind: logic.Throttle, Why: r.verdict.Reason}
 	if c.settings.RetryAfterAllowed {
-		reply.RetryAfter = r.verdict.After
+		reply.RetryAfter = r.verdict.RetryAfter
 	}
 	c.emit(reply)
 	return false
@@ -173,7 +175,7 @@
 // throttle rejects a scan that exceeds the shared limits.
 func (c *Core) throttle(r *Scan, v Ruling) {
 	c.guard.scanEnded(c.now, r)
-	r.verdict.Taken = false
+	r.verdict.Admitted = false
 	c.Counts.Limited++
 	c.Counts.Throttled++
 	c.reportRefusal(r, v.Why)
@@ -203,8 +205,8 @@
 
 // scanEnded releases the capacity that a scan holds in its cell.
 func (g *guard) scanEnded(now float64, r *Scan) {
-	if g != nil && r.verdict.Taken {
-		g.step(now, g.confine.Ended(now, r.verdict, r.Account, r.ask(), now-r.admittedAt)...)
+	if g != nil && r.verdict.Admitted {
+		g.step(now, g.confine.ScanEnded(now, r.verdict, r.Account, r.quotaRequest(), now-r.admittedAt)...)
 	}
 }
 
@@ -234,15 +236,15 @@
 		g.moves, g.confine = moves, confine.New(g.plan, g.sets, moves, g.limits)
 	}
 	if len(nodes) > 0 {
-		g.step(c.now, g.confine.List(c.now, nodes)...)
-		g.step(c.now, g.confine.Look()...)
+		g.step(c.now, g.confine.ApplyList(c.now, nodes)...)
+		g.step(c.now, g.confine.Reevaluate()...)
 	}
 }
 
 func (g *guard) checkCells(now float64) {
 	if g != nil && g.confine != nil && now >= g.nextCheckAt {
 		g.nextCheckAt = now + checkInterval
-		g.step(now, g.confine.Look()...)
+		g.step(now, g.confine.Reevaluate()...)
 	}
 }
 
--- a/internal/finding/finding.go
+++ b/internal/finding/finding.go
@@ -1,4 +1,5 @@
-// Package finding collects what is wrong with an operator's input, each finding with its place, to be reported together.
+// Package finding collects the errors in an operator's input, each with its place, so that they are reported together.
+// It does no I/O.
 package finding
 
 import (
@@ -8,21 +9,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Finding is one fault: the place where it is and what it is.
+// Finding is one error in the input and its place.
 type Finding struct {
 	Place   string
 	Message string
 }
 
-// List is the findings of one check, in the order in which they were found.
+// List holds the findings of one check in the order in which they were found.
 type List []Finding
 
-// Add notes one finding.
+// Add appends a finding.
 func (l *List) Add(place, format string, args ...any) {
 	*l = append(*l, Finding{Place: place, Message: fmt.Sprintf(format, args...)})
 }
 
-// Err returns all findings as one error; nil if there are none.
+// Err returns all findings as one *Error, or nil if there are none.
 func (l List) Err() error {
 	if len(l) == 0 {
 		return nil
@@ -30,10 +31,10 @@
 	return errors.WithStack(&Error{Findings: l})
 }
 
-// Error carries findings.
+// Error is an error with a list of findings.
 type Error struct{ Findings List }
 
-// Error lists the findings, one after another.
+// Error returns the findings in one line, separated by semicolons.
 func (e *Error) Error() string {
 	lines := make([]string, len(e.Findings))
 	for i, f := range e.Findings {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,10 +1,10 @@
-// Package quota decides whether a scan may be taken, for its cell and its tenant, and when a throttled one should come
-// back. It has no I/O and no clock: the time, arrivals and ends go in, verdicts come out.
+// Package quota decides whether a scan is admitted under the limits of its cell and its tenant, and when a throttled
+// client should retry. It does no I/O and reads no clock: the caller passes the time, arrivals and ends of scans.
 //
-// Each cell has a share of the broker's open scans. A quarter of it is its own whatever happens; the rest, where it lies
-// idle, is lent to cells that have more to do. Whoever is above its share leaves a margin free, so what was lent comes
-// back as scans end. Within a cell tenants are equal by weight. Rates are token buckets (as in RFC 2697), retries have a budget that
-// is a share of what succeeded, so that a failing cell is not stormed.
+// Each cell has a share of the broker's open scans. A quarter of the share is reserved; the rest is lent to other cells
+// while it is idle. A cell above its share must leave a margin of the capacity free, so that lent capacity returns to its
+// owner as scans end. Within a cell tenants share by weight. Rates are token buckets (as in RFC 2697). Retries have a
+// budget that is a fraction of the completed dispatches, so that retries do not overload a failing cell.
 package quota
 
 import (
@@ -13,66 +13,68 @@
 	"slices"
 )
 
-// Limits of one cell. A field at 0 sets no limit.
+// Limits are the limits of one cell. A field of 0 sets no limit.
 type Limits struct {
-	Rate   float64 // scans a second that the cell is entitled to,
-	Burst  float64 // and so many at once
-	Open   int     // scans open at once, most
-	Work   float64 // ms of work outstanding, most
-	Weight float64 // share of the broker's open scans against other cells'; 0 is 1
-	// Retries are further dispatches: a share of the completed ones, and so many saved up.
+	Rate   float64 // scans per second of the cell
+	Burst  float64 // size of the token bucket
+	Open   int     // maximum number of open scans
+	Work   float64 // maximum outstanding work in ms
+	Weight float64 // weight for the share of the broker's open scans; 0 means 1
+	// RetryShare is the retry budget earned per completed dispatch; RetrySpare is the most that can accumulate. A retry is
+	// a further dispatch of a part.
 	RetryShare float64
 	RetrySpare float64
-	// TenantRate is what one tenant is entitled to, in scans a second; TenantBurst at once.
+	// TenantRate is the rate of one tenant in scans per second; TenantBurst is the size of its token bucket.
 	TenantRate, TenantBurst float64
 }
 
-// Why a scan was turned away.
+// Reason is the reason why a scan was throttled; Admitted if it was not.
 type Why uint8
 
 const (
-	Taken Why = iota
+	Admitted Why = iota
 	CellRate
 	TenantRate
 	CellOpen
 	CellWork
-	BrokerOpen // the broker's own cap: no idle share is left to lend
+	BrokerOpen // the broker's capacity: no idle share is left to borrow
 	TenantShare
-	Crowded // more cells or tenants than may be known
+	TooMany // too many tenants, or an unknown cell
 )
 
-var words = [...]string{"taken", "the cell's rate", "the tenant's rate", "the cell's open scans", "the cell's outstanding work",
+var reasonTexts = [...]string{"taken", "the cell's rate", "the tenant's rate", "the cell's open scans", "the cell's outstanding work",
 	"the broker's open scans", "the tenant's share of the cell", "too many tenants"}
 
-func (w Why) String() string { return words[w] }
+func (w Why) String() string { return reasonTexts[w] }
 
-// Ask is what a scan asks for.
-type Ask struct {
-	Weight float64 // its tenant's against others of the cell; 0 is 1
-	Work   float64 // ms, of all its parts
-	Size   int     // of the broker's cap: the scan and its parts; 0 is 1
+// Request is what a scan requires.
+type Request struct {
+	Weight float64 // weight of its tenant within the cell; 0 means 1
+	Work   float64 // ms, sum of all parts
+	Size   int     // units of the broker's capacity: the scan and its parts; 0 means 1
 }
 
-// Verdict on a scan. After says when a throttled one should come back, in ms.
+// Verdict is the decision on a scan. RetryAfter is the time in ms after which a throttled client should retry.
 type Verdict struct {
-	Why   Why
-	After float64
+	Reason     Why
+	RetryAfter float64
 }
 
-// Counts of one cell, for the operators.
+// Counts are the counters of one cell, for operators.
 type Counts struct {
 	Taken          int              `json:"taken"`
 	Throttled      int              `json:"throttled"`
-	By             [Crowded + 1]int `json:"by"` // why they were throttled
+	By             [TooMany + 1]int `json:"by"` // throttled scans by Reason
 	RetriesRefused int              `json:"retries_refused"`
-	Lent           int              `json:"lent"` // scans taken beyond the cell's own share
+	Lent           int              `json:"lent"` // scans admitted beyond the cell's own share
 }
 
 type bucket struct {
 	tokens, at float64
 }
 
-// take takes one token at a rate a second, of at most burst; else it says how many ms until there is one.
+// take takes one token from a bucket with that rate per second and size. If there is none it returns the time in ms until
+// there is one.
 func (b *bucket) take(now, rate, burst float64) (wait float64) {
 	b.fill(now, rate, burst)
 	if b.tokens >= 1 {
@@ -89,53 +91,53 @@
 
 type tenant struct {
 	bucket
-	weight float64
-	open   int
-	seen   float64
+	weight   float64
+	open     int
+	lastSeen float64
 }
 
 type cell struct {
 	Limits
 	bucket
-	open    int
-	units   int // of the broker's cap
-	work    float64
-	retries float64
-	tenants map[string]*tenant
-	counts  Counts
-	service float64 // ms that a scan is open, as seen: what a time to come back is made of
+	open     int
+	units    int // used units of the capacity
+	work     float64
+	retries  float64
+	tenants  map[string]*tenant
+	counts   Counts
+	openTime float64 // ms that a scan is open, as seen: what a time to come back is made of
 }
 
-// Core is one broker's. Only one goroutine may call it.
-type Core struct {
-	cells  map[string]*cell
-	names  []string
-	most   int // units of the broker's cap: open scans and parts
-	open   int // of them, all cells together
-	chance func() float64
-	after  float64 // the longest time to come back that the settings allow; 0: none is told
-	now    float64
+// Limiter is the state of one broker. It is not safe for concurrent use.
+type Limiter struct {
+	cells         map[string]*cell
+	names         []string
+	capacity      int // maximum number of open scans and parts
+	open          int // open scans and parts of all cells
+	random        func() float64
+	maxRetryAfter float64 // the longest time to come back that the settings allow; 0: none is told
+	now           float64
 }
 
 const (
-	lendMargin  = 16     // who is above its share leaves the broker's cap, divided by this, free for those below theirs
-	tenantsMost = 100000 // of a cell that are known at once
-	tenantIdle  = 60000  // ms after which one without open scans is forgotten
-	spread      = 0.5    // of a time to come back, by chance: who is turned away together does not come back together
-	serviceGain = 0.05
-	serviceStd  = 100.0 // ms, until something is seen
+	lendMargin      = 16     // a cell above its share must leave capacity/lendMargin free for cells below theirs
+	maxTenants      = 100000 // maximum number of tracked tenants per cell
+	tenantIdle      = 60000  // ms after which a tenant without open scans is evicted
+	retryJitter     = 0.5    // random fraction added to a retry time, so that clients throttled together do not retry together
+	openTimeGain    = 0.05
+	initialOpenTime = 100.0 // ms, before any scan has ended
 )
 
-// New makes the limits of a broker that may have so many scans and parts open, 0: any number. After is the longest time to come back that may be
-// told, in ms; chance gives numbers from 0 to 1.
-func New(most int, after float64, cells map[string]Limits, chance func() float64) *Core {
-	c := &Core{cells: map[string]*cell{}, most: most, after: after, chance: chance}
-	c.Change(cells)
+// New returns the limiter of a broker. Capacity is the maximum number of open scans and parts; 0 means no limit.
+// MaxRetryAfter is the longest retry time in ms; 0 means that none is given. Random returns numbers between 0 and 1.
+func New(capacity int, maxRetryAfter float64, cells map[string]Limits, random func() float64) *Limiter {
+	c := &Limiter{cells: map[string]*cell{}, capacity: capacity, maxRetryAfter: maxRetryAfter, random: random}
+	c.SetLimits(cells)
 	return c
 }
 
-// Change takes up other limits. What is open stays open; a cell that is gone takes nothing more.
-func (c *Core) Change(cells map[string]Limits) {
+// SetLimits replaces the limits. Open scans stay open. A removed cell is dropped if it has no open scan.
+func (c *Limiter) SetLimits(cells map[string]Limits) {
 	for name, l := range cells {
 		l.Weight = cmp.Or(max(0, l.Weight), 1)
 		l.Burst, l.TenantBurst = max(1, l.Burst), max(1, l.TenantBurst)
@@ -143,7 +145,7 @@
 			old.Limits = l
 			continue
 		}
-		c.cells[name] = &cell{Limits: l, tenants: map[string]*tenant{}, bucket: bucket{tokens: l.Burst}, retries: l.RetrySpare, service: serviceStd}
+		c.cells[name] = &cell{Limits: l, tenants: map[string]*tenant{}, bucket: bucket{tokens: l.Burst}, retries: l.RetrySpare, openTime: initialOpenTime}
 	}
 	for name, k := range c.cells {
 		if _, stays := cells[name]; !stays && k.open == 0 {
@@ -157,19 +159,19 @@
 	slices.Sort(c.names)
 }
 
-// share is how much of the broker's cap a cell is entitled to.
-func (c *Core) share(k *cell) int {
+// share returns a cell's share of the broker's capacity.
+func (c *Limiter) share(k *cell) int {
 	sum := 0.0
 	for _, name := range c.names {
 		sum += c.cells[name].Weight
 	}
-	return int(float64(c.most) * k.Weight / max(sum, 1e-9))
+	return int(float64(c.capacity) * k.Weight / max(sum, 1e-9))
 }
 
-// room says whether a cell may have one more open scan. The sum of what is open and of what must be kept for the cells'
-// reserves never passes the broker's cap, so a cell always finds its reserve.
-func (c *Core) room(k *cell, size int) bool {
-	if c.most <= 0 || k.units+size <= c.reserve(k) {
+// hasCapacity reports whether a cell may open one more scan. The open units plus the unused reserves of the cells never
+// exceed the broker's capacity, so a cell can always use its reserve.
+func (c *Limiter) hasCapacity(k *cell, size int) bool {
+	if c.capacity <= 0 || k.units+size <= c.reserve(k) {
 		return true
 	}
 	kept := 0
@@ -179,48 +181,48 @@
 		}
 	}
 	if k.units+size > c.share(k) {
-		kept += max(1, c.most/lendMargin)
+		kept += max(1, c.capacity/lendMargin)
 	}
-	return c.open+kept+size <= c.most
+	return c.open+kept+size <= c.capacity
 }
 
-// reserve is what of a cell's share is never lent.
-func (c *Core) reserve(k *cell) int { return c.share(k) / 4 }
+// reserve returns the part of a cell's share that is never lent.
+func (c *Limiter) reserve(k *cell) int { return c.share(k) / 4 }
 
-// Take is asked for each scan that comes.
-func (c *Core) Take(now float64, name, who string, a Ask) Verdict {
+// Admit decides on a scan.
+func (c *Limiter) Admit(now float64, name, who string, a Request) Verdict {
 	work, size := a.Work, max(1, a.Size)
 	c.now = max(c.now, now)
 	k := c.cells[name]
 	if k == nil {
-		return Verdict{Crowded, c.back(c.after)}
+		return Verdict{TooMany, c.retryAfter(c.maxRetryAfter)}
 	}
 	t := k.tenants[who]
 	if t == nil {
-		if len(k.tenants) >= tenantsMost {
-			c.forget(k)
+		if len(k.tenants) >= maxTenants {
+			c.evictIdleTenants(k)
 		}
-		if len(k.tenants) >= tenantsMost {
-			return c.away(k, Crowded, c.after)
+		if len(k.tenants) >= maxTenants {
+			return c.reject(k, TooMany, c.maxRetryAfter)
 		}
 		t = &tenant{bucket: bucket{tokens: k.TenantBurst, at: c.now}}
 		k.tenants[who] = t
 	}
-	t.seen, t.weight = c.now, cmp.Or(max(0, a.Weight), 1)
-	// What is not taken costs no token: the looks come first, the buckets last.
+	t.lastSeen, t.weight = c.now, cmp.Or(max(0, a.Weight), 1)
+	// A throttled scan must not use up tokens: checks without side effects come first, token buckets last.
 	switch {
 	case k.Open > 0 && k.open >= k.Open:
-		return c.away(k, CellOpen, k.service/float64(max(1, k.Open)))
+		return c.reject(k, CellOpen, k.openTime/float64(max(1, k.Open)))
 	case k.Work > 0 && k.open > 0 && k.work+work > k.Work:
-		return c.away(k, CellWork, k.service*(k.work+work-k.Work)/k.Work)
-	case !c.room(k, size):
-		return c.away(k, BrokerOpen, k.service)
-	case c.tooMuch(k, t):
-		return c.away(k, TenantShare, k.service)
+		return c.reject(k, CellWork, k.openTime*(k.work+work-k.Work)/k.Work)
+	case !c.hasCapacity(k, size):
+		return c.reject(k, BrokerOpen, k.openTime)
+	case c.exceedsFairShare(k, t):
+		return c.reject(k, TenantShare, k.openTime)
 	}
 	if k.TenantRate > 0 {
 		if wait := t.take(c.now, k.TenantRate, k.TenantBurst); wait > 0 {
-			return c.away(k, TenantRate, wait)
+			return c.reject(k, TenantRate, wait)
 		}
 	}
 	if k.Rate > 0 {
@@ -228,10 +230,10 @@
 			if k.TenantRate > 0 {
 				t.tokens = min(k.TenantBurst, t.tokens+1)
 			}
-			return c.away(k, CellRate, wait)
+			return c.reject(k, CellRate, wait)
 		}
 	}
-	if c.most > 0 && k.units+size > c.share(k) {
+	if c.capacity > 0 && k.units+size > c.share(k) {
 		k.counts.Lent++
 	}
 	k.counts.Taken++
@@ -242,8 +244,8 @@
 	return Verdict{}
 }
 
-// tooMuch says whether a tenant would have more than its fair share of a cell that is nearly full.
-func (c *Core) tooMuch(k *cell, t *tenant) bool {
+// exceedsFairShare reports whether one more scan would exceed the tenant's fair share of a cell that is nearly full.
+func (c *Limiter) exceedsFairShare(k *cell, t *tenant) bool {
 	most := k.Open
 	open := k.open
 	if most == 0 {
@@ -259,27 +261,27 @@
 		}
 	}
 	if sum <= t.weight {
-		return false // nobody else is there to share with
+		return false // no other tenant has open scans
 	}
 	return float64(t.open+1) > math.Ceil(float64(most)*float64(max(1, k.open))/float64(max(1, open))*t.weight/sum)
 }
 
-func (c *Core) away(k *cell, why Why, wait float64) Verdict {
+func (c *Limiter) reject(k *cell, why Why, wait float64) Verdict {
 	k.counts.Throttled++
 	k.counts.By[why]++
-	return Verdict{why, c.back(wait)}
+	return Verdict{why, c.retryAfter(wait)}
 }
 
-// back words a time to come back: no longer than the settings allow, and spread.
-func (c *Core) back(wait float64) float64 {
-	if c.after <= 0 {
+// retryAfter returns a retry time with jitter, limited to maxRetryAfter.
+func (c *Limiter) retryAfter(wait float64) float64 {
+	if c.maxRetryAfter <= 0 {
 		return 0
 	}
-	return min(c.after, max(1, wait)*(1+spread*c.chance()))
+	return min(c.maxRetryAfter, max(1, wait)*(1+retryJitter*c.random()))
 }
 
-// Ended is told of each scan that was taken, however it ended; took is how long it was open, in ms.
-func (c *Core) Ended(now float64, name, who string, a Ask, took float64) {
+// ScanEnded records the end of an admitted scan; took is how long it was open, in ms.
+func (c *Limiter) ScanEnded(now float64, name, who string, a Request, took float64) {
 	c.now = max(c.now, now)
 	k := c.cells[name]
 	if k == nil || k.open == 0 {
@@ -289,23 +291,23 @@
 	k.units, c.open = k.units-max(1, a.Size), c.open-max(1, a.Size)
 	k.work = max(0, k.work-a.Work)
 	if k.open == 0 {
-		k.work = 0 // no rounding is carried on
+		k.work = 0 // drops accumulated rounding errors
 	}
-	k.service += serviceGain * (took - k.service)
+	k.openTime += openTimeGain * (took - k.openTime)
 	if t := k.tenants[who]; t != nil && t.open > 0 {
 		t.open--
 	}
 }
 
-// Completed is told of each dispatch that completed: it earns a part of a retry.
-func (c *Core) Completed(name string) {
+// DispatchCompleted records a completed dispatch, which adds to the retry budget.
+func (c *Limiter) DispatchCompleted(name string) {
 	if k := c.cells[name]; k != nil {
 		k.retries = min(k.RetrySpare, k.retries+k.RetryShare)
 	}
 }
 
-// Retry is asked before each further dispatch of a cell's part.
-func (c *Core) Retry(name string) bool {
+// Retry reports whether the retry budget of a cell allows a further dispatch, and takes it from the budget.
+func (c *Limiter) Retry(name string) bool {
 	k := c.cells[name]
 	if k == nil || k.RetryShare <= 0 && k.RetrySpare <= 0 {
 		return k != nil
@@ -318,24 +320,24 @@
 	return true
 }
 
-// forget releases tenants that have nothing open and have not come for a while.
-func (c *Core) forget(k *cell) {
+// evictIdleTenants removes tenants without open scans that were not seen for tenantIdle.
+func (c *Limiter) evictIdleTenants(k *cell) {
 	for who, t := range k.tenants {
-		if t.open == 0 && c.now-t.seen > tenantIdle {
+		if t.open == 0 && c.now-t.lastSeen > tenantIdle {
 			delete(k.tenants, who)
 		}
 	}
 }
 
-// Tidy releases what is gone. It is to be called now and then.
-func (c *Core) Tidy(now float64) {
+// EvictIdle removes idle tenants of all cells. Call it periodically.
+func (c *Limiter) EvictIdle(now float64) {
 	c.now = max(c.now, now)
 	for _, name := range c.names {
-		c.forget(c.cells[name])
+		c.evictIdleTenants(c.cells[name])
 	}
 }
 
-// View is what is seen of a cell.
+// View is the state of a cell for operators.
 type View struct {
 	Name    string  `json:"name"`
 	Open    int     `json:"open"`
@@ -345,8 +347,8 @@
 	Counts  Counts  `json:"counts"`
 }
 
-// Views lists the cells by name.
-func (c *Core) Views() (all []View) {
+// Views returns the state of the cells, sorted by name.
+func (c *Limiter) Views() (all []View) {
 	for _, name := range c.names {
 		k := c.cells[name]
 		all = append(all, View{Name: name, Open: k.open, Share: c.share(k), Tenants: len(k.tenants), Work: k.work, Counts: k.counts})
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -15,11 +15,11 @@
 	for _, c := range []struct {
 		name   string
 		limits Limits
-		before int // scans taken before, by the same tenant
+		before int // scans admitted before, of the same tenant
 		want   Why
 		after  float64
 	}{
-		{"no limit", Limits{}, 5, Taken, 0},
+		{"no limit", Limits{}, 5, Admitted, 0},
 		{"the cell's rate", Limits{Rate: 10, Burst: 2}, 2, CellRate, 125},
 		{"the tenant's rate", Limits{TenantRate: 4, TenantBurst: 1}, 1, TenantRate, 312.5},
 		{"open scans", Limits{Open: 3}, 3, CellOpen, 41.666},
@@ -27,37 +27,37 @@
 	} {
 		k := New(0, 1000, map[string]Limits{"a": c.limits}, half)
 		for range c.before {
-			require.Equal(t, Taken, k.Take(1000, "a", "t", Ask{Work: 10}).Why, c.name)
+			require.Equal(t, Admitted, k.Admit(1000, "a", "t", Request{Work: 10}).Reason, c.name)
 		}
-		v := k.Take(1000, "a", "t", Ask{Work: 10})
-		assert.Equal(t, c.want, v.Why, c.name)
-		assert.InDelta(t, c.after, v.After, 0.01, c.name)
+		v := k.Admit(1000, "a", "t", Request{Work: 10})
+		assert.Equal(t, c.want, v.Reason, c.name)
+		assert.InDelta(t, c.after, v.RetryAfter, 0.01, c.name)
 	}
 	k := New(10, 0, map[string]Limits{"a": {Rate: 1}}, half)
-	k.Take(0, "a", "t", Ask{Work: 1})
-	assert.Equal(t, Verdict{CellRate, 0}, k.Take(0, "a", "t", Ask{Work: 1}), "no time is told where settings allow none")
-	assert.Equal(t, Crowded, k.Take(0, "b", "t", Ask{Work: 1}).Why, "no such cell")
-	assert.Equal(t, Taken, k.Take(1000, "a", "t", Ask{Work: 1}).Why, "a second later")
+	k.Admit(0, "a", "t", Request{Work: 1})
+	assert.Equal(t, Verdict{CellRate, 0}, k.Admit(0, "a", "t", Request{Work: 1}), "no retry time if the settings allow none")
+	assert.Equal(t, TooMany, k.Admit(0, "b", "t", Request{Work: 1}).Reason, "no such cell")
+	assert.Equal(t, Admitted, k.Admit(1000, "a", "t", Request{Work: 1}).Reason, "a second later")
 }
 
-// One tenant that asks for everything leaves the others of its cell their part; one cell leaves the other cells theirs.
+// A tenant with unlimited demand cannot take the share of other tenants in its cell, nor a cell the share of other cells.
 func TestAbuse(t *testing.T) {
 	k := New(100, 500, map[string]Limits{"bad": {}, "good": {}}, half)
 	taken := 0
 	for range 1000 {
-		if k.Take(0, "bad", "abuser", Ask{Work: 1}).Why == Taken {
+		if k.Admit(0, "bad", "abuser", Request{Work: 1}).Reason == Admitted {
 			taken++
 		}
 	}
-	assert.Greater(t, taken, 50, "what lies idle is lent")
+	assert.Greater(t, taken, 50, "idle capacity is lent")
 	for i := range 12 {
-		assert.Equal(t, Taken, k.Take(1, "good", fmt.Sprint(i%4), Ask{Work: 1}).Why, "scan %d of the other cell", i)
+		assert.Equal(t, Admitted, k.Admit(1, "good", fmt.Sprint(i%4), Request{Work: 1}).Reason, "scan %d of the other cell", i)
 	}
-	// As the abuser's scans end, the others' share comes back though it goes on asking.
+	// As the abuser's scans end the share returns to the other cell, although the abuser continues to send scans.
 	for i := range 200 {
-		k.Ended(2, "bad", "abuser", Ask{Work: 1}, 100)
-		k.Take(2, "good", fmt.Sprint(i%4), Ask{Work: 1})
-		k.Take(2, "bad", "abuser", Ask{Work: 1})
+		k.ScanEnded(2, "bad", "abuser", Request{Work: 1}, 100)
+		k.Admit(2, "good", fmt.Sprint(i%4), Request{Work: 1})
+		k.Admit(2, "bad", "abuser", Request{Work: 1})
 	}
 	assert.GreaterOrEqual(t, k.Views()[1].Open, 45, "%+v", k.Views())
 }
@@ -74,19 +74,19 @@
 	}
 	assert.Equal(t, 3, count())
 	for range 20 {
-		k.Completed("a")
+		k.DispatchCompleted("a")
 	}
 	assert.InDelta(t, 2, count(), 1, "a tenth of what completed")
 	for range 1000 {
-		k.Completed("a")
+		k.DispatchCompleted("a")
 	}
-	assert.Equal(t, 3, count(), "and no more than so many saved up")
+	assert.Equal(t, 3, count(), "at most RetrySpare accumulates")
 	assert.True(t, k.Retry("free"))
 	assert.False(t, k.Retry("nobody"))
 }
 
-// Whatever comes: the broker's cap holds, no cell is refused within its reserve, rates hold over any stretch, and nothing
-// is kept of who is gone.
+// Property test: the broker's capacity is never exceeded, no cell is refused within its reserve, rates hold over any
+// interval, and no state of idle tenants remains.
 func TestHistories(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		most := rapid.IntRange(8, 60).Draw(t, "most")
@@ -104,7 +104,7 @@
 			now += rapid.Float64Range(0, 30).Draw(t, "wait")
 			if len(all) > 0 && rapid.IntRange(0, 2).Draw(t, "end") == 0 {
 				i := rapid.IntRange(0, len(all)-1).Draw(t, "which")
-				k.Ended(now, all[i].cell, all[i].who, Ask{Work: 5}, 50)
+				k.ScanEnded(now, all[i].cell, all[i].who, Request{Work: 5}, 50)
 				all = append(all[:i], all[i+1:]...)
 				continue
 			}
@@ -112,44 +112,44 @@
 			who := fmt.Sprint("t", rapid.IntRange(0, 3).Draw(t, "tenant"))
 			c := k.cells[name]
 			within := c.open < k.reserve(c)
-			v := k.Take(now, name, who, Ask{Work: 5})
-			if v.Why == Taken {
+			v := k.Admit(now, name, who, Request{Work: 5})
+			if v.Reason == Admitted {
 				all = append(all, open{name, who})
 				taken[name] = append(taken[name], now)
-			} else if within && v.Why == BrokerOpen {
-				t.Fatalf("%s was refused its reserve", name)
+			} else if within && v.Reason == BrokerOpen {
+				t.Fatalf("%s was refused within its reserve", name)
 			}
 			if len(all) > most {
-				t.Fatalf("%d open, %d at most", len(all), most)
+				t.Fatalf("%d scans open, capacity %d", len(all), most)
 			}
 			if at := taken[name]; cells[name].Rate > 0 {
 				for i := range at {
 					if n := len(at) - i; float64(n) > 10+(now-at[i])*cells[name].Rate/1000+1.001 {
-						t.Fatalf("%s: %d taken within %v ms", name, n, now-at[i])
+						t.Fatalf("%s: %d admitted within %v ms", name, n, now-at[i])
 					}
 				}
 			}
 		}
 		for _, o := range all {
-			k.Ended(now, o.cell, o.who, Ask{Work: 5}, 50)
+			k.ScanEnded(now, o.cell, o.who, Request{Work: 5}, 50)
 		}
-		k.Tidy(now + 2*tenantIdle)
+		k.EvictIdle(now + 2*tenantIdle)
 		for _, v := range k.Views() {
 			if v.Open != 0 || v.Work != 0 || v.Tenants != 0 {
-				t.Fatalf("something is kept: %+v", v)
+				t.Fatalf("state remains after eviction: %+v", v)
 			}
 		}
 	})
 }
 
-// What a decision of one broker alone costs, beside BenchmarkTake of package shares.
+// BenchmarkTake measures a decision without shared limits, for comparison with BenchmarkTake of package shares.
 func BenchmarkTake(b *testing.B) {
 	c := New(1000, 1000, map[string]Limits{"c": {Rate: 1e9, Burst: 1e9, Open: 1e6}}, func() float64 { return 0.5 })
 	now := 10_000.0
 	b.ReportAllocs()
 	for b.Loop() {
 		now += 0.01
-		c.Take(now, "c", "tenant", Ask{Work: 10})
-		c.Ended(now, "c", "tenant", Ask{Work: 10}, 1)
+		c.Admit(now, "c", "tenant", Request{Work: 10})
+		c.ScanEnded(now, "c", "tenant", Request{Work: 10}, 1)
 	}
 }
