--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -122,8 +122,8 @@
 	b.front = &front.Front{Site: t.Site, Now: b.clock.Now, Take: func(s *core.Scan) { b.put(s) },
 		Left: func(s *core.Scan) { b.put(core.Left{Scan: s}) }, Most: t.Sockets - nodeConns - front.ClosingMost - reservedFiles, Ample: t.Sockets / 6, // half of what clients may hold for requests
 		ReadAhead: t.MemoryMB << 20 / readAheadShare, ReadWithin: readTimeout, Log: log}
-	odd := func(host, why string) { log.Warn().Str("node", host).Msg(why) }
-	known := t.Known.Nodes(odd)
+	logInvalid := func(host, why string) { log.Warn().Str("node", host).Msg(why) }
+	known := t.Known.Nodes(logInvalid)
 	flat := maps.Clone(t.Flat)
 	if s := f.Sharing; s != nil { // the module has to know what brokers share
 		flat["limit.peers"], flat["share.verdicts"] = s.Notes, s.Verdicts != nil
@@ -306,22 +306,22 @@
 func (b *Broker) Stop(patience time.Duration) {
 	b.log.Info().Msg("stopping")
 	close(b.stopping)
-	leaving := b.stopFeatures()
+	featuresStopped := b.stopFeatures()
 	longest := 0.0
 	for _, typ := range b.startFile.Site.Types {
 		longest = max(longest, typ.Timeout)
 	}
-	done := b.front.Stop(ending.Begin(longest, float64(patience)/1e6))
+	answeredAll := b.front.Stop(ending.Begin(longest, float64(patience)/1e6))
 	// The listener is closed before the check for open scans: a client accepted between the two would be read but never
 	// answered, since the actor has stopped.
 	b.ln.Close()
 	<-b.frontDone
-	if !done || !b.front.Flush(finalFlushTimeout, finalFlushTimeout/2) { // every scan gets a reply, if only an error
+	if !answeredAll || !b.front.Flush(finalFlushTimeout, finalFlushTimeout/2) { // every scan gets a reply, if only an error
 		b.put(core.Closing{})
 		b.front.Flush(finalFlushTimeout, 0)
 	}
 	b.watch.Stop()
-	<-leaving
+	<-featuresStopped
 	close(b.stop)
 	b.actorDone.Wait()
 	b.tally()
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -71,9 +71,9 @@
 func startFile(t *testing.T, env map[string]string) *config.Told {
 	text, err := os.ReadFile("../config/testdata/start.json")
 	require.NoError(t, err)
-	told, err := config.Parse(text, func(key string) string { return env[key] })
+	cfg, err := config.Parse(text, func(key string) string { return env[key] })
 	require.NoError(t, err)
-	return told
+	return cfg
 }
 
 func health(t *testing.T, b *Broker) int {
@@ -89,9 +89,9 @@
 // A broker without nodes is not ready before the list names one: it could only throttle the scans that it gets.
 func TestReadyWithList(t *testing.T) {
 	a := newFakeDiscovery(t)
-	told := startFile(t, map[string]string{"GW_DISCOVERY": a.addr})
-	told.Known.Hosts = nil
-	b, err := Start(told, nil, zerolog.Nop())
+	cfg := startFile(t, map[string]string{"GW_DISCOVERY": a.addr})
+	cfg.Known.Hosts = nil
+	b, err := Start(cfg, nil, zerolog.Nop())
 	require.NoError(t, err)
 	<-a.requests
 	a.responses <- empty
@@ -105,11 +105,11 @@
 
 // No scan is dispatched by the cached list before the discovery agent has answered once. A request that arrives
 // earlier waits and is served by the agent's list.
-func TestFirstMoment(t *testing.T) {
-	stores, told := silentStores(t)
+func TestNoDispatchBeforeDiscovery(t *testing.T) {
+	stores, cfg := silentStores(t)
 	a := newFakeDiscovery(t)
-	told.Discovery = a.addr
-	b, err := Start(told, nil, zerolog.Nop())
+	cfg.Discovery = a.addr
+	b, err := Start(cfg, nil, zerolog.Nop())
 	require.NoError(t, err)
 	status := make(chan int, 1)
 	<-a.requests
@@ -141,7 +141,7 @@
 
 // A call to a peer whose mailbox is full ends as dispatches that were not sent. It does not block the caller, however
 // long the peer is blocked.
-func TestNoRoom(t *testing.T) {
+func TestPeerQueueFull(t *testing.T) {
 	held := make(chan struct{})
 	defer close(held)
 	b := &Broker{clock: NewClock(), log: zerolog.Nop()}
@@ -157,7 +157,7 @@
 }
 
 // A broker takes over the address of one that is still shutting down.
-func TestListenAgain(t *testing.T) {
+func TestListenRetry(t *testing.T) {
 	old, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	_, err = listen(old.Addr().String(), 0, nil)
@@ -177,11 +177,11 @@
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { silent.Close() })
-	told := startFile(t, nil)
-	for i := range told.Known.Hosts {
-		told.Known.Hosts[i].Dial = silent.Addr().String()
+	cfg := startFile(t, nil)
+	for i := range cfg.Known.Hosts {
+		cfg.Known.Hosts[i].Dial = silent.Addr().String()
 	}
-	return silent, told
+	return silent, cfg
 }
 
 // board requests one shard from a broker and returns the HTTP status; 0 means no answer.
@@ -198,9 +198,9 @@
 }
 
 // A scan that is still open when patience ends gets a reply although its node does not answer.
-func TestLastWords(t *testing.T) {
-	silent, told := silentStores(t)
-	b, err := Start(told, nil, zerolog.Nop())
+func TestReplyAfterPatience(t *testing.T) {
+	silent, cfg := silentStores(t)
+	b, err := Start(cfg, nil, zerolog.Nop())
 	require.NoError(t, err)
 	status := make(chan int, 1)
 	go func() { status <- board(b) }()
@@ -212,11 +212,11 @@
 }
 
 // A broker that is stopped before discovery has answered still replies to its clients.
-func TestEndsBeforeItIsReady(t *testing.T) {
-	_, told := silentStores(t)
+func TestStopBeforeReady(t *testing.T) {
+	_, cfg := silentStores(t)
 	a := newFakeDiscovery(t)
-	told.Discovery = a.addr
-	b, err := Start(told, nil, zerolog.Nop())
+	cfg.Discovery = a.addr
+	b, err := Start(cfg, nil, zerolog.Nop())
 	require.NoError(t, err)
 	<-a.requests
 	status := make(chan int, 1)
@@ -241,8 +241,8 @@
 
 // A client that connects after the last scan was answered and before the listener closes gets a reply too. Its scan was
 // once read and never answered, since the actor had stopped.
-func TestCameAtTheVeryEnd(t *testing.T) {
-	silent, told := silentStores(t)
+func TestClientDuringShutdown(t *testing.T) {
+	silent, cfg := silentStores(t)
 	status := make(chan int, 1)
 	var b *Broker
 	var err error
@@ -253,7 +253,7 @@
 			t.Cleanup(func() { conn.Close() })
 		}
 	}}
-	b, err = Start(told, nil, zerolog.New(word))
+	b, err = Start(cfg, nil, zerolog.New(word))
 	require.NoError(t, err)
 	b.Stop(10 * time.Second)
 	assert.Equal(t, 504, <-status)
@@ -262,13 +262,13 @@
 // Idle clients may use up their file descriptors while discovery is down: discovery, the connections to nodes and a new
 // client still get theirs.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
-	stores, told := silentStores(t)
+	stores, cfg := silentStores(t)
 	a := newFakeDiscovery(t)
-	told.Discovery, told.Sockets = a.addr, 64
-	b, err := Start(told, nil, zerolog.Nop())
+	cfg.Discovery, cfg.Sockets = a.addr, 64
+	b, err := Start(cfg, nil, zerolog.Nop())
 	require.NoError(t, err)
 	<-a.requests // and does not answer
-	for range 3 * told.Sockets {
+	for range 3 * cfg.Sockets {
 		conn, err := net.Dial("tcp", b.Addr())
 		require.NoError(t, err)
 		defer conn.Close()
@@ -284,17 +284,17 @@
 	case <-time.After(patience):
 		assert.Fail(t, "the list is no longer requested")
 	}
-	assert.LessOrEqual(t, b.front.Conns()+b.fleet.Conns(), told.Sockets-reservedFiles)
+	assert.LessOrEqual(t, b.front.Conns()+b.fleet.Conns(), cfg.Sockets-reservedFiles)
 	b.Stop(0)
 }
 
 // A scan whose client has left is not dispatched again, although its first dispatch fails just then and could be repeated.
-func TestNoRetryForWhoHasLeft(t *testing.T) {
-	stores, told := silentStores(t)
-	for i := range told.Known.Hosts { // both nodes hold the shard
-		told.Known.Hosts[i].Block = 0
+func TestNoRetryAfterClientLeft(t *testing.T) {
+	stores, cfg := silentStores(t)
+	for i := range cfg.Known.Hosts { // both nodes hold the shard
+		cfg.Known.Hosts[i].Block = 0
 	}
-	b, err := Start(told, nil, zerolog.Nop())
+	b, err := Start(cfg, nil, zerolog.Nop())
 	require.NoError(t, err)
 	client, err := net.Dial("tcp", b.Addr())
 	require.NoError(t, err)
--- a/internal/broker/features.go
+++ b/internal/broker/features.go
@@ -45,7 +45,7 @@
 
 	limits *limiter // nil if no limits are shared
 
-	reportedTenants map[string]bool // tenants that have been told of as held back since heldAt; the module's actor's
+	reportedTenants map[string]bool // tenants reported as refused since reportedSince; used only by the core's actor
 	reportedSince   float64
 }
 
@@ -127,28 +127,28 @@
 
 // shadowSettings returns the module's settings with those of the watch block in their place.
 func shadowSettings(flat map[string]any, types map[string]int, w *features.Watch) (map[string]any, error) {
-	other := maps.Clone(flat)
+	shadow := maps.Clone(flat)
 	for name, on := range map[string]*bool{"limit.secondCopies": w.SecondCopies, "limit.cancelling": w.Cancelling, "limit.peers": w.Notes} {
 		if on != nil {
-			other[name] = *on
+			shadow[name] = *on
 		}
 	}
 	if w.Dispatches != nil {
-		other["limit.dispatches"] = *w.Dispatches
+		shadow["limit.dispatches"] = *w.Dispatches
 	}
 	if u := w.Budget; u != nil {
-		other["rules.spareDispatches"], other["rules.spareShare"] = u.Free, u.Share
-		other["rules.budgetWindow"] = float64(u.Window) / 1e6
+		shadow["rules.spareDispatches"], shadow["rules.spareShare"] = u.Free, u.Share
+		shadow["rules.budgetWindow"] = float64(u.Window) / 1e6
 	}
 	for _, t := range w.Types {
 		i, known := types[t.Name]
 		if !known {
 			return nil, fmt.Errorf("%s: the start file has no such table type", t.Where)
 		}
-		other[fmt.Sprintf("tableType.%d.effect", i)] = t.Effect
-		other[fmt.Sprintf("tableType.%d.repeatWindow", i)] = float64(t.RepeatWindow) / 1e6
+		shadow[fmt.Sprintf("tableType.%d.effect", i)] = t.Effect
+		shadow[fmt.Sprintf("tableType.%d.repeatWindow", i)] = float64(t.RepeatWindow) / 1e6
 	}
-	return other, nil
+	return shadow, nil
 }
 
 // cellViews queries the actor for the state of the cells; only the actor may access the core.
@@ -311,7 +311,7 @@
 // RenewFeatures applies a features document that was read again: keys of the members and limits at once, the rest at
 // the next start.
 func (b *Broker) RenewFeatures(f *features.Document) error {
-	later := b.features.Differ(f)
+	atNextStart := b.features.Differ(f)
 	if b.sharing != nil && f.Sharing != nil {
 		if err := b.sharing.sealer.Rekey(sealerKeys(f.Sharing.Keys)); err != nil {
 			return fmt.Errorf("features: sharing: %w", err)
@@ -320,26 +320,26 @@
 	if b.sharing != nil && b.sharing.limits != nil {
 		b.sharing.limits.applyDocument(f.Limits)
 	}
-	b.log.Info().Strs("at_next_start", later).Msg("features read again")
+	b.log.Info().Strs("at_next_start", atNextStart).Msg("features read again")
 	return nil
 }
 
 // stopFeatures stops the features. The other brokers are notified that this broker leaves while it still serves clients.
 // The channel is closed when all have stopped.
 func (b *Broker) stopFeatures() <-chan struct{} {
-	over := make(chan struct{})
+	stopped := make(chan struct{})
 	if b.control != nil {
 		b.control.Close()
 	}
 	if b.sharing == nil {
-		close(over)
-		return over
+		close(stopped)
+		return stopped
 	}
 	go func() {
-		defer close(over)
+		defer close(stopped)
 		b.sharing.actor.Stop()
 		close(b.sharing.done)
 		b.sharing.closeDirs()
 	}()
-	return over
+	return stopped
 }
--- a/internal/broker/leases.go
+++ b/internal/broker/leases.go
@@ -221,16 +221,16 @@
 	h := tasks.Hold{ID: rand.Uint64(), Name: q.Get("name"), Holders: holders, Term: ms64(term), By: q.Get("by")}
 	events := make(chan any, holdEvents)
 	s.actor.Hold(h, events)
-	clean := make(chan bool, 1)
+	clientDone := make(chan bool, 1)
 	go func() {
 		var d HoldDone
 		err := json.NewDecoder(conn).Decode(&d)
-		clean <- err == nil && d.Done // otherwise the command may still run
+		clientDone <- err == nil && d.Done // otherwise the command may still run
 	}()
 	for {
 		var event HoldEvent
 		select {
-		case done := <-clean:
+		case done := <-clientDone:
 			s.actor.Close(h.ID, done)
 			return
 		case <-s.done:
@@ -246,7 +246,7 @@
 			}
 		}
 		if out.Encode(event) != nil {
-			s.actor.Close(h.ID, <-clean)
+			s.actor.Close(h.ID, <-clientDone)
 			return
 		}
 	}
--- a/internal/broker/limits.go
+++ b/internal/broker/limits.go
@@ -151,12 +151,12 @@
 func (l *limiter) decide(ask func(float64, []shares.Use, float64) shares.Verdict, account, cell string, work, lasts float64) core.Ruling {
 	l.mu.Lock()
 	v := ask(l.now(), l.scanUses(account, cell, work), lasts+lateEndMs)
-	sooner := l.core.Due() < l.due
-	if sooner {
+	dueEarlier := l.core.Due() < l.due
+	if dueEarlier {
 		l.due = l.core.Due()
 	}
 	l.mu.Unlock()
-	if sooner {
+	if dueEarlier {
 		l.wakeSharing()
 	}
 	if v.Taken {
@@ -190,12 +190,12 @@
 	}
 	l.mu.Lock()
 	v := l.core.Take(l.now(), []shares.Use{{Limit: i, Cost: 1}}, 0)
-	sooner := l.core.Due() < l.due
-	if sooner {
+	dueEarlier := l.core.Due() < l.due
+	if dueEarlier {
 		l.due = l.core.Due()
 	}
 	l.mu.Unlock()
-	if sooner {
+	if dueEarlier {
 		l.wakeSharing()
 	}
 	return v.Taken
@@ -214,14 +214,14 @@
 	out := l.core.Step(now, append(l.pending, in...))
 	l.pending = nil
 	l.due = l.core.Due()
-	came := l.core.Came()
+	capacityArrived := l.core.Came()
 	stores := l.core.Stores()
 	var all []shares.Record
 	if l.marksSinceSnapshot += len(stores); l.marksSinceSnapshot >= snapshotEvery {
 		l.marksSinceSnapshot, all = 0, l.core.Records()
 	}
 	l.mu.Unlock()
-	if came {
+	if capacityArrived {
 		l.notifyCore()
 	}
 	if l.queue != nil {
--- a/internal/broker/verdicts_test.go
+++ b/internal/broker/verdicts_test.go
@@ -12,7 +12,7 @@
 
 // Each verdict maps to the outcome for the module. A change of a drain alone, or the end of an overload, must not count as
 // a recovery: that would re-enable a node that fails for this broker.
-func TestHeld(t *testing.T) {
+func TestVerdictOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		kind, was verdicts.Kind
 		want      logic.Outcome
--- a/internal/broker/watch_test.go
+++ b/internal/broker/watch_test.go
@@ -12,7 +12,7 @@
 
 // The shadow settings are a copy of the current settings with the values of the document; the current settings do not
 // change.
-func TestWatchedSettings(t *testing.T) {
+func TestShadowSettings(t *testing.T) {
 	flat := map[string]any{"limit.secondCopies": false, "limit.dispatches": 4.0, "tableType.0.effect": "keyed", "turn": 5.0}
 	yes, three := true, 3.0
 	w := &features.Watch{SecondCopies: &yes, Dispatches: &three, Budget: &features.Budget{Free: 20, Share: 0.05, Window: 5 * time.Second},
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -63,7 +63,7 @@
 	})
 }
 
-func TestOneStoreLessMovesItsPlacesAlone(t *testing.T) {
+func TestRemovedStoreChangesOnlyItsSlots(t *testing.T) {
 	list := stores(4, 6)
 	before, err := Make(1, plan(12, 2), list, 4, nil)
 	require.NoError(t, err)
@@ -122,7 +122,7 @@
 	assert.Equal(t, "cell-2", m.Of("anybody"))
 }
 
-func TestFaults(t *testing.T) {
+func TestInvalidPlans(t *testing.T) {
 	list := stores(2, 3)
 	for name, c := range map[string]struct {
 		do   func(p *Plan, s *[]Store)
--- a/internal/cells/moves_test.go
+++ b/internal/cells/moves_test.go
@@ -116,7 +116,7 @@
 	assert.Equal(t, to, again.Map.Of("t1"), "from a snapshot")
 }
 
-func TestGoingBack(t *testing.T) {
+func TestRevert(t *testing.T) {
 	for _, switched := range []bool{false, true} {
 		b := newHarness(t)
 		was := b.moves.Map.Of("t1")
@@ -144,7 +144,7 @@
 // A switch that was decided while the cell was warm survives a crash if its record is durable, although all cells are cold
 // after the restart. The property test once reported that as a switch to a cold cell, since it checked the cell when the
 // record was replayed.
-func TestSwitchOutlastsACrash(t *testing.T) {
+func TestSwitchSurvivesCrash(t *testing.T) {
 	b := newHarness(t)
 	to := "cell-0"
 	if b.moves.Map.Of("t1") == to {
@@ -165,9 +165,9 @@
 
 func TestWithoutALog(t *testing.T) {
 	b := newHarness(t)
-	b.step(LogLost{errors.New("no disk that lasts")}, BeginMove{ID: "m", To: "cell-1", Tenants: []string{"t1"}})
+	b.step(LogLost{errors.New("no durable disk")}, BeginMove{ID: "m", To: "cell-1", Tenants: []string{"t1"}})
 	require.Len(t, b.refused, 1)
-	assert.Contains(t, b.refused[0].Why, "no disk that lasts")
+	assert.Contains(t, b.refused[0].Why, "no durable disk")
 	assert.Empty(t, b.moves.List())
 	for _, o := range []BeginMove{{ID: "", To: "cell-1", Tenants: []string{"t"}}, {ID: "x", To: "nowhere", Tenants: []string{"t"}}, {ID: "x", To: "cell-1"}} {
 		k := newHarness(t)
--- a/internal/confine/confine_test.go
+++ b/internal/confine/confine_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestAScanUsesItsCellAlone(t *testing.T) {
+func TestScanUsesOnlyItsCell(t *testing.T) {
 	c, moves, nodes := newTestFleet(t)
 	for _, cell := range moves.Map.Names() {
 		v := c.Admit(1, tenantOf(moves.Map, cell), quota.Request{Work: 10})
@@ -101,7 +101,7 @@
 
 // A gone store keeps its slot, so that its cells do not spill onto other stores, until a new store of its set takes the
 // slot over or SlotGrace passes.
-func TestPlacesOfTheGone(t *testing.T) {
+func TestSlotsOfGoneNodes(t *testing.T) {
 	c, moves, nodes := newTestFleet(t)
 	gone := moves.Map.Holders("cell-2", 1)[0]
 	var left []Node
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -147,7 +147,7 @@
 
 // Each end reason reaches the module as its outcome: a part that never ran or may be repeated is dispatched again,
 // and later ends of the same dispatch are dropped.
-func TestEnds(t *testing.T) {
+func TestEndReasons(t *testing.T) {
 	for how := core.AnsweredError; how <= core.NeverSent; how++ {
 		r := start(t)
 		sent := parts(r.step(10, r.scan(1, 3000, 0)))
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestOneAnswer(t *testing.T) {
+func TestOneReply(t *testing.T) {
 	type step func(r *harness, s *core.Scan, sent []core.CallPart) []core.Output
 	left := func(r *harness, s *core.Scan, _ []core.CallPart) []core.Output { return r.step(0, core.Left{Scan: s}) }
 	answers := func(r *harness, _ *core.Scan, sent []core.CallPart) []core.Output {
@@ -207,7 +207,7 @@
 }
 
 // A scan ends before its client's deadline even if no node answers, and its dispatches are cancelled.
-func TestClientsTime(t *testing.T) {
+func TestClientDeadline(t *testing.T) {
 	r := start(t)
 	s := r.scan(1, 800, 0)
 	s.At = r.now - 300 // it has waited in the front
@@ -229,7 +229,7 @@
 
 // The cancellation of a dispatch is sent some time before the next dispatch of the part, however short the turns are:
 // the next one uses another connection, could arrive first, and would be a second copy.
-func TestGivenUpFirst(t *testing.T) {
+func TestCancelBeforeRedispatch(t *testing.T) {
 	r := start(t, map[string]any{"limit.cancelling": false}) // only timeouts cancel dispatches
 	givenUp, sent := map[int64]float64{}, map[string]int64{}
 	for _, p := range parts(r.step(0, r.scan(1, 3900, 0, 1))) {
@@ -244,8 +244,8 @@
 			case core.Call:
 				for _, p := range v.Parts {
 					if last, again := sent[p.ID]; again {
-						at, told := givenUp[last]
-						assert.True(t, told && at <= r.now-5, "%s again at %g, after %g", p.ID, r.now, at)
+						at, cancelled := givenUp[last]
+						assert.True(t, cancelled && at <= r.now-5, "%s again at %g, after %g", p.ID, r.now, at)
 					}
 					sent[p.ID] = p.Ref
 				}
@@ -394,7 +394,7 @@
 }
 
 // Nodes that are replaced under new names leave no state behind; one with an outstanding dispatch is kept until that ends.
-func TestReleased(t *testing.T) {
+func TestGoneNodesAreForgotten(t *testing.T) {
 	r := start(t)
 	list := func(i int) core.List {
 		return core.List{Kind: logic.ListWhole, Nodes: []core.Node{{Host: fmt.Sprint("s-", i), Addr: "127.0.0.1:5", Zone: "west",
@@ -461,7 +461,7 @@
 
 // Brokers of two deployments in one process do not share state: each behaves as it does alone, although the classes of
 // the other have different effects, times and limits and the steps of the two alternate.
-func TestDeploymentsKeepApart(t *testing.T) {
+func TestDeploymentsAreIndependent(t *testing.T) {
 	others := map[string]any{"tableType.1.effect": "non-replayable", "tableType.2.effect": "replayable", "tableType.0.timeout": 900.0,
 		"tableType.1.target": 200.0, "limit.dispatches": 1.0, "limit.secondCopies": true, "rules.cold": 1000.0, "layout.callWork": 1.0}
 	workload := func(r *harness) []func() {
@@ -517,7 +517,7 @@
 }
 
 // Shadow settings do not change the outputs, and the decisions that they would change are counted.
-func TestWatched(t *testing.T) {
+func TestShadowSettings(t *testing.T) {
 	run := func(watch bool) *harness {
 		r := newHarness(t)
 		if watch {
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -138,12 +138,12 @@
 }
 
 // retryQueuedScans retries the queued scans and throttles those whose wait is over.
-func (c *Core) retryQueuedScans(moved bool) {
+func (c *Core) retryQueuedScans(limitsChanged bool) {
 	waits := c.queued
 	c.queued = nil
 	for i, w := range waits {
 		over := c.now >= w.until
-		if !moved && !over {
+		if !limitsChanged && !over {
 			c.queued = append(c.queued, waits[i])
 			continue
 		}
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -231,7 +231,7 @@
 
 // A queued scan is admitted when tokens arrive, throttled when its wait is over, and dropped when its client leaves. It
 // holds capacity of its cell only while it is queued.
-func TestWaitsForTokens(t *testing.T) {
+func TestQueuedScans(t *testing.T) {
 	c, _ := confinedCore(t)
 	l := &queueingLimiter{}
 	c.Limit(l)
--- a/internal/core/probe_test.go
+++ b/internal/core/probe_test.go
@@ -9,7 +9,7 @@
 	"gullstair/logic"
 )
 
-// A probe that the module asks for ends once and is told as what it was; the module of today asks for none.
+// A probe that the module requests ends once, with the outcome that it had. The current module requests no probes.
 func TestProbe(t *testing.T) {
 	for name, c := range map[string]struct {
 		ends []Ended // Ref is filled in
--- a/internal/core/shared_test.go
+++ b/internal/core/shared_test.go
@@ -56,7 +56,7 @@
 
 // A node drained by an operator is reported to the module as draining until the drain ends; notes, and verdicts on known
 // nodes, reach the module.
-func TestHeldNodes(t *testing.T) {
+func TestOperatorDrain(t *testing.T) {
 	list := []Node{{Host: "s-a", Addr: "127.0.0.1:2", Readiness: logic.Ready}}
 	k := New(terms.Site{}, nil, 1, list)
 	k.Share()
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -115,7 +115,7 @@
 	capacity      int // maximum number of open scans and parts
 	open          int // open scans and parts of all cells
 	random        func() float64
-	maxRetryAfter float64 // the longest time to come back that the settings allow; 0: none is told
+	maxRetryAfter float64 // longest retry time in ms; 0 means that none is given
 	now           float64
 }
 
