--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -288,7 +288,7 @@
 	return batch
 }
 
-// Renew applies a start file that was read again: the subscription moves to the discovery address that it names. All
+// ApplyStartFile applies a start file that was read again: the subscription moves to the discovery address that it names. All
 // other changes take effect at the next start.
 func (b *Broker) Renew(t *config.Told) {
 	b.log.Info().Str("discovery", t.Discovery).Strs("at_next_start", b.startFile.Differ(t)).Msg("start file read again")
--- a/internal/broker/features.go
+++ b/internal/broker/features.go
@@ -308,7 +308,7 @@
 	}
 }
 
-// RenewFeatures applies a features document that was read again: keys of the members and limits at once, the rest at
+// ApplyFeatures applies a features document that was read again: keys of the members and limits at once, the rest at
 // the next start.
 func (b *Broker) RenewFeatures(f *features.Document) error {
 	atNextStart := b.features.Differ(f)
--- a/internal/broker/leases.go
+++ b/internal/broker/leases.go
@@ -30,7 +30,7 @@
 	cancel string // reason of a cancellation that came before the guard was started
 }
 
-// Warning returns how long before the end of a lease its command is asked to stop (grace) and how long before it is
+// GuardTimes returns how long before the end of a lease its command is asked to stop (grace) and how long before it is
 // killed (lead), for a lease term.
 func Warning(term time.Duration) (grace, lead time.Duration) {
 	lead = max(50*time.Millisecond, term/10)
--- a/internal/broker/limits.go
+++ b/internal/broker/limits.go
@@ -305,7 +305,7 @@
 	}
 }
 
-// LimitsSeen is the state of the fleet's limits for the control socket.
+// LimitsView is the state of the fleet's limits for the control socket.
 type LimitsSeen struct {
 	Limits   []shares.Seen `json:"limits"` // the busiest keys of each limit
 	Accounts int           `json:"accounts"`
--- a/internal/broker/verdicts.go
+++ b/internal/broker/verdicts.go
@@ -49,7 +49,7 @@
 	maxRefusedTenants = 1000
 )
 
-// Seen converts an outcome to the kind of verdict that the brokers exchange.
+// ToVerdictKind converts an outcome to the kind of verdict that the brokers exchange.
 func Seen(j core.Judged) verdicts.Kind {
 	if j.Late {
 		return verdicts.Slow
@@ -57,7 +57,7 @@
 	return map[logic.Outcome]verdicts.Kind{logic.Completed: verdicts.Well, logic.Errored: verdicts.Fails, logic.Overdue: verdicts.Silent, logic.Saturated: verdicts.Full}[j.Outcome]
 }
 
-// Held converts a verdict for the decision module.
+// ToNodeVerdict converts a verdict for the decision module.
 func Held(v verdicts.Verdict) core.Held {
 	h := core.Held{Host: v.Store, Outcome: logic.Errored, Age: v.Age, Drained: v.Drain}
 	switch {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -21,7 +21,7 @@
 	Confined                                                 int // scans throttled by the limits of their cell
 	Limited                                                  int // scans throttled by limits that brokers share
 	Short                                                    int // further dispatches denied by the fleet's retry budget
-	Dispatches, Late                                         int // Late: ends that arrived for dispatches that had already ended
+	Dispatches, Late                                         int // LateEnds: ends of dispatches that had already ended
 	Ends                                                     [Withdrawn + 1]int
 	Differs                                                  map[string]int // decisions that the shadow settings change, by kind; nil without shadow settings
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -255,7 +255,7 @@
 	assert.Greater(t, len(givenUp), 2, "parts were dispatched again")
 }
 
-// A scan that arrives after Closing is throttled at once and not dispatched.
+// A scan that arrives after Shutdown is throttled at once and not dispatched.
 func TestAfterClosing(t *testing.T) {
 	r := start(t)
 	open, late := r.scan(1, 3000, 0), r.scan(1, 3000, 1)
--- a/internal/core/scans.go
+++ b/internal/core/scans.go
@@ -15,7 +15,7 @@
 // receiveScan admits a scan, queues it or rejects it.
 func (c *Core) receiveScan(r *Scan) {
 	c.Counts.Scans++
-	if c.closing { // read during shutdown: the module would no longer answer it
+	if c.closing { // received after shutdown began: the actor stops, and nothing would answer the scan
 		c.Counts.Throttled++
 		c.emit(Reply{Scan: r, Kind: logic.Throttle, Why: "stopping"})
 		return
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -6,7 +6,7 @@
 )
 
 // Input is an input of the core: *Scan, ClientLeft, Ended, List, ProbeRequest, PeerProbe, LimitsChanged, PeerNote,
-// NodeVerdict, CellsQuery or Closing.
+// NodeVerdict, CellsQuery or Shutdown.
 type Input any
 
 // Scan is a client's request. The front fills it in and gets it back in Reply.
@@ -16,7 +16,7 @@
 	Tenant        int
 	Account       string // the tenant's name as the client states it; "" is a tenant too
 	Repeat        bool
-	TimeLeft      float64 // how long the client waits, in ms from At
+	TimeLeft      float64 // how long the client waits, in ms from ReceivedAt
 	At            float64 // clock time at which the first byte was read
 	Parts         []ScanPart
 	Client        any // for the front's use only
@@ -47,7 +47,7 @@
 	Load  map[string]float64
 }
 
-// Closing reports that the broker stops now: each open scan gets its reply.
+// Shutdown reports that the broker stops now: each open scan gets its reply.
 type Closing struct{}
 
 // List is a list of nodes, or a change of one, from discovery.
