--- a/internal/shares/marks.go
+++ b/internal/shares/marks.go
@@ -6,69 +6,70 @@
 	"math"
 )
 
-// What a lender has lent lasts, where there is a disk: as a mark for each account, so much of the home share may be lent from now on, stored before
-// anything above it is told. A process that starts again takes what its marks say for lent until a term is over, and uses and lends the rest at once.
-// Marks are coarse, so that few loans wait for the disk.
+// Where there is a disk, a lender stores a mark for each account: the largest part of the home share that it may lend. The mark is stored before any
+// loan above it is sent. A restarted process treats its marks as lent until a term has passed, and uses and lends the rest at once. Marks are coarse,
+// so that few loans wait for the disk.
 
-// Record is what has to last: an account's mark; or, without a limit, by what rules the shares are counted that marks are shares of.
+// Record is a durable record: the mark of an account or, if Limit is empty, the checksum of the rules under which the marks were made.
 type Record struct {
 	Limit, Key string
-	Most       Part    // so much of the home share may be lent
-	Term       float64 // ms that loans hold
+	Most       Part    // the largest part of the home share that may be lent
+	Term       float64 // ms that a loan is valid
 	Rules      uint64
 }
 
-// Store is a record that has to last before Stored tells its number. Trust says that what may have been missing at the start binds nobody any more.
+// Store asks the caller to store a record and to report its number by Stored. Trust means that records that may have been missing at the start no
+// longer matter.
 type Store struct {
 	Number uint64
 	Record Record
 	Trust  bool
 }
 
-// Stored says that all records up to a number last.
+// Stored reports that all records up to a number are durable.
 type Stored struct{ Upto uint64 }
 
-// DiskLost says that nothing can be stored any more: nothing is lent from now on.
+// DiskLost reports that nothing can be stored any more; the member lends nothing from now on.
 type DiskLost struct{}
 
-// marks is what a member knows of its disk.
+// marks is the state of a member's durable records.
 type marks struct {
-	disk    bool
-	sound   bool // nothing was forgotten: no quiet time
-	failed  bool
-	trusted bool // what lasts is all that counts, or will be when a record under way lasts
-	rules   uint64
-	number  uint64
-	stored  uint64
-	waits   []waiting
-	stores  []Store
-	before  map[id]mark // of the process before, as far as no account has taken them up
-	ripe    float64     // when they bind nobody any more
-}
-
-type mark struct {
+	disk          bool
+	complete      bool // no record is missing, so home shares are usable at once
+	diskLost      bool
+	trusted       bool // the stored records are complete, or are once a pending record is durable
+	rules         uint64
+	number        uint64
+	stored        uint64
+	pendingSends  []pendingSend
+	pendingStores []Store
+	inherited     map[accountID]inheritedMark // marks of the previous process that no account has inherited yet
+	trustAt       float64                     // when the loans of the previous process have ended
+}
+
+type inheritedMark struct {
 	most Part
 	term float64
 }
 
-// waiting is an answer that is told when what it rests on lasts.
-type waiting struct {
+// pendingSend is an answer that is sent once the record it depends on is durable.
+type pendingSend struct {
 	number uint64
 	to     string
 	m      Message
 }
 
 const (
-	markSteps = 8    // of a home share: marks are whole ones of these
-	markTerms = 10.0 // terms after which a mark that is too high is lowered
-	waitsMost = 4096 // answers that wait for the disk; more are lost, as datagrams may be
+	markSteps       = 8    // marks are rounded up by one of so many steps of the home share
+	markTerms       = 10.0 // terms after which a mark that is too high is lowered
+	maxPendingSends = 4096 // answers that wait for the disk; further ones are dropped, as datagrams may be
 )
 
-// Restore has marks stored before what rests on them is told, and begins with those that were. Sound says that they are all there are. It goes
-// before the first Step or Take. Records of one account may come in any number, in their order. It returns whether what was lent is known: else home
-// shares rest for a term, as without a disk.
+// Restore turns on durable marks and loads those of the previous process. Sound means that records holds all that were stored. Call it before the
+// first Step or Take. An account may have several records, oldest first. Restore reports whether the earlier loans are known; if not, home shares
+// stay unused for a term, as without a disk.
 func (c *Core) Restore(records []Record, sound bool) bool {
-	c.disk, c.before = true, map[id]mark{}
+	c.disk, c.inherited = true, map[accountID]inheritedMark{}
 	rules := uint64(0)
 	for _, r := range records {
 		l := c.byName[r.Limit]
@@ -77,51 +78,51 @@
 			rules = r.Rules
 		case l == nil || l.Available:
 		case r.Most.none():
-			delete(c.before, id{l.number, r.Key})
+			delete(c.inherited, accountID{l.number, r.Key})
 		case !r.Most.less(Part{}) && !whole.less(r.Most) && r.Term >= 0:
-			c.before[id{l.number, r.Key}] = mark{r.Most, r.Term}
+			c.inherited[accountID{l.number, r.Key}] = inheritedMark{r.Most, r.Term}
 		}
 	}
-	// By other rules, another roster or size, other members had other homes: what they lent to whom nobody here knows.
-	c.sound = sound && rules == c.rulesSum()
-	c.trusted = c.sound
-	return c.sound
+	// Under other rules (another roster or size) the members had other home shares, so their earlier loans are unknown.
+	c.complete = sound && rules == c.rulesSum()
+	c.trusted = c.complete
+	return c.complete
 }
 
-// rulesSum tells rules by which shares are counted from others.
+// rulesSum returns a checksum of all rules that determine the shares.
 func (c *Core) rulesSum() uint64 {
 	if c.marks.rules == 0 {
 		h := fnv.New64a()
 		fmt.Fprintf(h, "%q %q %v", c.rules.Roster, c.rules.Self, c.rules.Drift)
 		for _, l := range c.limits {
-			fmt.Fprintf(h, "|%q %d %v %v %v %d %v", l.Name, l.Kind, l.first.size, l.first.burst, l.Term, l.Owners, l.Available)
+			fmt.Fprintf(h, "|%q %d %v %v %v %d %v", l.Name, l.Kind, l.initial.size, l.initial.burst, l.Term, l.Owners, l.Available)
 		}
 		c.marks.rules = max(1, h.Sum64())
 	}
 	return c.marks.rules
 }
 
-// Stores lists what has to last since it was asked last.
+// Stores returns the records to store since the last call.
 func (c *Core) Stores() []Store {
-	all := c.stores
-	c.stores = nil
+	all := c.pendingStores
+	c.pendingStores = nil
 	return all
 }
 
-// Records are all marks as they would be stored, to take the place of those so far.
+// Records returns all current marks, to replace the records stored so far.
 func (c *Core) Records() (all []Record) {
 	if c.trusted {
 		all = append(all, Record{Rules: c.rulesSum()})
 	}
-	known := map[id]bool{}
-	for _, a := range c.due {
-		known[id{a.limit.number, a.key}] = true
+	known := map[accountID]bool{}
+	for _, a := range c.queue {
+		known[accountID{a.limit.number, a.key}] = true
 		if !a.mark.none() {
 			all = append(all, a.record())
 		}
 	}
-	for k, m := range c.before { // those of the process before may still bind
-		if l := c.limits[k.limit]; !known[k] && c.now < c.bound(l, m) {
+	for k, m := range c.inherited { // marks of the previous process may still apply
+		if l := c.limits[k.limit]; !known[k] && c.now < c.inheritedUntil(l, m) {
 			all = append(all, Record{Limit: l.Name, Key: k.key, Most: m.most, Term: m.term})
 		}
 	}
@@ -132,26 +133,26 @@
 	return Record{Limit: a.limit.Name, Key: a.key, Most: a.mark, Term: a.limit.Term}
 }
 
-// bound is up to when a mark of the process before binds this one.
-func (c *Core) bound(l *limit, m mark) float64 {
+// inheritedUntil returns until when a mark of the previous process applies.
+func (c *Core) inheritedUntil(l *limit, m inheritedMark) float64 {
 	return c.start + max(l.Term, m.term)*(1+c.rules.Drift)/(1-c.rules.Drift)
 }
 
-// inherit takes up what the process before may have lent of an account, as something that nobody gives back.
-func (c *Core) inherit(a *account) {
-	m, was := c.before[id{a.limit.number, a.key}]
+// inheritMark records what the previous process may have lent of an account as a debt that is never returned early.
+func (c *Core) inheritMark(a *account) {
+	m, was := c.inherited[accountID{a.limit.number, a.key}]
 	if !was {
 		return
 	}
 	a.mark = m.most
-	delete(c.before, id{a.limit.number, a.key})
-	if until := c.bound(a.limit, m); c.now < until && !a.home.none() {
-		a.debts = append(a.debts, debt{once: true, hi: m.most.min(a.home), hiUntil: until, loUntil: never, wantAt: never})
+	delete(c.inherited, accountID{a.limit.number, a.key})
+	if until := c.inheritedUntil(a.limit, m); c.now < until && !a.home.none() {
+		a.debts = append(a.debts, debt{once: true, oldShare: m.most.min(a.home), oldUntil: until, newUntil: never, wantAt: never})
 	}
 }
 
-// raise has an account's mark cover what is lent of it now. What is told from now on waits until it lasts.
-func (c *Core) raise(a *account, now float64) {
+// raiseMark raises an account's mark to cover what is lent now. Answers from now on wait until the new mark is durable.
+func (c *Core) raiseMark(a *account, now float64) {
 	lent := a.lent(now)
 	if !c.disk || a.limit.Available || !a.mark.less(lent) {
 		return
@@ -161,13 +162,13 @@
 			a.mark[q] = min(max(a.home[q], lent[q]), lent[q]+a.home[q]/markSteps)
 		}
 	}
-	a.marked = now
-	a.markAt = c.store(a.record())
+	a.markChangedAt = now
+	a.markNumber = c.appendRecord(a.record())
 }
 
-// settled lowers a mark that has been too high for long, so that a process that starts again has more to use.
-func (c *Core) settled(a *account, now float64) {
-	if !c.disk || c.failed || a.mark.none() || now < a.marked+markTerms*a.limit.Term {
+// lowerMark lowers a mark that has been too high for long, so that a restarted process can use more.
+func (c *Core) lowerMark(a *account, now float64) {
+	if !c.disk || c.diskLost || a.mark.none() || now < a.markChangedAt+markTerms*a.limit.Term {
 		return
 	}
 	low := a.lent(now)
@@ -176,72 +177,72 @@
 			low[q] = min(a.home[q], low[q]+a.home[q]/markSteps)
 		}
 	}
-	if a.marked = now; low.less(a.mark) && !a.mark.less(low) {
+	if a.markChangedAt = now; low.less(a.mark) && !a.mark.less(low) {
 		a.mark = low
-		a.markAt = c.store(a.record())
+		a.markNumber = c.appendRecord(a.record())
 	}
 }
 
-func (c *Core) store(r Record) uint64 {
+func (c *Core) appendRecord(r Record) uint64 {
 	c.number++
 	c.Counts.Stored++
-	c.stores = append(c.stores, Store{Number: c.number, Record: r})
+	c.pendingStores = append(c.pendingStores, Store{Number: c.number, Record: r})
 	return c.number
 }
 
-// say tells a borrower what it is lent, once what that rests on lasts.
-func (c *Core) say(a *account, to string, m Message) {
+// sendWhenStored sends a borrower its answer once the account's mark is durable.
+func (c *Core) sendWhenStored(a *account, to string, m Message) {
 	switch {
-	case a.markAt <= c.stored:
-		c.mail[to] = append(c.mail[to], m)
-	case len(c.waits) < waitsMost && !c.failed:
-		c.waits = append(c.waits, waiting{a.markAt, to, m})
+	case a.markNumber <= c.stored:
+		c.outbox[to] = append(c.outbox[to], m)
+	case len(c.pendingSends) < maxPendingSends && !c.diskLost:
+		c.pendingSends = append(c.pendingSends, pendingSend{a.markNumber, to, m})
 	}
 }
 
-// last tells what may be told by now.
-func (c *Core) last(upto uint64) {
+// markStored sends the answers whose records are durable by now.
+func (c *Core) markStored(upto uint64) {
 	c.stored = max(c.stored, upto)
-	left := c.waits[:0]
-	for _, w := range c.waits {
+	left := c.pendingSends[:0]
+	for _, w := range c.pendingSends {
 		if w.number <= c.stored {
-			c.mail[w.to] = append(c.mail[w.to], w.m)
+			c.outbox[w.to] = append(c.outbox[w.to], w.m)
 		} else {
 			left = append(left, w)
 		}
 	}
-	c.waits = left
+	c.pendingSends = left
 }
 
-// trust stores by what rules shares are counted, once all that an earlier process may have lent by others has run out.
-func (c *Core) trust() {
-	if c.now >= c.ripe {
-		c.before = nil
+// storeTrust stores the checksum of the rules once all loans that an earlier process may have granted under other rules have ended.
+func (c *Core) storeTrust() {
+	if c.now >= c.trustAt {
+		c.inherited = nil
 	}
 	if c.now < c.trustDue() {
 		return
 	}
 	c.trusted = true
 	c.number++
-	c.stores = append(c.stores, Store{Number: c.number, Record: Record{Rules: c.rulesSum()}, Trust: true})
+	c.pendingStores = append(c.pendingStores, Store{Number: c.number, Record: Record{Rules: c.rulesSum()}, Trust: true})
 }
 
-// ripens is when nothing that an earlier process may have lent binds anybody any more.
-func (c *Core) ripens() float64 {
+// inheritedLoansEndAt returns when all loans of earlier processes have ended.
+func (c *Core) inheritedLoansEndAt() float64 {
 	at := c.start
 	for _, l := range c.limits {
-		at = max(at, c.rested(l))
+		at = max(at, c.priorLoansEndAt(l))
 	}
-	for k, m := range c.before {
-		at = max(at, c.bound(c.limits[k.limit], m))
+	for k, m := range c.inherited {
+		at = max(at, c.inheritedUntil(c.limits[k.limit], m))
 	}
 	return at
 }
 
-// trustDue is when trust is wanted.
+// trustDue returns when storeTrust is due.
 func (c *Core) trustDue() float64 {
-	if !c.disk || c.trusted || c.failed {
+	if !c.disk || c.trusted || c.diskLost {
 		return math.Inf(1)
 	}
-	return c.ripe
+	return c.trustAt
 }
--- a/internal/shares/orders.go
+++ b/internal/shares/orders.go
@@ -5,32 +5,31 @@
 	"slices"
 )
 
-// Order is another size of a limit for a while, as an operator set it. Of two the one of the higher version counts, then the one of the later name:
-// all members decide alike, whatever order they hear of them in.
+// Order is a temporary size of a limit, set by an operator. Of two orders the one with the higher version wins, then the one with the greater name in
+// By: all members decide alike, in whatever sequence they receive them.
 type Order struct {
 	Version     uint64
 	By          string
 	Size, Burst float64
-	Left        float64 // ms that it holds for; 0: it is over, or was taken back
+	Left        float64 // ms that the order remains in force; 0: it has expired or was revoked
 }
 
-// Word is what a member tells the others of a limit now and then: its document's size, the newest order that it knows, and whether it wants to hear
-// theirs.
+// Word is a member's report on the size of a limit: its document's size, the newest order that it knows, and whether it requests the receiver's report.
 type Word struct {
 	Size, Burst float64
 	Order       *Order
 	Answer      bool
-	Asked, Echo uint64 // number of this one, and of the one that it answers; 0: none
+	Asked, Echo uint64 // number of this report and of the one that it answers; 0: none
 }
 
-// Set orders another size for a while, or, with For at 0, takes the last order back.
+// Set is an operator's request for a temporary size; For 0 revokes the current order.
 type Set struct {
 	Limit       string
 	Size, Burst float64
 	For         float64 // ms
 }
 
-// Document says what size of a limit this member's document has by now.
+// Document reports the size of a limit in this member's current document.
 type Document struct {
 	Limit       string
 	Size, Burst float64
@@ -40,38 +39,38 @@
 
 func (a size) min(b size) size { return size{min(a.size, b.size), min(a.burst, b.burst)} }
 
-// standing is what a member knows of a limit's size.
-type standing struct {
-	own    size
-	first  size              // the document's when this process started
-	sizes  []size            // all that homes have to do with: these two, and theirs
-	theirs map[string]size   // documents, as last told
-	known  map[string]uint64 // the version of the newest order that a member was heard to know
-	order  Order             // the newest; Left counts for nothing here
-	until  float64
-	asked  map[string]question // the last that was asked of a member
-	before size                // what held before the order
-	// expires is when the order runs out; a member that stood still has to know it before it takes a scan.
-	expires float64
-}
-
-// question is a word that asks for an answer.
+// sizeState is what a member knows of a limit's size.
+type sizeState struct {
+	own           size
+	initial       size              // the document's size when this process started
+	sizes         []size            // all sizes that home shares take into account: own, initial and those of other members
+	memberSizes   map[string]size   // size in each member's document, as last reported
+	knownVersions map[string]uint64 // version of the newest order that each member is known to have
+	order         Order             // the newest order; its Left is unused, until counts
+	until         float64
+	questions     map[string]question // last question sent to each member
+	sizeBefore    size                // size in force before the order
+	// expiresAt is when the order expires; a member that was paused checks it before it admits a scan.
+	expiresAt float64
+}
+
+// question is a report that requests an answer.
 type question struct {
 	number uint64
 	at     float64
 }
 
-const askBackMs = 50.0 // between two questions to one member that what it tells gives rise to
+const minQuestionIntervalMs = 50.0 // least interval between two questions to one member that its reports cause
 
-const tellMs = 1000.0 // so often a member tells another one, by turns of chance
+const gossipIntervalMs = 1000.0 // interval at which a member sends its report to one random member
 
-// size is what counts now. While members differ it is the smaller of what they go by, so that a strict limit is not passed by those who have
-// heard; who has not goes by what it had.
-func (c *Core) size(l *limit, now float64) size {
-	s := &l.standing
+// effectiveSize returns the size in force. While members differ it is the smallest of the sizes they use, so that members that know a new size do not
+// exceed a strict limit; members that do not know it use the old size.
+func (c *Core) effectiveSize(l *limit, now float64) size {
+	s := &l.sizeState
 	doc := s.own
 	for _, name := range c.rules.Roster {
-		if d, told := s.theirs[name]; told {
+		if d, told := s.memberSizes[name]; told {
 			doc = doc.min(d)
 		}
 	}
@@ -80,157 +79,158 @@
 	case s.order.Version == 0 || s.order.Left > 0 && now >= s.until:
 		return doc
 	case s.order.Left <= 0:
-		set = doc // it was taken back
+		set = doc // the order was revoked
 	}
 	for _, name := range c.rules.Roster {
-		if name != c.rules.Self && s.known[name] < s.order.Version {
-			return set.min(s.before)
+		if name != c.rules.Self && s.knownVersions[name] < s.order.Version {
+			return set.min(s.sizeBefore)
 		}
 	}
 	return set
 }
 
-// resize puts a limit's size into force for all its accounts.
+// resize applies a limit's effective size to all its accounts.
 func (c *Core) resize(l *limit, now float64) {
-	n := c.size(l, now)
-	if l.expires = math.Inf(1); l.order.Left > 0 && now < l.until {
-		l.expires = l.until
+	n := c.effectiveSize(l, now)
+	if l.expiresAt = math.Inf(1); l.order.Left > 0 && now < l.until {
+		l.expiresAt = l.until
 	}
 	if n.size == l.Size && n.burst == l.Burst {
 		return
 	}
-	for _, a := range c.due {
+	for _, a := range c.queue {
 		if a.limit == l {
 			c.settle(a, now)
 		}
 	}
 	l.Size, l.Burst = n.size, n.burst
-	for _, a := range c.due {
+	for _, a := range c.queue {
 		if a.limit == l {
-			c.recount(a, now)
+			c.recomputeShare(a, now)
 		}
 	}
 }
 
-// adopt takes an order up if it is newer than the one that is known.
-func (c *Core) adopt(l *limit, o Order, asof float64) bool {
-	s := &l.standing
+// adoptOrder takes an order over if it is newer than the known one.
+func (c *Core) adoptOrder(l *limit, o Order, asof float64) bool {
+	s := &l.sizeState
 	if !newer(o, s.order) {
 		return false
 	}
-	s.before = size{l.Size, l.Burst}
+	s.sizeBefore = size{l.Size, l.Burst}
 	s.order, s.until = o, asof
 	if o.Left > 0 {
-		s.until += o.Left * c.spread(l, o)
+		s.until += o.Left * c.orderDurationFactor(l, o)
 	}
 	return true
 }
 
 func newer(a, b Order) bool { return a.Version > b.Version || a.Version == b.Version && a.By > b.By }
 
-// more says that an order lets more in than the document.
-func (l *limit) more(o Order) bool {
+// raisesLimit reports whether an order admits more than the document.
+func (l *limit) raisesLimit(o Order) bool {
 	return o.Left > 0 && (o.Size > l.own.size || o.Burst > l.own.burst)
 }
 
-// spread: an order that lets more in ends rather early by every clock, one that lets less in rather late.
-func (c *Core) spread(l *limit, o Order) float64 {
-	if l.more(o) {
+// orderDurationFactor corrects an order's duration for clock drift: an order that raises a limit ends early on every clock, one that lowers it ends late.
+func (c *Core) orderDurationFactor(l *limit, o Order) float64 {
+	if l.raisesLimit(o) {
 		return (1 - c.rules.Drift) / (1 + c.rules.Drift)
 	}
 	return (1 + c.rules.Drift) / (1 - c.rules.Drift)
 }
 
-// word is for a member; an answer echoes its question.
-func (c *Core) word(l *limit, to string, now float64, echo uint64) Message {
-	s := &l.standing
+// sizeReport builds a report for a member; an answer repeats the number of the question.
+func (c *Core) sizeReport(l *limit, to string, now float64, echo uint64) Message {
+	s := &l.sizeState
 	w := &Word{Size: s.own.size, Burst: s.own.burst, Answer: echo == 0, Echo: echo}
 	if s.order.Version > 0 {
 		o := s.order
-		o.Left = max(0, s.until-now) / c.spread(l, o)
+		o.Left = max(0, s.until-now) / c.orderDurationFactor(l, o)
 		w.Order = &o
 	}
 	if w.Answer {
 		c.seq++
 		w.Asked = c.seq
-		s.asked[to] = question{c.seq, now}
+		s.questions[to] = question{c.seq, now}
 	}
 	return Message{Kind: Told, Limit: l.Name, Boot: c.rules.Boot, Word: w}
 }
 
-// hear takes what another member tells.
-func (c *Core) hear(l *limit, from string, w *Word, now float64) {
-	if w == nil || !sane(w.Size) || !sane(w.Burst) || w.Order != nil && (!sane(w.Order.Size) || !sane(w.Order.Burst) || !(w.Order.Left >= 0 && w.Order.Left < orderMost)) {
+// handleSizeReport applies another member's report.
+func (c *Core) handleSizeReport(l *limit, from string, w *Word, now float64) {
+	if w == nil || !validSize(w.Size) || !validSize(w.Burst) || w.Order != nil && (!validSize(w.Order.Size) || !validSize(w.Order.Burst) || !(w.Order.Left >= 0 && w.Order.Left < maxOrderMs)) {
 		c.Counts.Odd++
 		return
 	}
-	s := &l.standing
-	s.theirs[from] = size{w.Size, w.Burst}
-	c.rehome(l, now)
-	news, unsure, q := false, false, s.asked[from]
+	s := &l.sizeState
+	s.memberSizes[from] = size{w.Size, w.Burst}
+	c.recomputeHomes(l, now)
+	news, unsure, q := false, false, s.questions[from]
 	if o := w.Order; o != nil {
-		// How long a message was under way nobody knows. What lets more in counts from a question that the word answers: its end must not come late.
+		// The delay of a message is unknown. The duration of an order that raises the limit counts from when the question was sent that this report
+		// answers: the order must not end late.
 		asof := now
-		if more := l.more(*o); more && w.Echo > 0 && w.Echo == q.number {
+		if more := l.raisesLimit(*o); more && w.Echo > 0 && w.Echo == q.number {
 			asof = q.at
 		} else {
 			unsure = more && newer(*o, s.order)
 		}
 		if !unsure {
-			news = c.adopt(l, *o, asof)
+			news = c.adoptOrder(l, *o, asof)
 		}
-		s.known[from] = max(s.known[from], o.Version)
+		s.knownVersions[from] = max(s.knownVersions[from], o.Version)
 	}
 	c.resize(l, now)
 	if w.Answer {
-		c.mail[from] = append(c.mail[from], c.word(l, from, now, max(1, w.Asked)))
+		c.outbox[from] = append(c.outbox[from], c.sizeReport(l, from, now, max(1, w.Asked)))
 	}
 	switch {
 	case news:
-		c.tellAll(l, now)
-	case unsure && (q.number == 0 || now >= q.at+askBackMs):
-		// Not at each word: two members that ask back at once would go on for ever.
-		c.mail[from] = append(c.mail[from], c.word(l, from, now, 0))
+		c.broadcastSize(l, now)
+	case unsure && (q.number == 0 || now >= q.at+minQuestionIntervalMs):
+		// Not at each report: two members that ask back at once would exchange questions without end.
+		c.outbox[from] = append(c.outbox[from], c.sizeReport(l, from, now, 0))
 	}
 }
 
-const orderMost = 31 * 24 * 3600 * 1000.0 // ms
+const maxOrderMs = 31 * 24 * 3600 * 1000.0 // ms
 
-func sane(x float64) bool { return x > 0 && x <= 1e12 }
+func validSize(x float64) bool { return x > 0 && x <= 1e12 }
 
-func (c *Core) tellAll(l *limit, now float64) {
+func (c *Core) broadcastSize(l *limit, now float64) {
 	for _, name := range c.rules.Roster {
 		if name != c.rules.Self {
-			c.mail[name] = append(c.mail[name], c.word(l, name, now, 0))
+			c.outbox[name] = append(c.outbox[name], c.sizeReport(l, name, now, 0))
 		}
 	}
 }
 
-// set is an operator's order.
-func (c *Core) set(l *limit, v Set, now float64) {
-	o := Order{Version: max(l.standing.order.Version+1, uint64(max(0, c.now))), By: c.rules.Self, Size: v.Size, Burst: v.Burst, Left: min(v.For, orderMost-1)}
-	if v.For <= 0 || !sane(o.Size) || !sane(o.Burst) {
-		o.Size, o.Burst, o.Left = l.standing.own.size, l.standing.own.burst, 0
+// setOrder applies an operator's request.
+func (c *Core) setOrder(l *limit, v Set, now float64) {
+	o := Order{Version: max(l.sizeState.order.Version+1, uint64(max(0, c.now))), By: c.rules.Self, Size: v.Size, Burst: v.Burst, Left: min(v.For, maxOrderMs-1)}
+	if v.For <= 0 || !validSize(o.Size) || !validSize(o.Burst) {
+		o.Size, o.Burst, o.Left = l.sizeState.own.size, l.sizeState.own.burst, 0
 	}
-	c.adopt(l, o, now)
+	c.adoptOrder(l, o, now)
 	c.resize(l, now)
-	c.tellAll(l, now)
+	c.broadcastSize(l, now)
 }
 
-// talk tells one member, by turns of chance, what this one knows: so all come to agree after a split, and who has started hears of orders.
-func (c *Core) talk(now float64) {
+// gossip sends this member's reports to one random member, so that all converge after a partition and started members learn of orders.
+func (c *Core) gossip(now float64) {
 	n := len(c.rules.Roster)
 	if at, is := slices.BinarySearch(c.rules.Roster, c.rules.Self); !is || n < 2 {
-		c.talkAt = math.Inf(1)
-	} else if now >= c.talkAt {
-		c.talkAt = now + tellMs
-		to := c.rules.Roster[(at+1+min(int(c.chance()*float64(n-1)), n-2))%n]
+		c.nextGossip = math.Inf(1)
+	} else if now >= c.nextGossip {
+		c.nextGossip = now + gossipIntervalMs
+		to := c.rules.Roster[(at+1+min(int(c.random()*float64(n-1)), n-2))%n]
 		for _, l := range c.limits {
-			c.mail[to] = append(c.mail[to], c.word(l, to, now, 0))
+			c.outbox[to] = append(c.outbox[to], c.sizeReport(l, to, now, 0))
 		}
 	}
 	for _, l := range c.limits {
-		if now >= l.expires {
+		if now >= l.expiresAt {
 			c.resize(l, now)
 		}
 	}
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -1,11 +1,11 @@
-// Package shares decides how much of each limit that holds for the whole fleet this broker may use at a moment. It has no I/O and no clock: scans,
-// messages and the time go in, verdicts and messages come out. A scan's verdict needs no message.
+// Package shares divides each fleet-wide limit among the brokers. It does no I/O and reads no clock: scans, messages and the time go in, verdicts and
+// messages come out. A scan is admitted or rejected locally, without waiting for a message.
 //
-// The way is escrow (O'Neil 1986): of each limit every owner has a home share for good, and lends what lies idle there for a term. A borrower
-// counts the term from the moment it asked, a lender from the moment it granted and longer by what two clocks can drift apart, as leases do. So
-// no part of a limit is ever used by two, whatever is lost, late, doubled or stopped, and no member leads.
+// It uses escrow (O'Neil 1986): each owner has a permanent home share of a limit and lends the idle part of it for a term. The borrower counts the
+// term from when it sent its ask; the lender counts it from when it granted the loan, extended by the drift of two clocks, as for leases. So no part of
+// a limit is ever used by two members, even if messages are lost, delayed or duplicated or members are paused, and there is no leader.
 //
-// Shares are counted in whole billionths of a limit, so that no rounding adds up.
+// Shares are whole billionths of a limit, so that rounding errors do not add up.
 package shares
 
 import (
@@ -13,16 +13,16 @@
 	"slices"
 )
 
-// Whole is all of a limit.
+// Whole is the share that stands for an entire limit.
 const Whole = 1_000_000_000
 
-// Part is one of a limit: of what comes a second, or of the units, and of what may be taken at once. They are lent each by itself: who is asked
-// for a scan now and then needs a whole token at once, and hardly anything a second.
+// Part is a share of a limit in two dimensions: of the rate (or of the units of a Stock limit), and of the burst. They are lent separately: a member
+// with occasional scans needs a whole token of burst, but hardly any rate.
 type Part [2]int64
 
 const (
-	flow  = 0
-	depth = 1
+	rateIndex  = 0 // index of the share of the rate, or of the units of a Stock limit
+	burstIndex = 1 // index of the share of the burst
 )
 
 func (p Part) add(q Part) Part { return Part{p[0] + q[0], p[1] + q[1]} }
@@ -30,7 +30,7 @@
 func (p Part) min(q Part) Part { return Part{min(p[0], q[0]), min(p[1], q[1])} }
 func (p Part) max(q Part) Part { return Part{max(p[0], q[0]), max(p[1], q[1])} }
 
-// less says that p is below q in something.
+// less reports whether p is below q in either dimension.
 func (p Part) less(q Part) bool { return p[0] < q[0] || p[1] < q[1] }
 func (p Part) none() bool       { return p == Part{} }
 
@@ -38,311 +38,314 @@
 type Kind uint8
 
 const (
-	Rate  Kind = iota // so many a second, and so many at once
-	Stock             // so much open at once
+	Rate  Kind = iota // scans per second, with a burst
+	Stock             // scans open at the same time
 )
 
-// Limit is one that holds for the fleet, or for each key by itself.
+// Limit is a limit for the whole fleet, or for each key separately.
 type Limit struct {
 	Name   string
 	Kind   Kind
-	Size   float64 // a second, or at once
-	Burst  float64 // of a Rate: at once
-	Term   float64 // ms that a loan holds; the same at all members
-	Owners int     // of a key's home shares; 0: all members
-	// Available limits may be passed when links fail, by a stated bound; others never.
+	Size   float64 // scans per second, or open scans
+	Burst  float64 // of a Rate limit: tokens that the bucket holds
+	Term   float64 // ms that a loan is valid; the same at all members
+	Owners int     // number of members with a home share of a key; 0: all members
+	// Available limits may be exceeded during network failures, by a stated bound; others never.
 	Available bool
-	Linger    float64 // Available: ms that a borrowed share goes on after its term without a word of its lender
-	Alone     float64 // Available: share of the limit that each side of a split has at least
+	Linger    float64 // Available: ms that a borrowed share stays usable after its term without an answer of its lender
+	Alone     float64 // Available: least share of the limit that each side of a network partition has
 }
 
-// Rules are the same at all members, but for Self and Boot.
+// Rules configures a member. All members have the same rules except for Self and Boot.
 type Rules struct {
 	Self   string
-	Boot   uint64   // of this process
+	Boot   uint64   // number of this process; it grows with each restart
 	Roster []string // all members
-	Drift  float64  // a clock may run faster or slower than true time by this share
-	Most   int      // accounts, one for each limit and key, that are kept
-	After  float64  // ms; the longest time to come back that is told; 0: none is
-	Loans  bool     // idle shares are lent; else each has its home share alone
+	Drift  float64  // bound on the relative clock drift
+	Most   int      // most accounts kept, one for each limit and key
+	After  float64  // ms; the longest retry time given to clients; 0: none is given
+	Loans  bool     // lend idle shares; otherwise each member uses only its home share
 }
 
-// MessageKind is a message's.
+// MessageKind is the type of a message.
 type MessageKind uint8
 
 const (
-	Ask    MessageKind = iota + 1 // lend me
-	Loan                          // I do
-	Recall                        // go down to that, and say so
-	Told                          // what I know of a limit's size
+	Ask    MessageKind = iota + 1 // request for a loan
+	Loan                          // answer to an Ask
+	Recall                        // request to reduce a loan and to confirm it
+	Told                          // report on a limit's size
 )
 
-// Message goes from one member to another.
+// Message is sent from one member to another.
 type Message struct {
 	Kind       MessageKind
 	Limit, Key string
-	Boot, Seq  uint64  // the borrower's process and its ask
-	Have       Part    // Ask: until it is answered no more than that is used of what this lender lent
-	Share      Part    // Ask: wanted; Loan: lent; Recall: to be kept
-	Tokens     float64 // that go along
-	Word       *Word   // of a Told
-	Once       bool    // an Ask for one scan's tokens, or its answer
+	Boot, Seq  uint64  // the borrower's process number and the number of its ask
+	Have       Part    // Ask: most that the borrower uses of this lender's loan until the answer
+	Share      Part    // Ask: requested share; Loan: granted share; Recall: share that the borrower may keep
+	Tokens     float64 // tokens transferred with the message
+	Word       *Word   // content of a Told
+	Once       bool    // an Ask for the tokens of one scan, or its answer
 }
 
 // Input is a Received, View, Set, Document, Stored or DiskLost.
 type Input any
 
-// Received is a message from a member.
+// Received is a message received from a member.
 type Received struct {
 	From    string
 	Message Message
 }
 
-// View says which members live, as far as this one knows.
+// View lists the members that the failure detector considers alive.
 type View struct{ Living []string }
 
-// Send is messages for a member.
+// Send holds messages to send to a member.
 type Send struct {
 	To       string
 	Messages []Message
 }
 
-// Use is what a scan takes of a limit.
+// Use is what a scan consumes of a limit.
 type Use struct {
-	Limit int // its number
+	Limit int // index of the limit
 	Key   string
 	Cost  float64
 }
 
-// Verdict on a scan. Limit is the number of the one that turned it away.
+// Verdict is the decision on a scan.
 type Verdict struct {
 	Taken bool
-	Limit int
-	After float64 // ms; when it should come back
-	Wait  float64 // ms; above 0: an owner has been asked for this one scan's tokens, and Again may take it until then
+	Limit int     // index of the limit that rejected it, or -1
+	After float64 // ms after which the client should retry
+	Wait  float64 // ms; above 0: an owner has been asked for the tokens of this scan, and Again may admit it within this time
 }
 
-// Counts are kept for the operators.
+// Counts are counters for operators.
 type Counts struct {
 	Taken     int `json:"taken"`
 	Throttled int `json:"throttled"`
-	Crowded   int `json:"crowded"` // scans turned away since too many keys are known
+	Crowded   int `json:"crowded"` // scans rejected because too many accounts are kept
 	Lent      int `json:"lent"`
 	Borrowed  int `json:"borrowed"`
 	Recalled  int `json:"recalled"`
-	Late      int `json:"late"` // answers that came too late to count
+	Late      int `json:"late"` // answers that arrived after their deadline
 	Odd       int `json:"odd"`
-	Once      int `json:"once"`   // scans that were taken with tokens of an owner, asked for each by itself
-	Spared    int `json:"spared"` // tokens that this member gave for others' single scans
-	Stored    int `json:"stored"` // marks of what is lent that went to the disk
+	Once      int `json:"once"`   // scans admitted with tokens that an owner granted for this one scan
+	Spared    int `json:"spared"` // grants of this member for single scans of others
+	Stored    int `json:"stored"` // marks stored
 }
 
-// Seen is what is seen of one limit and key.
+// Seen is the state of one account for operators.
 type Seen struct {
 	Limit    string  `json:"limit"`
 	Key      string  `json:"key"`
-	Size     float64 `json:"size"`  // that counts now
-	Order    string  `json:"order"` // who set it so, if anybody did
-	Left     float64 `json:"left"`  // ms for which that holds
-	Told     int     `json:"told"`  // members that are known to know it
-	Home     float64 `json:"home"`  // shares of the limit, from 0 to 1
+	Size     float64 `json:"size"`  // size in force
+	Order    string  `json:"order"` // member that issued the order in force, if any
+	Left     float64 `json:"left"`  // ms until the order expires
+	Told     int     `json:"told"`  // members known to have the order
+	Home     float64 `json:"home"`  // home share; shares are parts of the limit, from 0 to 1
 	Lent     float64 `json:"lent"`
 	Borrowed float64 `json:"borrowed"`
 	Share    float64 `json:"share"`
-	Used     float64 `json:"used"`   // a second, or open
-	Demand   float64 `json:"demand"` // likewise, with what was turned away
-	Age      float64 `json:"age"`    // ms since the oldest word that a borrowed share rests on
-	Over     float64 `json:"over"`   // at most so much of the limit could the fleet be over, as far as this member knows
-	Cut      bool    `json:"cut"`    // lenders do not answer
-	Quiet    float64 `json:"quiet"`  // ms for which the home share is not used yet
+	Used     float64 `json:"used"`   // scans per second, or open scans
+	Demand   float64 `json:"demand"` // likewise, rejected scans included
+	Age      float64 `json:"age"`    // ms since the oldest ask that a current loan depends on
+	Over     float64 `json:"over"`   // bound on how much of the limit the fleet may use beyond it, as far as this member knows
+	Cut      bool    `json:"cut"`    // some lender has not answered for more than a term
+	Quiet    float64 `json:"quiet"`  // ms until the home share becomes usable
 }
 
 const (
-	renewShare = 0.25   // of a term: so often a loan is renewed
-	againShare = 0.1    // of a term: so long an ask waits for its answer
-	moreShare  = 0.05   // of a term: between two asks for more of one lender
-	askedMost  = 4      // lenders that are asked for more at once
-	lendMost   = 8      // members that one lends to at once
-	leewayMs   = 2.0    // before its end a loan counts as over
-	headroom   = 1.05   // a member needs so many times its demand,
-	lowRoom    = 1.3    // and so many times where its bucket has run
-	lowShare   = 0.25   // below this share
-	slack      = 1.15   // times its need that a member keeps before it gives borrowed shares back
-	fastMs     = 200.0  // over so long demand is seen to rise and fall,
-	slowMs     = 2000.0 // and where little comes over so long
-	gridMs     = 20.0
-	forgetMs   = 500.0
-	// sliver of a token that may be missing: a fifth of a burst of five is a token, and has to be one though shares are rounded.
-	sliver     = 1e-6
-	onceMs     = 60.0 // an owner's tokens for one scan hold for so long; the same at all members
-	waitMs     = 25.0 // a scan waits for them for so long at most
-	onceMost   = 64   // scans of one key that wait
-	onceTries  = 3    // owners that are asked for one
-	sporadic   = 1.0  // scans of a key in a term: below it nothing is borrowed, each is asked for by itself;
-	seldom     = 6.0  // above this many loans do, and single ones would only take their room
-	decayMs    = 1.0  // demand is let age in steps of that
-	idleFor    = 5.0  // terms after which an account that is not used is forgotten
-	backSpread = 0.25
-	keyMost    = 120
-	never      = -1e15
+	renewAfter         = 0.25   // of a term: interval at which a loan is renewed
+	askTimeout         = 0.1    // of a term: time after which an unanswered ask is retried
+	minAskInterval     = 0.05   // of a term: least time between two asks for more to one lender
+	maxLendersAsked    = 4      // lenders asked for more in one round
+	maxBorrowers       = 8      // members that one lends to at the same time
+	expiryMarginMs     = 2.0    // a borrower treats a loan as ended this long before its end
+	headroom           = 1.05   // factor on demand that a member needs,
+	lowTokensHeadroom  = 1.3    // and factor if its bucket has fallen
+	lowTokens          = 0.25   // below this share
+	slack              = 1.15   // factor on its need that a member keeps before it returns borrowed shares
+	fastMs             = 200.0  // averaging time of the demand at high rates,
+	slowMs             = 2000.0 // and at low rates
+	gridMs             = 20.0
+	evictionIntervalMs = 500.0
+	// tokenTolerance is the part of a token that may be missing: a fifth of a burst of five has to count as a token though shares are rounded.
+	tokenTolerance  = 1e-6
+	onceTermMs      = 60.0 // validity of tokens granted for one scan; the same at all members
+	onceWaitMs      = 25.0 // longest time that a scan waits for such tokens
+	maxPendingOnces = 64   // scans of one key that wait at the same time
+	maxOnceTries    = 3    // owners asked for the tokens of one scan
+	minLoanDemand   = 1.0  // scans of a key in a term: below this nothing is borrowed and each scan asks for its own tokens;
+	maxOnceDemand   = 6.0  // above this loans suffice, and grants for single scans would only use up shares that loans need
+	decayMs         = 1.0  // least time between two updates of the decaying averages
+	idleTerms       = 5.0  // terms after which an unused account is removed
+	retryJitter     = 0.25
+	maxKeyLength    = 120
+	never           = -1e15
 )
 
 type limit struct {
-	Limit  // Size and Burst are those that count now
+	Limit  // Size and Burst are those in force
 	number int
-	standing
+	sizeState
 }
 
-// debt is what this member lent to another one's process: lo until loUntil, and hi, if that is more, until hiUntil.
+// debt is what this member lent to a process of another member: newShare until newUntil and, if it is larger, oldShare until oldUntil.
 type debt struct {
-	to              string
-	boot, seq       uint64
-	hi, lo          Part
-	hiUntil         float64
-	loUntil         float64
-	want            Part
-	wantAt, recalls float64
-	once            bool // for one scan
+	to                 string
+	boot, seq          uint64
+	oldShare, newShare Part
+	oldUntil           float64
+	newUntil           float64
+	want               Part
+	wantAt, recalledAt float64
+	once               bool // granted for one scan
 }
 
-func (d *debt) out(now float64) (p Part) {
-	if now < d.loUntil {
-		p = d.lo
+func (d *debt) lentAt(now float64) (p Part) {
+	if now < d.newUntil {
+		p = d.newShare
 	}
-	if now < d.hiUntil {
-		p = p.max(d.hi)
+	if now < d.oldUntil {
+		p = p.max(d.oldShare)
 	}
 	return p
 }
 
-// loan is what another member lends to this one.
+// loan is what another member has lent to this one.
 type loan struct {
-	from     string
-	share    Part
-	end      float64
-	seq      uint64
-	sent     float64
-	asked    Part
-	open     bool // the newest ask has no answer
-	fails    int  // asks in a row that brought less than was asked for, or nothing
-	nextMore float64
-	silent   float64 // since when asks are without an answer; never: they are answered
+	from           string
+	share          Part
+	end            float64
+	seq            uint64
+	sentAt         float64
+	asked          Part
+	open           bool // the newest ask is not answered yet
+	shortfalls     int  // consecutive asks that were granted less than asked, or not answered
+	nextIncreaseAt float64
+	silentSince    float64 // since when asks are unanswered; never: they are answered
 }
 
-// account is one key's of one limit.
+// account is the state of one key of one limit.
 type account struct {
-	limit   *limit
-	key     string
-	home    Part // of an owner, for good
-	rank    int  // among the owners; below 0: it is none of them
-	mark    Part // so much of the home share may be lent, as it lasts
-	markAt  uint64
-	marked  float64
-	debts   []debt
-	loans   []loan // one for each other owner
-	share   Part   // that may be used up to change, when it changes by itself
-	next    float64
-	nextDry float64
+	limit             *limit
+	key               string
+	home              Part // permanent share, if this member is an owner
+	rank              int  // rank among the owners; below 0: not an owner
+	mark              Part // the largest part of the home share that may be lent, as stored
+	markNumber        uint64
+	markChangedAt     float64
+	debts             []debt
+	loans             []loan // one for each other owner
+	share             Part   // usable until changeAt, when it changes without input
+	nextAt            float64
+	nextShortLenderAt float64
 	// Rate
-	tokens, at float64
+	tokens, tokensAt float64
 	// Stock
 	used    float64
-	lastEnd float64 // when the last of what is open is over
+	lastEnd float64 // when the last open scan ends at the latest
 	peak    float64
-	// what is asked of it
-	fast, slow  float64 // a second
-	asked, seen float64 // up to when it is counted; the last scan
-	taken, took float64 // taken a second, as of when
-	back        float64 // up to when those who were turned away are told to come back
-	due         float64
-	index       int // in the heap
-	change      float64
-	singles     []single // tokens for single scans that have come
-	onces       []once   // and that have been asked for
-	dryUntil    float64  // owners had none: none is asked before
+	// demand
+	fastDemand, slowDemand float64 // scans per second
+	demandAt, lastScanAt   float64 // when the averages were last decayed; when the last scan came
+	takenRate, takenAt     float64 // admitted per second, and when this was last decayed
+	lastRetryAt            float64 // latest retry time given to a rejected scan
+	dueAt                  float64
+	index                  int // position in the heap
+	changeAt               float64
+	onceShares             []onceShare   // grants received for single scans
+	pendingOnces           []pendingOnce // pending asks for single scans
+	noOnceUntil            float64       // owners had no tokens; no owner is asked for a single scan before this time
 }
 
-// single is an owner's share for one scan, until it is over.
-type single struct {
+// single is a share that an owner granted for one scan.
+type onceShare struct {
 	share Part
 	until float64
 }
 
-// once is an ask for one scan's tokens.
-type once struct {
+// once is a pending ask for the tokens of one scan.
+type pendingOnce struct {
 	seq   uint64
 	sent  float64
-	owner int // among the loans
+	owner int // index into the loans
 	tries int
 	cost  float64
 }
 
-type id struct {
+type accountID struct {
 	limit int
 	key   string
 }
 
-// Core is one member's part. Only one goroutine may call it at a time.
+// Core is the state machine of one member. It is not safe for concurrent use.
 type Core struct {
 	Counts Counts
 
-	rules    Rules
-	limits   []*limit
-	byName   map[string]*limit
-	accounts map[id]*account
-	due      accounts
-	start    float64
-	begun    bool
-	now      float64
-	seq      uint64
-	living   map[string]bool
-	talkAt   float64
-	forgetAt float64
-	mail     map[string][]Message
-	chance   func() float64
-	picked   []*account // by a Take
-	came     bool       // tokens for a single scan
+	rules         Rules
+	limits        []*limit
+	byName        map[string]*limit
+	accounts      map[accountID]*account
+	queue         accountHeap
+	start         float64
+	started       bool
+	now           float64
+	seq           uint64
+	alive         map[string]bool
+	nextGossip    float64
+	nextEviction  float64
+	outbox        map[string][]Message
+	random        func() float64
+	takeAccounts  []*account // accounts of the current Take
+	tokensArrived bool       // tokens for a single scan have arrived since the last Came
 	marks
 }
 
-// New makes a member's part. It may be a process that has forgotten what an earlier one lent: until a loan's longest term is over its home shares
-// rest, but for Available limits. Chance gives numbers from 0 to 1.
-func New(r Rules, limits []Limit, chance func() float64) *Core {
-	c := &Core{rules: r, byName: map[string]*limit{}, accounts: map[id]*account{}, mail: map[string][]Message{}, chance: chance}
+// New creates the state machine of a member. Earlier processes of the member may have lent shares that this one does not know of: it does not use home
+// shares until the longest loan term has passed, except for Available limits. The function random returns numbers in [0, 1).
+func New(r Rules, limits []Limit, random func() float64) *Core {
+	c := &Core{rules: r, byName: map[string]*limit{}, accounts: map[accountID]*account{}, outbox: map[string][]Message{}, random: random}
 	c.rules.Roster = slices.Clone(r.Roster)
 	slices.Sort(c.rules.Roster)
 	for i, l := range limits {
 		l.Burst, l.Term = max(1, l.Burst), max(1, l.Term)
 		own := size{l.Size, l.Burst}
-		c.limits = append(c.limits, &limit{l, i, standing{own: own, first: own, sizes: []size{own}, before: own, expires: math.Inf(1), asked: map[string]question{}, theirs: map[string]size{}, known: map[string]uint64{}}})
+		c.limits = append(c.limits, &limit{l, i, sizeState{own: own, initial: own, sizes: []size{own}, sizeBefore: own, expiresAt: math.Inf(1), questions: map[string]question{}, memberSizes: map[string]size{}, knownVersions: map[string]uint64{}}})
 		c.byName[l.Name] = c.limits[i]
 	}
 	return c
 }
 
-// kept is how long a lender keeps to a loan: the borrower's clock may be slow and its own fast.
-func (c *Core) kept(l *limit) float64 { return l.Term * (1 + c.rules.Drift) / (1 - c.rules.Drift) }
+// lenderTerm is how long a lender counts a loan: the borrower's clock may be slow and its own fast.
+func (c *Core) lenderTerm(l *limit) float64 {
+	return l.Term * (1 + c.rules.Drift) / (1 - c.rules.Drift)
+}
 
-// rested is when nothing that an earlier process of this member lent may be in use any more.
-func (c *Core) rested(l *limit) float64 {
+// priorLoansEndAt returns when all loans of an earlier process of this member have ended.
+func (c *Core) priorLoansEndAt(l *limit) float64 {
 	if l.Available || !c.rules.Loans {
 		return c.start
 	}
-	return c.start + c.kept(l)
+	return c.start + c.lenderTerm(l)
 }
 
-// quiet is up to when home shares of a limit rest: an earlier process of this member may have lent them, and it is not known what.
-func (c *Core) quiet(l *limit) float64 {
-	if c.sound {
+// homeUsableAt returns from when the home shares of a limit may be used: until then an earlier process of this member may have lent them, if its marks
+// are not known.
+func (c *Core) homeUsableAt(l *limit) float64 {
+	if c.complete {
 		return c.start
 	}
-	return c.rested(l)
+	return c.priorLoansEndAt(l)
 }
 
-func (c *Core) begin(now float64) {
-	if !c.begun {
-		c.begun, c.start, c.now, c.talkAt = true, now, now, now
-		c.ripe = c.ripens()
+func (c *Core) advance(now float64) {
+	if !c.started {
+		c.started, c.start, c.now, c.nextGossip = true, now, now, now
+		c.trustAt = c.inheritedLoansEndAt()
 	}
 	c.now = max(c.now, now)
 }
--- a/internal/shares/taking.go
+++ b/internal/shares/taking.go
@@ -5,90 +5,90 @@
 	"slices"
 )
 
-// recount makes an account's share and the moment it changes by itself.
-func (c *Core) recount(a *account, now float64) {
-	a.share, a.change = c.valid(a, now, now), math.Inf(1)
-	if q := c.quiet(a.limit); now < q {
-		a.change = q
+// recomputeShare recomputes an account's usable share and when it next changes without input.
+func (c *Core) recomputeShare(a *account, now float64) {
+	a.share, a.changeAt = c.usableShare(a, now, now), math.Inf(1)
+	if q := c.homeUsableAt(a.limit); now < q {
+		a.changeAt = q
 	}
 	for i := range a.debts {
-		for _, at := range [2]float64{a.debts[i].loUntil, a.debts[i].hiUntil} {
+		for _, at := range [2]float64{a.debts[i].newUntil, a.debts[i].oldUntil} {
 			if at > now {
-				a.change = min(a.change, at)
+				a.changeAt = min(a.changeAt, at)
 			}
 		}
 	}
 	for i := range a.loans {
-		if at := c.ends(a, &a.loans[i]); !a.loans[i].share.none() && at > now {
-			a.change = min(a.change, at)
+		if at := c.loanEnd(a, &a.loans[i]); !a.loans[i].share.none() && at > now {
+			a.changeAt = min(a.changeAt, at)
 		}
 	}
-	for i := range a.singles {
-		if at := a.singles[i].until; at > now {
-			a.change = min(a.change, at)
+	for i := range a.onceShares {
+		if at := a.onceShares[i].until; at > now {
+			a.changeAt = min(a.changeAt, at)
 		}
 	}
-	a.tokens = min(a.tokens, c.deep(a))
+	a.tokens = min(a.tokens, c.bucketSize(a))
 }
 
-// settle brings an account up to a moment. What has run out is over before anything else.
+// settle brings an account up to date. It ends expired loans before anything else.
 func (c *Core) settle(a *account, now float64) {
-	for a.change <= now {
-		at := max(a.change, a.at)
+	for a.changeAt <= now {
+		at := max(a.changeAt, a.tokensAt)
 		c.accrue(a, at)
-		c.recount(a, at)
+		c.recomputeShare(a, at)
 	}
 	c.accrue(a, now)
 }
 
 func (c *Core) accrue(a *account, now float64) {
-	if now > a.at {
-		a.tokens = min(c.deep(a), a.tokens+(now-a.at)/1000*c.pace(a))
-		a.at = now
+	if now > a.tokensAt {
+		a.tokens = min(c.bucketSize(a), a.tokens+(now-a.tokensAt)/1000*c.refillRate(a))
+		a.tokensAt = now
 	}
 }
 
-// Take is asked for each scan that comes, with all limits that count it. It takes of all of them or of none. What it takes of a Stock limit has to
-// be given back by Done, and is over after lasts ms at the latest.
+// Take decides on an incoming scan, given all limits that apply to it. It consumes from all of them or from none. What it takes of a Stock limit has to
+// be returned by Done; the scan ends after lasts ms at the latest.
 func (c *Core) Take(now float64, uses []Use, lasts float64) Verdict {
 	return c.take(now, uses, lasts, false)
 }
 
-// Again is asked for a scan that waits, once Came says that tokens have come: its demand is counted already.
+// Again decides on a waiting scan after Came has reported new tokens. It does not count the demand a second time.
 func (c *Core) Again(now float64, uses []Use, lasts float64) Verdict {
 	return c.take(now, uses, lasts, true)
 }
 
-// Came says whether tokens for single scans have come since it was asked last.
+// Came reports whether tokens for single scans have arrived since the last call.
 func (c *Core) Came() bool {
-	came := c.came
-	c.came = false
+	came := c.tokensArrived
+	c.tokensArrived = false
 	return came
 }
 
 func (c *Core) take(now float64, uses []Use, lasts float64, again bool) Verdict {
-	c.begin(now)
+	c.advance(now)
 	now = c.now
 	refused, short := -1, (*account)(nil)
-	c.picked = c.picked[:0]
+	c.takeAccounts = c.takeAccounts[:0]
 	for i := range uses {
 		u := &uses[i]
 		l := c.limits[u.Limit]
-		if now >= l.expires {
+		if now >= l.expiresAt {
 			c.resize(l, now)
 		}
 		a := c.account(l, u.Key)
 		if a == nil {
-			c.forget()
+			c.evictIdle()
 			if a = c.account(l, u.Key); a == nil {
 				c.Counts.Crowded++
 				return Verdict{Limit: u.Limit, After: c.rules.After}
 			}
 		}
-		c.picked = append(c.picked, a)
+		c.takeAccounts = append(c.takeAccounts, a)
 		c.settle(a, now)
 		if !again {
-			c.asked(a, now, u.Cost)
+			c.countDemand(a, now, u.Cost)
 		}
 		if refused < 0 && !c.fits(a, now, u.Cost, lasts) {
 			refused, short = u.Limit, a
@@ -96,24 +96,24 @@
 	}
 	if refused >= 0 {
 		if !again && c.askOnce(short, now, uses) {
-			return Verdict{Limit: refused, After: c.after(short, now), Wait: waitMs}
+			return Verdict{Limit: refused, After: c.retryAfter(short, now), Wait: onceWaitMs}
 		}
 		c.Counts.Throttled++
 		if l := short.limit; l.Kind == Stock {
 			short.peak = max(short.peak, (short.used+1)*1.5)
 		}
 		if len(short.loans) > 0 || len(short.debts) > 0 {
-			c.wake(short, max(now, short.next))
+			c.scheduleBy(short, max(now, short.nextAt))
 		}
-		return Verdict{Limit: refused, After: c.after(short, now)}
+		return Verdict{Limit: refused, After: c.retryAfter(short, now)}
 	}
 	for i := range uses {
 		u := &uses[i]
-		a := c.picked[i]
+		a := c.takeAccounts[i]
 		if a.limit.Kind == Rate {
 			a.tokens -= u.Cost
-			c.counted(a, now)
-			a.taken += u.Cost * 1000 / slowMs
+			c.decayTaken(a, now)
+			a.takenRate += u.Cost * 1000 / slowMs
 		} else {
 			a.used += u.Cost
 			a.lastEnd = max(a.lastEnd, now+lasts)
@@ -127,12 +127,12 @@
 	return Verdict{Taken: true, Limit: -1}
 }
 
-// askOnce asks an owner for the tokens of one scan. Where a key is asked for now and then at many members, none of them can hold a share for it: a whole token lent for a term to each
-// of sixty is not there, and of a limit of five a second 5 in 100 were used. So such a token goes for as long as an answer may take, and comes back by itself.
+// askOnce asks an owner for the tokens of one scan. If a key gets occasional scans at many members, none of them can hold a loan for it: there are not enough tokens to lend a whole one to
+// each of sixty members for a term, and 5 % of a limit of five a second was used. So such a token is lent only for as long as an answer may take, and returns by expiry.
 func (c *Core) askOnce(a *account, now float64, uses []Use) bool {
-	a.onces = slices.DeleteFunc(a.onces, func(o once) bool { return now >= o.sent+onceMs })
-	if a.limit.Kind != Rate || !c.rules.Loans || len(a.loans) == 0 || now < a.dryUntil || len(a.onces) >= onceMost ||
-		a.slow*a.limit.Term/1000 > seldom {
+	a.pendingOnces = slices.DeleteFunc(a.pendingOnces, func(o pendingOnce) bool { return now >= o.sent+onceTermMs })
+	if a.limit.Kind != Rate || !c.rules.Loans || len(a.loans) == 0 || now < a.noOnceUntil || len(a.pendingOnces) >= maxPendingOnces ||
+		a.slowDemand*a.limit.Term/1000 > maxOnceDemand {
 		return false
 	}
 	cost := 0.0
@@ -141,85 +141,86 @@
 			cost += u.Cost
 		}
 	}
-	return cost <= a.limit.Burst && c.sendOnce(a, once{owner: int(c.chance()*float64(len(a.loans))) % len(a.loans), cost: cost}, now)
+	return cost <= a.limit.Burst && c.sendOnce(a, pendingOnce{owner: int(c.random()*float64(len(a.loans))) % len(a.loans), cost: cost}, now)
 }
 
-// sendOnce asks the next owner that answers.
-func (c *Core) sendOnce(a *account, o once, now float64) bool {
-	n := parts(o.cost / a.limit.Burst)
+// sendOnce asks the next owner that is responsive.
+func (c *Core) sendOnce(a *account, o pendingOnce, now float64) bool {
+	n := toParts(o.cost / a.limit.Burst)
 	for i := range 2 * len(a.loans) {
 		o.owner = (o.owner + 1) % len(a.loans)
-		rank := o.owner // among all owners, this member at its own
+		rank := o.owner // rank among all owners, this member included
 		if a.rank >= 0 && rank >= a.rank {
 			rank++
 		}
-		// Whose home has room for it first: of a burst smaller than the owners are many most have none, and who asked them by chance was told so three times.
-		able := a.limit.home(rank, len(a.loans)+1)[depth] >= n || i >= len(a.loans)
-		if l := &a.loans[o.owner]; l.silent == never && able {
+		// Owners whose home share can hold the tokens come first: if the burst is smaller than the number of owners, most have none, and random choice often
+		// got three refusals.
+		able := a.limit.home(rank, len(a.loans)+1)[burstIndex] >= n || i >= len(a.loans)
+		if l := &a.loans[o.owner]; l.silentSince == never && able {
 			c.seq++
 			o.seq, o.sent, o.tries = c.seq, now, o.tries+1
-			a.onces = append(a.onces, o)
-			c.mail[l.from] = append(c.mail[l.from], Message{Kind: Ask, Limit: a.limit.Name, Key: a.key, Boot: c.rules.Boot, Seq: o.seq, Share: Part{depth: n}, Once: true})
-			c.wake(a, c.now) // it goes out with the next Step
+			a.pendingOnces = append(a.pendingOnces, o)
+			c.outbox[l.from] = append(c.outbox[l.from], Message{Kind: Ask, Limit: a.limit.Name, Key: a.key, Boot: c.rules.Boot, Seq: o.seq, Share: Part{burstIndex: n}, Once: true})
+			c.scheduleBy(a, c.now) // the message is sent by the next Step
 			return true
 		}
 	}
 	return false
 }
 
-// spare gives a member the tokens of one scan, if there are as many now, and with them their room for as long as they hold.
-func (c *Core) spare(a *account, now float64, from string, m Message) {
-	if c.failed {
+// grantOnce lends a member the tokens of one scan, if available, with the burst share that holds them, for their validity.
+func (c *Core) grantOnce(a *account, now float64, from string, m Message) {
+	if c.diskLost {
 		return
 	}
-	a.debts = slices.DeleteFunc(a.debts, func(d debt) bool { return d.once && d.out(now).none() })
-	if now < c.quiet(a.limit) || len(a.debts) >= 4*len(c.rules.Roster)+onceMost ||
+	a.debts = slices.DeleteFunc(a.debts, func(d debt) bool { return d.once && d.lentAt(now).none() })
+	if now < c.homeUsableAt(a.limit) || len(a.debts) >= 4*len(c.rules.Roster)+maxPendingOnces ||
 		slices.ContainsFunc(a.debts, func(d debt) bool { return d.once && d.to == from && d.boot == m.Boot && d.seq >= m.Seq }) {
-		return // twice, or out of order: it is asked again
+		return // duplicated or out of order: the borrower retries
 	}
 	answer := Message{Kind: Loan, Limit: m.Limit, Key: m.Key, Boot: m.Boot, Seq: m.Seq, Once: true}
-	if cost := float64(m.Share[depth]) / Whole * a.limit.Burst; a.tokens >= cost-sliver && !a.own(now).less(Part{depth: m.Share[depth]}) {
-		a.debts = append(a.debts, debt{to: from, boot: m.Boot, seq: m.Seq, lo: Part{depth: m.Share[depth]}, loUntil: now + onceMs*(1+c.rules.Drift)/(1-c.rules.Drift),
-			hiUntil: never, wantAt: never, once: true})
+	if cost := float64(m.Share[burstIndex]) / Whole * a.limit.Burst; a.tokens >= cost-tokenTolerance && !a.remainingHome(now).less(Part{burstIndex: m.Share[burstIndex]}) {
+		a.debts = append(a.debts, debt{to: from, boot: m.Boot, seq: m.Seq, newShare: Part{burstIndex: m.Share[burstIndex]}, newUntil: now + onceTermMs*(1+c.rules.Drift)/(1-c.rules.Drift),
+			oldUntil: never, wantAt: never, once: true})
 		a.tokens -= cost
-		c.recount(a, now)
+		c.recomputeShare(a, now)
 		c.Counts.Spared++
-		answer.Share, answer.Tokens = Part{depth: m.Share[depth]}, cost
-		c.raise(a, now)
+		answer.Share, answer.Tokens = Part{burstIndex: m.Share[burstIndex]}, cost
+		c.raiseMark(a, now)
 	}
-	c.say(a, from, answer)
+	c.sendWhenStored(a, from, answer)
 }
 
-// spared takes an owner's answer.
-func (c *Core) spared(a *account, now float64, m Message) {
-	at := slices.IndexFunc(a.onces, func(o once) bool { return o.seq == m.Seq })
+// receiveOnce applies an owner's answer to an ask for one scan.
+func (c *Core) receiveOnce(a *account, now float64, m Message) {
+	at := slices.IndexFunc(a.pendingOnces, func(o pendingOnce) bool { return o.seq == m.Seq })
 	if at < 0 {
 		c.Counts.Late++
 		return
 	}
-	o := a.onces[at]
-	a.onces = slices.Delete(a.onces, at, at+1)
-	switch until := o.sent + onceMs; {
-	case m.Share.none() && o.tries < min(onceTries, len(a.loans)) && now < o.sent+waitMs:
+	o := a.pendingOnces[at]
+	a.pendingOnces = slices.Delete(a.pendingOnces, at, at+1)
+	switch until := o.sent + onceTermMs; {
+	case m.Share.none() && o.tries < min(maxOnceTries, len(a.loans)) && now < o.sent+onceWaitMs:
 		c.sendOnce(a, o, now)
 	case m.Share.none():
-		// As many a second as the limit has can be had by whoever asks; who has just been told that there is none asks no owner for as long as the next takes.
-		a.dryUntil = now + min(1000/a.limit.Size, a.limit.Term)
-	case now >= until-leewayMs:
+		// The fleet gets one token per 1/Size seconds. After a refusal, this member asks no owner until the next token can be there.
+		a.noOnceUntil = now + min(1000/a.limit.Size, a.limit.Term)
+	case now >= until-expiryMarginMs:
 		c.Counts.Late++
 	default:
-		a.singles = append(slices.DeleteFunc(a.singles, func(s single) bool { return now >= s.until }), single{m.Share.min(Part{depth: parts(o.cost / a.limit.Burst)}), until - leewayMs})
-		c.recount(a, now)
-		a.tokens = min(c.deep(a), a.tokens+min(m.Tokens, o.cost))
-		c.came = true
+		a.onceShares = append(slices.DeleteFunc(a.onceShares, func(s onceShare) bool { return now >= s.until }), onceShare{m.Share.min(Part{burstIndex: toParts(o.cost / a.limit.Burst)}), until - expiryMarginMs})
+		c.recomputeShare(a, now)
+		a.tokens = min(c.bucketSize(a), a.tokens+min(m.Tokens, o.cost))
+		c.tokensArrived = true
 	}
 }
 
-// Room is how much of a Rate limit could be taken at a moment. It counts as no demand.
+// Room returns how much of a Rate limit could be taken now. It does not count as demand.
 func (c *Core) Room(now float64, u Use) float64 {
-	c.begin(now)
+	c.advance(now)
 	l := c.limits[u.Limit]
-	if c.now >= l.expires {
+	if c.now >= l.expiresAt {
 		c.resize(l, c.now)
 	}
 	a := c.account(l, u.Key)
@@ -227,21 +228,21 @@
 		return 0
 	}
 	c.settle(a, c.now)
-	return math.Floor(a.tokens + sliver)
+	return math.Floor(a.tokens + tokenTolerance)
 }
 
 func (c *Core) fits(a *account, now, cost, lasts float64) bool {
 	if a.limit.Kind == Rate {
-		return a.tokens >= cost-sliver
+		return a.tokens >= cost-tokenTolerance
 	}
-	return a.used+cost <= float64(c.valid(a, now, now+lasts)[flow])/Whole*a.limit.Size+sliver
+	return a.used+cost <= float64(c.usableShare(a, now, now+lasts)[rateIndex])/Whole*a.limit.Size+tokenTolerance
 }
 
-// Done gives back what a scan took of Stock limits.
+// Done returns what a scan took of Stock limits.
 func (c *Core) Done(now float64, uses []Use) {
-	c.begin(now)
+	c.advance(now)
 	for i := range uses {
-		a := c.accounts[id{uses[i].Limit, uses[i].Key}]
+		a := c.accounts[accountID{uses[i].Limit, uses[i].Key}]
 		if a == nil || a.limit.Kind != Stock {
 			continue
 		}
@@ -251,33 +252,33 @@
 	}
 }
 
-// asked counts demand, whether it is taken or not.
-func (c *Core) asked(a *account, now, cost float64) {
+// countDemand counts demand, whether the scan is admitted or not.
+func (c *Core) countDemand(a *account, now, cost float64) {
 	c.decay(a, now)
-	a.fast += cost * 1000 / fastMs
-	a.slow += cost * 1000 / slowMs
-	a.seen = now
+	a.fastDemand += cost * 1000 / fastMs
+	a.slowDemand += cost * 1000 / slowMs
+	a.lastScanAt = now
 }
 
 func (c *Core) decay(a *account, now float64) {
-	if dt := now - a.asked; dt >= decayMs {
-		a.fast *= math.Exp(-dt / fastMs)
-		a.slow *= math.Exp(-dt / slowMs)
+	if dt := now - a.demandAt; dt >= decayMs {
+		a.fastDemand *= math.Exp(-dt / fastMs)
+		a.slowDemand *= math.Exp(-dt / slowMs)
 		a.peak = a.used + (a.peak-a.used)*math.Exp(-dt/slowMs)
-		a.asked = now
+		a.demandAt = now
 	}
 }
 
-// counted lets what was taken age.
-func (c *Core) counted(a *account, now float64) {
-	if dt := now - a.took; dt >= decayMs {
-		a.taken *= math.Exp(-dt / slowMs)
-		a.took = now
+// decayTaken decays the average of admitted scans.
+func (c *Core) decayTaken(a *account, now float64) {
+	if dt := now - a.takenAt; dt >= decayMs {
+		a.takenRate *= math.Exp(-dt / slowMs)
+		a.takenAt = now
 	}
 }
 
-// after is a time to come back: those who are turned away are given the fleet's next tokens one after the other.
-func (c *Core) after(a *account, now float64) float64 {
+// retryAfter returns a retry time: rejected scans are spread one after the other over the fleet's next tokens.
+func (c *Core) retryAfter(a *account, now float64) float64 {
 	if c.rules.After <= 0 {
 		return 0
 	}
@@ -285,32 +286,32 @@
 	if a.limit.Kind == Stock {
 		step = slowMs / 10 / max(a.limit.Size, 1)
 	}
-	a.back = min(max(a.back, now)+step, now+c.rules.After)
-	return min(c.rules.After, (a.back-now)*(1+backSpread*c.chance()))
+	a.lastRetryAt = min(max(a.lastRetryAt, now)+step, now+c.rules.After)
+	return min(c.rules.After, (a.lastRetryAt-now)*(1+retryJitter*c.random()))
 }
 
-// need is the share that this member's own demand needs.
-func (c *Core) need(a *account, now float64) Part {
+// neededShare returns the share that this member's own demand needs.
+func (c *Core) neededShare(a *account, now float64) Part {
 	c.decay(a, now)
 	if a.limit.Kind == Stock {
 		if a.peak < 1e-3 {
 			return Part{}
 		}
-		return Part{flow: parts(max(a.peak*headroom, min(a.peak+1, a.limit.Size)) / a.limit.Size)}
+		return Part{rateIndex: toParts(max(a.peak*headroom, min(a.peak+1, a.limit.Size)) / a.limit.Size)}
 	}
-	// What came over the longer time, within what the shorter one leaves likely: one scan in 200 ms says little, a hundred fewer say much.
-	likely := math.Sqrt(a.fast * 1000 / fastMs)
-	d := max(a.fast-1.5*likely, min(a.slow, a.fast+2*likely+2*1000/fastMs))
-	if a.slow*slowMs/1000 < 0.02 {
-		return Part{} // nobody asks any more
+	// The slow average, bounded by the range that the fast one makes likely: one scan in 200 ms says little, a change by a hundred says much.
+	likely := math.Sqrt(a.fastDemand * 1000 / fastMs)
+	d := max(a.fastDemand-1.5*likely, min(a.slowDemand, a.fastDemand+2*likely+2*1000/fastMs))
+	if a.slowDemand*slowMs/1000 < 0.02 {
+		return Part{} // no demand any more
 	}
 	room := headroom
-	if a.tokens < lowShare*c.deep(a) {
-		room = lowRoom
+	if a.tokens < lowTokens*c.bucketSize(a) {
+		room = lowTokensHeadroom
 	}
 	n := d * room * (1 + c.rules.Drift) / a.limit.Size
-	// Less than one whole token at once lets nothing in.
-	return Part{parts(n), parts(max(n, (1-sliver/10)/a.limit.Burst))}
+	// A bucket below one whole token admits no scan.
+	return Part{toParts(n), toParts(max(n, (1-tokenTolerance/10)/a.limit.Burst))}
 }
 
-func parts(share float64) int64 { return int64(math.Ceil(min(1, max(0, share)) * Whole)) }
+func toParts(share float64) int64 { return int64(math.Ceil(min(1, max(0, share)) * Whole)) }
