--- a/internal/verdicts/judge.go
+++ b/internal/verdicts/judge.go
@@ -8,55 +8,55 @@
 	"strings"
 )
 
-// Reasons why a store is held for well, as Why tells them.
+// Reasons for the verdict on a store, as given in Seen.Why.
 const (
-	whyNone    = "nobody holds anything against it"
-	whyFew     = "too few independent observers, or outcomes"
-	whyZone    = "observers of one zone only"
-	whyDenied  = "others see it well"
-	whyWide    = "too many holders of its shards would rest"
-	whyVerdict = "observers agree"
-	whyOrder   = "an operator's order"
-	whyGone    = "it is not on the list"
+	reasonNone     = "nobody holds anything against it"
+	reasonFew      = "too few independent observers, or outcomes"
+	reasonZone     = "observers of one zone only"
+	reasonDenied   = "others see it well"
+	reasonTooMany  = "too many holders of its shards would rest"
+	reasonAgreed   = "observers agree"
+	reasonOrder    = "an operator's order"
+	reasonUnlisted = "it is not on the list"
 )
 
-// evidence is what the fresh words on a store come to.
+// evidence summarizes the fresh reports on a store.
 type evidence struct {
-	kind   Kind
-	bad    int // credible observers that see it bad
-	well   int // credible observers that see it well, and have since
-	load   int // that see it slow or full
-	row    int // bad outcomes in a row, of all that see it bad
-	zones  map[string]bool
-	newest float64 // outcome of those who see it bad
-	wellAt float64
+	kind       Kind
+	bad        int // credible observers that see the store bad
+	well       int // credible observers that see it well
+	slowOrFull int // observers that see it slow or full
+	badInRow   int // bad outcomes in a row, summed over the observers that see it bad
+	zones      map[string]bool
+	newest     float64 // time of the newest outcome that is not Well
+	wellAt     float64
 }
 
-// weighed looks at a store's fresh words. An observer that condemns more of the stores than it may is not counted: its link, its host or its clock is what is ill.
-func (c *Core) weighed(store string, condemned map[string]int) (e evidence) {
+// collectEvidence summarizes the fresh reports on a store. An observer that reports too many stores as bad is ignored: its own link, host or clock is at fault.
+func (c *Core) collectEvidence(store string, badByObserver map[string]int) (e evidence) {
 	e.zones, e.newest, e.wellAt = map[string]bool{}, math.Inf(-1), math.Inf(-1)
 	born := c.stores[store].Born
 	kinds := [Silent + 1]int{}
-	for _, by := range slices.Sorted(maps.Keys(c.words[store])) {
-		h := c.words[store][by]
+	for _, by := range slices.Sorted(maps.Keys(c.reports[store])) {
+		h := c.reports[store][by]
 		switch {
-		case c.now-h.at > c.r.Fresh, h.Born < born: // old, or of an earlier process of that name
-		case h.Kind == Held: // no word on a store
-		case float64(condemned[by]) > max(1, condemning*float64(len(c.stores))):
+		case c.now-h.outcomeAt > c.rules.Fresh, h.Born < born: // too old, or about an earlier process of the store
+		case h.Kind == Held: // not a report on a store
+		case float64(badByObserver[by]) > max(1, maxBadShare*float64(len(c.stores))):
 			c.Counts.Doubted++
 		case h.Kind.bad():
 			e.bad++
-			e.row += h.Row
+			e.badInRow += h.Row
 			e.zones[h.Zone] = true
 			kinds[h.Kind]++
-			e.newest = max(e.newest, h.at)
+			e.newest = max(e.newest, h.outcomeAt)
 		case h.Kind == Well:
 			e.well++
-			e.wellAt = max(e.wellAt, h.at)
+			e.wellAt = max(e.wellAt, h.outcomeAt)
 		default:
-			e.load++
+			e.slowOrFull++
 			kinds[h.Kind]++
-			e.newest = max(e.newest, h.at)
+			e.newest = max(e.newest, h.outcomeAt)
 		}
 	}
 	for k := Silent; k > Well; k-- {
@@ -67,17 +67,17 @@
 	return e
 }
 
-// condemned counts for each observer how many stores its fresh words hold for bad.
-func (c *Core) condemned() map[string]int {
-	if c.guilty != nil {
-		return c.guilty
+// countBadByObserver counts for each observer the stores that its fresh reports call bad.
+func (c *Core) countBadByObserver() map[string]int {
+	if c.badCounts != nil {
+		return c.badCounts
 	}
 	n := map[string]int{}
-	c.guilty = n
-	for store, of := range c.words {
+	c.badCounts = n
+	for store, of := range c.reports {
 		born := c.stores[store].Born
 		for by, h := range of {
-			if c.now-h.at <= c.r.Fresh && h.Kind.bad() && h.Born >= born {
+			if c.now-h.outcomeAt <= c.rules.Fresh && h.Kind.bad() && h.Born >= born {
 				n[by]++
 			}
 		}
@@ -85,87 +85,87 @@
 	return n
 }
 
-// sides is how many zones observers are of, as far as they are known.
-func (c *Core) sides() int {
-	zones := map[string]bool{c.r.Zone: true}
+// zoneCount returns the number of known zones of the observers.
+func (c *Core) zoneCount() int {
+	zones := map[string]bool{c.rules.Zone: true}
 	for _, z := range c.zones {
 		zones[z] = true
 	}
 	return len(zones)
 }
 
-// sound says whether fresh words make a verdict on a store, and why.
-func (c *Core) sound(store string, condemned map[string]int) (Kind, float64, string) {
-	e := c.weighed(store, condemned)
+// evaluate derives the kind of a store from the fresh reports, with the time of the newest outcome and the reason.
+func (c *Core) evaluate(store string, badByObserver map[string]int) (Kind, float64, string) {
+	e := c.collectEvidence(store, badByObserver)
 	switch {
 	case e.kind == 0:
-		return Well, e.wellAt, whyNone
+		return Well, e.wellAt, reasonNone
 	case !e.kind.bad():
-		if e.load < c.r.Quorum {
-			return Well, e.wellAt, whyFew
-		} else if float64(e.well) > denying*float64(e.load) {
-			return Well, e.wellAt, whyDenied
+		if e.slowOrFull < c.rules.Quorum {
+			return Well, e.wellAt, reasonFew
+		} else if float64(e.well) > maxWellShare*float64(e.slowOrFull) {
+			return Well, e.wellAt, reasonDenied
 		}
-		return e.kind, e.newest, whyVerdict
-	case e.bad < c.r.Quorum || e.row < rowsNeeded:
+		return e.kind, e.newest, reasonAgreed
+	case e.bad < c.rules.Quorum || e.badInRow < badInRowNeeded:
 		c.Counts.Few++
-		return Well, e.wellAt, whyFew
-	case len(e.zones) < min(2, c.sides()):
+		return Well, e.wellAt, reasonFew
+	case len(e.zones) < min(2, c.zoneCount()):
 		c.Counts.Few++
-		return Well, e.wellAt, whyZone
-	case float64(e.well) > denying*float64(e.bad) || e.wellAt > e.newest && e.well > 0:
-		// Recovery is as quick as failure: one who has just seen it well is enough for the others to try it again.
+		return Well, e.wellAt, reasonZone
+	case float64(e.well) > maxWellShare*float64(e.bad) || e.wellAt > e.newest && e.well > 0:
+		// Recovery is as fast as failure detection: one observer that has just seen the store well is enough for the others to try it again.
 		c.Counts.Denied++
-		return Well, e.wellAt, whyDenied
+		return Well, e.wellAt, reasonDenied
 	}
-	return e.kind, e.newest, whyVerdict
+	return e.kind, e.newest, reasonAgreed
 }
 
-// decision is what words and orders come to for a store, before anything is said of it.
+// decision is the result of reports and orders for a store before it is applied.
 type decision struct {
 	Verdict
-	at  float64
-	why string
+	outcomeAt float64
+	reason    string
 }
 
-// decide comes to a verdict on a store.
+// decide derives the verdict on a store from reports and orders.
 func (c *Core) decide(store string) decision {
 	s, listed := c.stores[store]
-	d := decision{Verdict{Store: store, Kind: Well}, math.Inf(-1), whyGone}
+	d := decision{Verdict{Store: store, Kind: Well}, math.Inf(-1), reasonUnlisted}
 	if !listed {
 		return d
 	}
-	condemned := c.condemned()
-	d.Kind, d.at, d.why = c.sound(store, condemned)
-	if d.Kind.bad() && !c.roomToRest(s, condemned) {
+	badByObserver := c.countBadByObserver()
+	d.Kind, d.outcomeAt, d.reason = c.evaluate(store, badByObserver)
+	if d.Kind.bad() && !c.mayExclude(s, badByObserver) {
 		c.Counts.Wide++
-		d.Kind, d.why = Well, whyWide
+		d.Kind, d.reason = Well, reasonTooMany
 	}
-	if o, ordered := c.orders.of(store, c.now); ordered {
-		d.why = whyOrder
+	if o, ordered := c.orders.current(store, c.now); ordered {
+		d.reason = reasonOrder
 		switch o.Do {
 		case Drain:
 			d.Drain = true
 		case Rest:
-			d.Kind, d.at = Fails, c.now
+			d.Kind, d.outcomeAt = Fails, c.now
 		case Clear:
-			d.Kind, d.at = Well, c.now
+			d.Kind, d.outcomeAt = Well, c.now
 		}
 	}
 	return d
 }
 
-// judge comes to verdicts on all stores of which something has changed, and on those that hold the same shards, since one may take another's place among those that rest. Those
-// that are well again go first: at no moment do more rest than may.
-func (c *Core) judge() {
-	c.guilty = nil
+// updateVerdicts re-evaluates all changed stores, and those that hold the same shards, since one may replace another among the excluded ones. Recovered stores come first,
+// so that the bound on excluded stores holds at every moment.
+func (c *Core) updateVerdicts() {
+	c.badCounts = nil
 	sets := map[int]bool{}
 	for store := range c.dirty {
 		if s, listed := c.stores[store]; listed {
 			sets[s.Set] = true
 		}
 	}
-	for store := range c.states {
+	for store := range c.current {
 		if s, listed := c.stores[store]; listed && sets[s.Set] {
 			c.dirty[store] = true
 		}
@@ -175,46 +175,46 @@
 		if d := c.decide(store); d.Kind.bad() {
 			bad = append(bad, d)
 		} else {
-			c.goBy(d)
+			c.applyDecision(d)
 		}
 	}
 	clear(c.dirty)
 	for _, d := range bad {
-		c.goBy(d)
+		c.applyDecision(d)
 	}
 }
 
-// goBy goes by a decision from now on, and says so if it is another one, or if a bad one is to be told again.
-func (c *Core) goBy(d decision) {
-	was := c.states[d.Store]
+// applyDecision puts a decision into force, and outputs it if it has changed or is due for repetition.
+func (c *Core) applyDecision(d decision) {
+	was := c.current[d.Store]
 	if was == nil {
 		if d.Kind == Well && !d.Drain {
 			return
 		}
-		was = &state{Verdict: Verdict{Store: d.Store, Kind: Well}}
-		c.states[d.Store] = was
+		was = &currentVerdict{Verdict: Verdict{Store: d.Store, Kind: Well}}
+		c.current[d.Store] = was
 	}
-	was.why = d.why
+	was.reason = d.reason
 	changed := was.Kind != d.Kind || was.Drain != d.Drain
-	if changed || d.Kind > Well && c.now >= was.next {
+	if changed || d.Kind > Well && c.now >= was.repeatAt {
 		if changed && d.Kind > Well {
 			c.Counts.Used++
 		}
-		if d.Age = max(0, c.now-d.at); d.Kind == Well {
-			d.Age = 0 // what it rested on is over now
+		if d.Age = max(0, c.now-d.outcomeAt); d.Kind == Well {
+			d.Age = 0 // the evidence for the earlier verdict is obsolete
 		}
 		d.Was = was.Kind
-		was.Verdict, was.at, was.next = d.Verdict, d.at, c.now+Repeat
+		was.Verdict, was.outcomeAt, was.repeatAt = d.Verdict, d.outcomeAt, c.now+Repeat
 		c.out = append(c.out, d.Verdict)
 	}
 	if d.Kind == Well && !d.Drain {
-		delete(c.states, d.Store)
+		delete(c.current, d.Store)
 	}
 }
 
-// roomToRest says whether one more holder may rest by others' word: of the stores that hold the same shards at most the stated share, and never the last
-// one. Where more are held for bad, those with the most observers against them go first, then by name: all brokers choose the same ones.
-func (c *Core) roomToRest(s Store, condemned map[string]int) bool {
+// mayExclude reports whether a store may be excluded by reports: of the stores that hold the same shards at most the configured share, and never the last
+// one. If more are bad, those with the most observers against them come first, then by name, so that all brokers choose the same ones.
+func (c *Core) mayExclude(s Store, badByObserver map[string]int) bool {
 	holders := 0
 	type candidate struct {
 		name string
@@ -226,75 +226,75 @@
 			continue
 		}
 		holders++
-		if kind, _, _ := c.sound(name, condemned); kind.bad() {
-			all = append(all, candidate{name, c.weighed(name, condemned).bad})
+		if kind, _, _ := c.evaluate(name, badByObserver); kind.bad() {
+			all = append(all, candidate{name, c.collectEvidence(name, badByObserver).bad})
 		}
 	}
 	slices.SortFunc(all, func(a, b candidate) int { return cmp.Or(cmp.Compare(b.bad, a.bad), cmp.Compare(a.name, b.name)) })
-	most := min(int(c.r.Widest*float64(holders)+1e-9), holders-1)
+	most := min(int(c.rules.Widest*float64(holders)+1e-9), holders-1)
 	at := slices.IndexFunc(all, func(x candidate) bool { return x.name == s.Name })
 	return at >= 0 && at < most
 }
 
-// Seen is what is seen of a store that somebody holds something against, or that an operator has a word on.
+// Seen is the state of a store, for operators, that is not Well to some observer or has an operator's order.
 type Seen struct {
 	Store  string  `json:"store"`
-	Kind   string  `json:"kind"` // what this broker goes by
+	Kind   string  `json:"kind"` // kind in force at this broker
 	Why    string  `json:"why"`
-	Age    float64 `json:"age"` // ms since the newest outcome under it
+	Age    float64 `json:"age"` // ms since the newest outcome that supports it
 	Order  *Order  `json:"order,omitempty"`
-	Told   int     `json:"told"`   // members that are known to know the order
-	Not    int     `json:"not"`    // members of which that is unknown
-	Unseen int     `json:"unseen"` // observers whose words on it are too old to count
-	Words  []Word  `json:"words"`  // fresh ones, with their ages now
-	Wanted int     `json:"wanted"` // independent observers that a verdict needs
-	Zones  int     `json:"zones"`  // of so many zones
+	Told   int     `json:"told"`   // members known to have the order
+	Not    int     `json:"not"`    // members not known to have the order
+	Unseen int     `json:"unseen"` // observers whose reports on it are too old to count
+	Words  []Word  `json:"words"`  // fresh reports, with their current ages
+	Wanted int     `json:"wanted"` // independent observers needed for a verdict
+	Zones  int     `json:"zones"`  // zones of which these observers have to be
 }
 
-// Seen lists what is seen of all stores, by name.
+// Seen lists the state of all such stores, sorted by name.
 func (c *Core) Seen() (all []Seen) {
 	names := map[string]bool{}
-	for store := range c.words {
-		if !strings.HasPrefix(store, tenantMark) {
+	for store := range c.reports {
+		if !strings.HasPrefix(store, tenantPrefix) {
 			names[store] = true
 		}
 	}
-	for store := range c.states {
+	for store := range c.current {
 		names[store] = true
 	}
-	for _, o := range c.orders.told(c.now) {
+	for _, o := range c.orders.list(c.now) {
 		names[o.Store] = true
 	}
-	counts := c.Counts // looking is not judging
+	counts := c.Counts // reading the state does not change the counters
 	defer func() { c.Counts = counts }()
-	c.guilty = nil
-	condemned := c.condemned()
+	c.badCounts = nil
+	badByObserver := c.countBadByObserver()
 	for _, store := range slices.Sorted(maps.Keys(names)) {
-		s := Seen{Store: store, Kind: Well.String(), Wanted: c.r.Quorum, Zones: min(2, c.sides())}
-		_, at, why := c.sound(store, condemned)
+		s := Seen{Store: store, Kind: Well.String(), Wanted: c.rules.Quorum, Zones: min(2, c.zoneCount())}
+		_, at, why := c.evaluate(store, badByObserver)
 		s.Why = why
-		if st := c.states[store]; st != nil {
-			s.Kind, s.Why, at = st.Kind.String(), st.why, st.at
+		if st := c.current[store]; st != nil {
+			s.Kind, s.Why, at = st.Kind.String(), st.reason, st.outcomeAt
 		}
 		if !math.IsInf(at, 0) {
 			s.Age = max(0, c.now-at)
 		}
 		if _, listed := c.stores[store]; !listed {
-			s.Why = whyGone
+			s.Why = reasonUnlisted
 		}
-		if o, ordered := c.orders.of(store, c.now); ordered {
-			s.Order, s.Why = &o, whyOrder
+		if o, ordered := c.orders.current(store, c.now); ordered {
+			s.Order, s.Why = &o, reasonOrder
 			if o.Do == Drain {
 				s.Kind = "drained"
 			}
 			all := map[string]bool{}
-			for _, m := range c.living {
+			for _, m := range c.alive {
 				all[m.Name] = true
 			}
-			for _, name := range c.r.Roster { // one that is cut off is not seen to live, and goes on all the same
+			for _, name := range c.rules.Roster { // a partitioned member does not appear alive, but still runs
 				all[name] = true
 			}
-			delete(all, c.r.Self)
+			delete(all, c.rules.Self)
 			for name := range all {
 				if c.orders.known[name][store] >= o.Version {
 					s.Told++
@@ -303,9 +303,9 @@
 				}
 			}
 		}
-		for _, by := range slices.Sorted(maps.Keys(c.words[store])) {
-			if h := c.words[store][by]; c.now-h.at <= c.r.Fresh {
-				s.Words = append(s.Words, c.spoken([]*held{h})...)
+		for _, by := range slices.Sorted(maps.Keys(c.reports[store])) {
+			if h := c.reports[store][by]; c.now-h.outcomeAt <= c.rules.Fresh {
+				s.Words = append(s.Words, c.withAges([]*storedReport{h})...)
 			} else {
 				s.Unseen++
 			}
--- a/internal/verdicts/orders.go
+++ b/internal/verdicts/orders.go
@@ -6,117 +6,117 @@
 	"slices"
 )
 
-// Do is what an operator orders for a store.
+// Do is an operator's order for a store.
 type Do string
 
 // The orders.
 const (
-	Drain Do = "drain" // nothing new goes there
-	Rest  Do = "rest"  // as if observers agreed that it fails
-	Clear Do = "clear" // nothing that observers say counts
+	Drain Do = "drain" // the store gets no new work
+	Rest  Do = "rest"  // treated as if observers agreed that it fails
+	Clear Do = "clear" // reports of observers are ignored
 )
 
-// Order is an operator's word on a store. Of two the one of the higher version counts, then the one of the later name: all members decide alike, in whatever
-// order they hear of them.
+// Order is an operator's order for a store. Of two orders the one with the higher version wins, then the one with the greater name in By: all members decide
+// alike, in whatever sequence they receive them.
 type Order struct {
 	Store   string  `json:"store"`
 	Do      Do      `json:"do"`
-	By      string  `json:"by"` // the broker at which it was given
+	By      string  `json:"by"` // the broker that accepted it
 	Reason  string  `json:"reason"`
 	Version uint64  `json:"version"`
-	Left    float64 `json:"left"` // ms that it holds for
+	Left    float64 `json:"left"` // ms that it remains in force
 }
 
-func (a Order) newer(b Order) bool {
+func (a Order) newerThan(b Order) bool {
 	return a.Version > b.Version || a.Version == b.Version && a.By > b.By
 }
 
-// Set orders something for a store for a while; For 0 ends what is ordered.
+// Set is an operator's request for a temporary order; For 0 revokes the current order.
 type Set struct {
 	Store, Reason string
 	Do            Do
 	For           float64 // ms
 }
 
-// Known is an order that a member knows.
+// Known is the version of an order that a member knows.
 type Known struct {
 	Store   string
 	Version uint64
 }
 
 const (
-	orderMost  = 256                     // orders that are kept
-	orderFor   = 31 * 24 * 3600 * 1000.0 // ms; none holds for longer
-	reasonMost = 200                     // bytes
-	remindMs   = 100.0                   // who has not said that it knows an order is told again so often,
-	remindFor  = 3000.0                  // for so long; then the exchange of everything does it
-	graveFor   = 600000.0                // ms for which an order that is over is remembered, so that it does not come back
+	maxOrders        = 256                     // most orders kept
+	maxOrderMs       = 31 * 24 * 3600 * 1000.0 // ms; the longest duration of an order
+	maxReasonLength  = 200                     // bytes
+	remindIntervalMs = 100.0                   // interval at which an unacknowledged order is sent again,
+	remindFor        = 3000.0                  // for this long; afterwards the full exchange delivers it
+	tombstoneMs      = 600000.0                // ms for which an expired order is kept, so that an old message does not restore it
 )
 
-// Stored is an order as it lasts on a disk.
+// Stored is a durable record of an order.
 type Stored struct {
 	Order
-	Wall float64 // Unix ms at which Left was so much
+	Wall float64 // Unix ms as of which Left holds
 }
 
-// Restore takes up orders that lasted, at a moment of the wall clock. What it has run since counts, and a clock that was set back counts nothing: an order never has
-// more left than it had. It goes before the first Step; records of one store may come in any number, in their order.
+// Restore loads stored orders, given the wall clock. The time since they were stored is subtracted; if the clock was set back nothing is, so an order never has
+// more time left than when it was stored. Call it before the first Step. A store may have several records, oldest first.
 func (c *Core) Restore(records []Stored, now, wall float64) {
 	c.now = max(c.now, now)
 	for _, r := range records {
-		if r.Order.sane() {
+		if r.Order.valid() {
 			r.Left = max(0, r.Left-max(0, wall-r.Wall))
-			c.adopt(r.Order)
+			c.adoptOrder(r.Order)
 		}
 	}
-	c.lasting = nil
+	c.unstoredOrders = nil
 }
 
-// Lasting lists orders that have been taken up since it was asked last, as they are to last.
+// Lasting returns the orders to store since the last call.
 func (c *Core) Lasting(wall float64) (all []Stored) {
-	for _, store := range c.lasting {
+	for _, store := range c.unstoredOrders {
 		if x := c.orders.all[store]; x != nil {
 			o := x.Order
 			o.Left = max(0, x.until-c.now)
 			all = append(all, Stored{o, wall})
 		}
 	}
-	c.lasting = nil
+	c.unstoredOrders = nil
 	return all
 }
 
-// Orders lists all that are remembered, as they are to last in the place of what lasted so far.
+// Orders returns all orders kept, to replace the records stored so far.
 func (c *Core) Orders(wall float64) (all []Stored) {
-	for _, o := range c.orders.told(c.now) {
+	for _, o := range c.orders.list(c.now) {
 		all = append(all, Stored{o, wall})
 	}
 	return all
 }
 
-// sane says whether an order is possible.
-func (o Order) sane() bool {
-	return o.Store != "" && len(o.Store) <= nameMost && len(o.Reason) <= reasonMost && len(o.By) <= nameMost && slices.Contains([]Do{Drain, Rest, Clear}, o.Do) &&
-		o.Left >= 0 && o.Left <= orderFor
+// valid reports whether an order is well-formed.
+func (o Order) valid() bool {
+	return o.Store != "" && len(o.Store) <= maxNameLength && len(o.Reason) <= maxReasonLength && len(o.By) <= maxNameLength && slices.Contains([]Do{Drain, Rest, Clear}, o.Do) &&
+		o.Left >= 0 && o.Left <= maxOrderMs
 }
 
-type ordered struct {
+type orderState struct {
 	Order
-	until  float64 // it ends then
-	remind float64 // up to when members are reminded
-	next   float64
+	until        float64 // when it expires
+	remindUntil  float64 // until when it is sent again to members that have not acknowledged it
+	nextReminder float64
 }
 
-type orders struct {
-	all   map[string]*ordered
-	known map[string]map[string]uint64 // by member and store: the version that it knows
+type orderTable struct {
+	all   map[string]*orderState
+	known map[string]map[string]uint64 // by member and store: the version that the member knows
 }
 
-func newOrders() orders {
-	return orders{all: map[string]*ordered{}, known: map[string]map[string]uint64{}}
+func newOrders() orderTable {
+	return orderTable{all: map[string]*orderState{}, known: map[string]map[string]uint64{}}
 }
 
-// of is the order that holds for a store.
-func (o *orders) of(store string, now float64) (Order, bool) {
+// current returns the order in force for a store.
+func (o *orderTable) current(store string, now float64) (Order, bool) {
 	x := o.all[store]
 	if x == nil || now >= x.until {
 		return Order{}, false
@@ -126,18 +126,18 @@
 	return v, true
 }
 
-func (o *orders) due(now float64) float64 {
+func (o *orderTable) nextDue(now float64) float64 {
 	at := math.Inf(1)
 	for _, x := range o.all {
-		if at = min(at, x.next); now < x.until {
+		if at = min(at, x.nextReminder); now < x.until {
 			at = min(at, x.until)
 		}
 	}
 	return at
 }
 
-// told lists all orders that are remembered; Left is 0 for one that is over.
-func (o *orders) told(now float64) (all []Order) {
+// list returns all orders kept; Left is 0 for an expired one.
+func (o *orderTable) list(now float64) (all []Order) {
 	for _, store := range slices.Sorted(maps.Keys(o.all)) {
 		x := o.all[store].Order
 		x.Left = max(0, o.all[store].until-now)
@@ -146,53 +146,53 @@
 	return all
 }
 
-// knows lists the versions that this member knows.
-func (o *orders) knows(float64) (all []Known) {
+// versions lists the versions of all orders that this member knows.
+func (o *orderTable) versions(float64) (all []Known) {
 	for _, store := range slices.Sorted(maps.Keys(o.all)) {
 		all = append(all, Known{store, o.all[store].Version})
 	}
 	return all
 }
 
-// set is an operator's word at this member. Its version is above any that is known here, and grows with the clock: a member that has forgotten gives none that others
-// would take for old.
-func (c *Core) set(v Set) {
-	o := Order{Store: v.Store, Do: v.Do, By: c.r.Self, Reason: v.Reason[:min(len(v.Reason), reasonMost)], Left: min(max(0, v.For), orderFor),
+// setOrder applies an operator's request at this member. Its version is above any known here and not below the clock, so that others do not take the order of a
+// member that has lost its state for an old one.
+func (c *Core) setOrder(v Set) {
+	o := Order{Store: v.Store, Do: v.Do, By: c.rules.Self, Reason: v.Reason[:min(len(v.Reason), maxReasonLength)], Left: min(max(0, v.For), maxOrderMs),
 		Version: uint64(max(0, c.now))}
 	if x := c.orders.all[v.Store]; x != nil {
 		o.Version = max(o.Version, x.Version+1)
 	}
-	c.adopt(o)
+	c.adoptOrder(o)
 }
 
-// adopt takes an order up if it is newer than the one that is known.
-func (c *Core) adopt(o Order) bool {
+// adoptOrder takes an order over if it is newer than the known one.
+func (c *Core) adoptOrder(o Order) bool {
 	x := c.orders.all[o.Store]
-	if x != nil && !o.newer(x.Order) || x == nil && len(c.orders.all) >= orderMost {
+	if x != nil && !o.newerThan(x.Order) || x == nil && len(c.orders.all) >= maxOrders {
 		return false
 	}
-	c.orders.all[o.Store] = &ordered{Order: o, until: c.now + o.Left, remind: c.now + remindFor, next: c.now}
+	c.orders.all[o.Store] = &orderState{Order: o, until: c.now + o.Left, remindUntil: c.now + remindFor, nextReminder: c.now}
 	c.dirty[o.Store] = true
-	c.lasting = append(c.lasting, o.Store)
+	c.unstoredOrders = append(c.unstoredOrders, o.Store)
 	c.Counts.Orders++
 	return true
 }
 
-// anew: a member's process is another one than before. It has forgotten every order, and is told of them.
-func (c *Core) anew(from string, run uint64) {
+// handleNewProcess notes that a member has restarted. The new process has no orders, so they are sent to it again.
+func (c *Core) handleNewProcess(from string, run uint64) {
 	c.runs[from] = run
 	delete(c.orders.known, from)
 	for _, x := range c.orders.all {
 		if c.now < x.until {
-			x.remind, x.next = c.now+remindFor, c.now
+			x.remindUntil, x.nextReminder = c.now+remindFor, c.now
 		}
 	}
 }
 
-// hear takes what a member tells of orders and of those it knows.
-func (c *Core) hear(from string, all []Order, known []Known) {
+// handleOrders applies a member's orders and the versions that it knows.
+func (c *Core) handleOrders(from string, all []Order, known []Known) {
 	note := func(store string, version uint64) {
-		if len(store) > nameMost || c.orders.all[store] == nil {
+		if len(store) > maxNameLength || c.orders.all[store] == nil {
 			return
 		}
 		if c.orders.known[from] == nil {
@@ -202,11 +202,11 @@
 	}
 	var mine []Known
 	for _, o := range all {
-		if !o.sane() {
+		if !o.valid() {
 			c.Counts.Odd++
 			continue
 		}
-		c.adopt(o)
+		c.adoptOrder(o)
 		note(o.Store, o.Version)
 		if x := c.orders.all[o.Store]; x != nil {
 			mine = append(mine, Known{o.Store, x.Version})
@@ -216,16 +216,16 @@
 		note(k.Store, k.Version)
 	}
 	if len(mine) > 0 && len(known) == 0 {
-		c.send(from, Message{Known: mine}) // whoever reminds wants to hear that
+		c.send(from, Message{Known: mine}) // acknowledges the orders to their sender
 	}
 }
 
-// remind tells members of orders that they are not known to know.
-func (c *Core) remind() {
-	for _, m := range c.living {
+// sendReminders sends orders to members that have not acknowledged them.
+func (c *Core) sendReminders() {
+	for _, m := range c.alive {
 		var some []Order
 		for _, store := range slices.Sorted(maps.Keys(c.orders.all)) {
-			if x := c.orders.all[store]; c.now < x.remind && c.orders.known[m.Name][store] < x.Version && len(some) < wordMost {
+			if x := c.orders.all[store]; c.now < x.remindUntil && c.orders.known[m.Name][store] < x.Version && len(some) < maxReportsPerMessage {
 				o := x.Order
 				o.Left = max(0, x.until-c.now)
 				some = append(some, o)
@@ -237,30 +237,30 @@
 	}
 }
 
-// expire ends what has run out, reminds where it is time, and forgets.
-func (c *Core) expire() {
+// expireOrders ends expired orders, sends due reminders and removes old orders.
+func (c *Core) expireOrders() {
 	due := false
 	for store, x := range c.orders.all {
 		switch {
-		case c.now >= x.until+graveFor:
+		case c.now >= x.until+tombstoneMs:
 			delete(c.orders.all, store)
 			for _, known := range c.orders.known {
 				delete(known, store)
 			}
-		case c.now >= x.until && x.until > 0 && c.states[store] != nil:
+		case c.now >= x.until && x.until > 0 && c.current[store] != nil:
 			c.dirty[store] = true
 		}
-		if c.now >= x.next {
+		if c.now >= x.nextReminder {
 			due = true
-			if x.next = c.now + remindMs; c.now >= x.remind {
-				x.next = c.now + remindFor
+			if x.nextReminder = c.now + remindIntervalMs; c.now >= x.remindUntil {
+				x.nextReminder = c.now + remindFor
 			}
 		}
 	}
 	maps.DeleteFunc(c.orders.known, func(name string, _ map[string]uint64) bool {
-		return !slices.ContainsFunc(c.living, func(m Member) bool { return m.Name == name })
+		return !slices.ContainsFunc(c.alive, func(m Member) bool { return m.Name == name })
 	})
 	if due {
-		c.remind()
+		c.sendReminders()
 	}
 }
--- a/internal/verdicts/tenants.go
+++ b/internal/verdicts/tenants.go
@@ -7,86 +7,86 @@
 	"strings"
 )
 
-// Words on tenants say whom brokers hold back, and why. They weigh on no choice: each broker's limits are its own to keep, and those of the fleet are shared
-// by themselves. They are there so that an operator at any broker sees who is turned away anywhere.
+// Reports on tenants state which tenants brokers throttle, and why. They affect no decision: each broker enforces its own limits, and fleet-wide limits are
+// divided separately. They let an operator see at any broker which tenants are throttled anywhere.
 
-// HeldBack is a scan of a tenant that this broker turned away by a limit.
+// HeldBack is a scan of a tenant that this broker rejected by a limit.
 type HeldBack struct{ Tenant, Why string }
 
-// Tenant is what is seen of one that is held back.
+// Tenant is the state of a throttled tenant, for operators.
 type Tenant struct {
 	Tenant    string   `json:"tenant"`
-	Observers []string `json:"observers"` // brokers that have held it back lately
-	Why       []string `json:"why"`       // the limits that they name
-	Scans     int      `json:"scans"`     // that all of them turned away in their last second
-	Age       float64  `json:"age"`       // ms since the newest
+	Observers []string `json:"observers"` // brokers with a fresh report that they throttle it
+	Why       []string `json:"why"`       // limits that they name
+	Scans     int      `json:"scans"`     // scans that they rejected, as of their newest reports
+	Age       float64  `json:"age"`       // ms since the newest report
 }
 
 const (
-	tenantMark  = "tenant/" // begins the names of tenants among those of stores, which hold no slash
-	tenantsMost = 1000      // that one broker has words on
-	tenantEvery = 1000.0    // ms between two words on one
-	whyMost     = 60        // bytes
-	timesMost   = 1_000_000
+	tenantPrefix           = "tenant/" // prefix of tenants' names in reports; names of stores contain no slash
+	maxTenants             = 1000      // most tenants that one broker reports on
+	tenantReportIntervalMs = 1000.0    // least ms between two reports on one tenant
+	maxLimitNameLength     = 60        // bytes
+	maxThrottledCount      = 1_000_000
 )
 
-// tenant is what this broker has not told yet.
-type tenant struct {
-	seq   uint64
-	told  float64
-	times int
-	why   string
+// tenantState holds what this broker has not reported yet of a tenant.
+type tenantState struct {
+	seq        uint64
+	reportedAt float64
+	times      int
+	limit      string
 }
 
-// heldBack counts a scan that was turned away, and says so once in a while.
-func (c *Core) heldBack(v HeldBack) {
-	name := tenantMark + v.Tenant
-	if v.Tenant == "" || len(name) > nameMost {
+// recordThrottled counts a rejected scan and reports the tenant at most once per interval.
+func (c *Core) recordThrottled(v HeldBack) {
+	name := tenantPrefix + v.Tenant
+	if v.Tenant == "" || len(name) > maxNameLength {
 		return
 	}
 	x := c.tenants[name]
 	if x == nil {
-		if len(c.tenants) >= tenantsMost {
+		if len(c.tenants) >= maxTenants {
 			c.Counts.Dropped++
 			return
 		}
-		x = &tenant{seq: uint64(max(0, c.now)), told: c.now - tenantEvery}
+		x = &tenantState{seq: uint64(max(0, c.now)), reportedAt: c.now - tenantReportIntervalMs}
 		c.tenants[name] = x
 	}
-	x.times, x.why = min(x.times+1, timesMost), v.Why[:min(len(v.Why), whyMost)]
-	if c.now < x.told+tenantEvery {
+	x.times, x.limit = min(x.times+1, maxThrottledCount), v.Why[:min(len(v.Why), maxLimitNameLength)]
+	if c.now < x.reportedAt+tenantReportIntervalMs {
 		return
 	}
 	x.seq++
 	c.Counts.Said++
-	c.keep(Word{Store: name, Observer: c.r.Self, Zone: c.r.Zone, Run: c.r.Run, Seq: x.seq, Kind: Held, Times: x.times, Why: x.why}, c.now)
-	x.told, x.times = c.now, 0
+	c.storeReport(Word{Store: name, Observer: c.rules.Self, Zone: c.rules.Zone, Run: c.rules.Run, Seq: x.seq, Kind: Held, Times: x.times, Why: x.limit}, c.now)
+	x.reportedAt, x.times = c.now, 0
 }
 
-// sane says whether a word is possible. One on a tenant counts no outcomes, one on a store no scans.
-func (w Word) sane() bool {
-	if w.Store == "" || w.Observer == "" || len(w.Store) > nameMost || len(w.Observer) > nameMost || !(w.Age >= 0) || w.Good < 0 || w.Bad < 0 || len(w.Why) > whyMost {
+// valid reports whether a report is well-formed. One on a tenant counts no outcomes, one on a store no scans.
+func (w Word) valid() bool {
+	if w.Store == "" || w.Observer == "" || len(w.Store) > maxNameLength || len(w.Observer) > maxNameLength || !(w.Age >= 0) || w.Good < 0 || w.Bad < 0 || len(w.Why) > maxLimitNameLength {
 		return false
 	}
-	if strings.HasPrefix(w.Store, tenantMark) {
-		return w.Kind == Held && w.Good+w.Bad == 0 && w.Times > 0 && w.Times <= timesMost
+	if strings.HasPrefix(w.Store, tenantPrefix) {
+		return w.Kind == Held && w.Good+w.Bad == 0 && w.Times > 0 && w.Times <= maxThrottledCount
 	}
-	return w.Kind >= Well && w.Kind <= Silent && w.Good+w.Bad <= outcomes && w.Row >= 0 && w.Row <= w.Bad && w.Times == 0
+	return w.Kind >= Well && w.Kind <= Silent && w.Good+w.Bad <= maxOutcomes && w.Row >= 0 && w.Row <= w.Bad && w.Times == 0
 }
 
-// Tenants lists who is held back by somebody, as far as that is fresh; who is held back most comes first.
+// Tenants lists the tenants with fresh reports, the most throttled first.
 func (c *Core) Tenants() (all []Tenant) {
-	for _, name := range slices.Sorted(maps.Keys(c.words)) {
-		if !strings.HasPrefix(name, tenantMark) {
+	for _, name := range slices.Sorted(maps.Keys(c.reports)) {
+		if !strings.HasPrefix(name, tenantPrefix) {
 			continue
 		}
-		t := Tenant{Tenant: strings.TrimPrefix(name, tenantMark), Age: c.r.Fresh}
-		for _, by := range slices.Sorted(maps.Keys(c.words[name])) {
-			h := c.words[name][by]
-			if c.now-h.at > c.r.Fresh {
+		t := Tenant{Tenant: strings.TrimPrefix(name, tenantPrefix), Age: c.rules.Fresh}
+		for _, by := range slices.Sorted(maps.Keys(c.reports[name])) {
+			h := c.reports[name][by]
+			if c.now-h.outcomeAt > c.rules.Fresh {
 				continue
 			}
-			t.Observers, t.Scans, t.Age = append(t.Observers, by), t.Scans+h.Times, min(t.Age, c.now-h.at)
+			t.Observers, t.Scans, t.Age = append(t.Observers, by), t.Scans+h.Times, min(t.Age, c.now-h.outcomeAt)
 			if !slices.Contains(t.Why, h.Why) {
 				t.Why = append(t.Why, h.Why)
 			}
@@ -99,7 +99,7 @@
 	return all
 }
 
-// forgetTenants lets go of those who are not held back any more. Their numbers go on from the clock, so that a later word is later.
-func (c *Core) forgetTenants() {
-	maps.DeleteFunc(c.tenants, func(_ string, x *tenant) bool { return c.now > x.told+keepFor*c.r.Fresh })
+// removeOldTenants removes tenants that are no longer throttled. New sequence numbers start from the clock, so that later reports have higher numbers.
+func (c *Core) removeOldTenants() {
+	maps.DeleteFunc(c.tenants, func(_ string, x *tenantState) bool { return c.now > x.reportedAt+retention*c.rules.Fresh })
 }
--- a/internal/verdicts/verdicts.go
+++ b/internal/verdicts/verdicts.go
@@ -1,8 +1,9 @@
-// Package verdicts decides what the brokers together hold of each store: what one learns all know, with its evidence and its age, and never older or wider
-// than stated. It has no I/O, no clock and no goroutine: outcomes, members' words and the time go in, verdicts and messages come out.
+// Package verdicts is the brokers' shared failure detector for stores. Each broker reports its observations with their evidence and age, and all derive the
+// same verdict from the same reports, within stated bounds on age and on how many stores are excluded. It does no I/O, reads no clock and starts no
+// goroutine: outcomes, other members' reports and the time go in, verdicts and messages come out.
 //
-// Each broker tells what it has seen itself, as its observer's word; nobody tells conclusions on. So words merge alike in any order (the newest of each
-// observer counts), every broker draws the same conclusion from the same words, and one that is wrong is one voice. docs/verdicts.md has the sources.
+// A broker reports only what it has observed itself; conclusions are never passed on. So reports merge the same way in any order (the newest of each
+// observer counts), and a broker that is wrong is one observer among many. docs/verdicts.md lists the sources.
 package verdicts
 
 import (
@@ -12,17 +13,17 @@
 	"slices"
 )
 
-// Kind is what a store does, as it is seen.
+// Kind is the observed condition of a store.
 type Kind uint8
 
-// The kinds. Full and Slow hold against its load, Fails and Silent against its use.
+// Full and Slow mean that a store should get less load, Fails and Silent that it should not be used.
 const (
 	Well Kind = iota + 1
 	Full
 	Slow
 	Fails
 	Silent
-	Held // of a tenant alone: it is held back
+	Held // only for tenants: the tenant is throttled
 )
 
 func (k Kind) String() string {
@@ -32,53 +33,53 @@
 	return "unknown"
 }
 
-// bad says that others should keep away.
+// bad reports whether other brokers should not use the store.
 func (k Kind) bad() bool { return k == Fails || k == Silent }
 
-// Word is what one observer says of one store: what it has seen of it in the last Window.
+// Word is one observer's report on one store, or on a tenant: its outcomes within the last Window.
 type Word struct {
 	Store    string  `json:"store"`
 	Observer string  `json:"observer"`
-	Zone     string  `json:"zone"` // the observer's
-	Run      uint64  `json:"run"`  // the observer's process: later ones have higher numbers
-	Seq      uint64  `json:"seq"`  // of its words
-	Kind     Kind    `json:"kind"` // of the newest outcome
-	Good     int     `json:"good"` // outcomes
+	Zone     string  `json:"zone"` // the observer's zone
+	Run      uint64  `json:"run"`  // number of the observer's process; it grows with each restart
+	Seq      uint64  `json:"seq"`  // sequence number of the observer's reports
+	Kind     Kind    `json:"kind"` // kind of the newest outcome
+	Good     int     `json:"good"` // number of good outcomes
 	Bad      int     `json:"bad"`
-	Row      int     `json:"row"`             // of the bad ones so many in a row, the newest
-	Born     float64 `json:"born"`            // of the store's process, as listed to the observer, in Unix ms; 0: not stated
+	Row      int     `json:"row"`             // number of newest outcomes in a row that are bad
+	Born     float64 `json:"born"`            // start of the store's process as listed to the observer, in Unix ms; 0: unknown
 	Age      float64 `json:"age"`             // ms since the newest outcome
-	Times    int     `json:"times,omitempty"` // scans of a tenant that were turned away since the word before
-	Why      string  `json:"why,omitempty"`   // by what limit
+	Times    int     `json:"times,omitempty"` // scans of a tenant rejected since the previous report
+	Why      string  `json:"why,omitempty"`   // limit that rejected them
 }
 
-// later says that a is a newer word than b of the same observer and store.
-func (a Word) later(b Word) bool { return a.Run > b.Run || a.Run == b.Run && a.Seq > b.Seq }
+// newerThan reports whether a is newer than b, both of the same observer and store.
+func (a Word) newerThan(b Word) bool { return a.Run > b.Run || a.Run == b.Run && a.Seq > b.Seq }
 
-// Rules are the same at all members but for Self, Zone and Run.
+// Rules configures a member. All members have the same rules except for Self, Zone and Run.
 type Rules struct {
 	Self, Zone string
 	Run        uint64
-	Roster     []string // all configured members; none: those that live are all
-	Fresh      float64  // A, ms: a word that is older weighs on nothing
-	Quorum     int      // independent observers that a verdict needs
-	Widest     float64  // W: at most this share of the holders of any shard rest by others' word, and never the last one
-	Most       int      // words that are kept
+	Roster     []string // all configured members; empty: the members that are alive
+	Fresh      float64  // A, ms: older reports are ignored
+	Quorum     int      // independent observers needed for a verdict
+	Widest     float64  // W: most of the holders of any shard that may be excluded by reports, as a share; never the last one
+	Most       int      // most reports kept
 }
 
-// Standard are the rules where nothing else is set.
+// Standard returns the default rules.
 func Standard() Rules { return Rules{Fresh: 10000, Quorum: 2, Widest: 1.0 / 3, Most: 20000} }
 
 // Input is a Saw, HeldBack, Stores, View, Received or Set.
 type Input any
 
-// Saw is an outcome at this broker.
+// Saw is an outcome observed by this broker.
 type Saw struct {
 	Store string
 	Kind  Kind
 }
 
-// Store is one that is on the list.
+// Store is an entry of the list of stores.
 type Store struct {
 	Name  string
 	Set   int // stores of one set hold the same shards
@@ -86,26 +87,26 @@
 	Ready bool
 }
 
-// Stores is the whole list.
+// Stores is the full list of stores.
 type Stores struct{ All []Store }
 
-// Member is one that lives.
+// Member is another member that is alive.
 type Member struct{ Name, Zone string }
 
-// View names the members that live, this one not among them.
+// View lists the members that are alive, without this one.
 type View struct{ Living []Member }
 
-// Message goes from one member to another.
+// Message is sent from one member to another.
 type Message struct {
-	Zone   string // the sender's
-	Run    uint64 // of its process
+	Zone   string // the sender's zone
+	Run    uint64 // number of the sender's process
 	Words  []Word
 	Orders []Order
-	Known  []Known // orders in force that the sender knows
-	Whole  bool    // answer with all you know
+	Known  []Known // versions of the orders that the sender knows
+	Whole  bool    // request for the receiver's full state
 }
 
-// Received is a message that came in.
+// Received is a message received from a member.
 type Received struct {
 	From    string
 	Message Message
@@ -114,245 +115,245 @@
 // Output is a Send or a Verdict.
 type Output any
 
-// Send is a message for a member.
+// Send is a message to send to a member.
 type Send struct {
 	To      string
 	Message Message
 }
 
-// Verdict is what this broker goes by from now on for a store, until another one; while one is bad it comes again each Repeat.
+// Verdict is the condition that this broker assumes for a store until the next one. A verdict other than Well is repeated each Repeat.
 type Verdict struct {
 	Store string
-	Kind  Kind    // Well: nothing is held against it any more
-	Age   float64 // ms since the newest outcome that it rests on
-	Drain bool    // an operator has it drained: nothing new may go there
-	Was   Kind    // the verdict before
+	Kind  Kind    // Well: the store is considered healthy again
+	Age   float64 // ms since the newest outcome that supports it
+	Drain bool    // an operator drains the store: it gets no new work
+	Was   Kind    // the previous kind
 }
 
-// Counts are kept for the operators.
+// Counts are counters for operators.
 type Counts struct {
-	Said    int `json:"said"`    // words of this broker
-	Heard   int `json:"heard"`   // others' words that were news
-	Old     int `json:"old"`     // that were not, or came too old
-	Odd     int `json:"odd"`     // that are impossible
-	Dropped int `json:"dropped"` // for which there was no room
-	Used    int `json:"used"`    // verdicts that this broker came to
-	Few     int `json:"few"`     // times that observers were too few, or of one zone only
-	Denied  int `json:"denied"`  // times that others saw the store well
-	Wide    int `json:"wide"`    // times that too many holders would have rested
-	Doubted int `json:"doubted"` // times that an observer was not counted since it condemns too many
+	Said    int `json:"said"`    // reports of this broker
+	Heard   int `json:"heard"`   // new reports of others
+	Old     int `json:"old"`     // reports of others that were not new or too old
+	Odd     int `json:"odd"`     // invalid reports and orders
+	Dropped int `json:"dropped"` // reports dropped for lack of capacity
+	Used    int `json:"used"`    // verdicts other than Well that this broker reached
+	Few     int `json:"few"`     // evaluations with too few observers, or of one zone only
+	Denied  int `json:"denied"`  // evaluations overruled by observers that saw the store well
+	Wide    int `json:"wide"`    // evaluations that would have excluded too many holders
+	Doubted int `json:"doubted"` // reports ignored because the observer reports too many stores as bad
 	Orders  int `json:"orders"`
 }
 
 const (
-	// Window is how far back an observer's word looks, in ms.
+	// Window is the period that an observer's report covers, in ms.
 	Window = 8000.0
-	// Repeat is how often a bad verdict is told on while it holds, in ms: the module's rest is as long.
-	Repeat     = 900.0
-	outcomes   = 8       // of a store that are kept
-	tickMs     = 100.0   // words that wait are told on each so often
-	wholeMs    = 4000.0  // everything is exchanged with one member each so long
-	fanout     = 3       // members that get waiting words
-	retell     = 3       // times the decimal logarithm of the members: how often a word is told
-	againMs    = 1000.0  // a word that only says the same once more is told so often
-	condemning = 1.0 / 3 // of the stores: who holds more of them for bad than this is not counted
-	slowRow    = 2       // an observer's outcomes in a row have to be slow before it says so: single ones are late by chance all the time
-	rowsNeeded = 3       // bad outcomes in a row, of all observers together, that a verdict needs
-	denying    = 1.0 / 3 // as many who see it well, against those who see it bad, keep a verdict from standing
-	stallMs    = 100.0   // a member whose turn comes later than this has stood still,
-	backlogMs  = 1000.0  // and takes so long at most to read what waited
-	wordMost   = 8       // words in one message
-	keepFor    = 3.0     // times Fresh that a word is remembered, so that older ones are known for what they are
+	// Repeat is the interval at which a verdict other than Well is repeated, in ms: the module's exclusion of a store lasts as long.
+	Repeat               = 900.0
+	maxOutcomes          = 8       // outcomes kept for each store
+	sendIntervalMs       = 100.0   // interval at which pending reports are sent
+	exchangeIntervalMs   = 4000.0  // interval of the full exchange with one member
+	fanout               = 3       // members that get the pending reports
+	sendsPerLog          = 3       // how often a report is sent, times the decimal logarithm of the number of members
+	repeatReportMs       = 1000.0  // least time between two reports without a change
+	maxBadShare          = 1.0 / 3 // share of the stores; an observer that reports more of them as bad is ignored
+	slowInRow            = 2       // slow outcomes in a row that an observer needs to report Slow: single slow ones occur by chance all the time
+	badInRowNeeded       = 3       // bad outcomes in a row, summed over all observers, needed for a verdict
+	maxWellShare         = 1.0 / 3 // ratio of observers that see the store well to those that see it bad, above which there is no verdict
+	pauseThresholdMs     = 100.0   // a member whose step is later than this was paused,
+	pauseEffectMs        = 1000.0  // and needs at most so long to read its queued input
+	maxReportsPerMessage = 8       // reports in one message
+	retention            = 3.0     // multiple of Fresh for which a report is kept, so that older ones are recognized as old
 )
 
-// own is what this broker has seen of a store.
-type own struct {
-	at   [outcomes]float64
-	kind [outcomes]Kind
-	n    int // so many of them, the newest first
-	seq  uint64
-	told float64
-	last Word // as it was told
+// localOutcomes holds the outcomes that this broker has observed of a store.
+type localOutcomes struct {
+	times      [maxOutcomes]float64
+	kinds      [maxOutcomes]Kind
+	count      int // number of outcomes, newest first
+	seq        uint64
+	reportedAt float64
+	lastReport Word // the last report sent
 }
 
-// held is a word with the moment of its newest outcome, by this member's clock.
-type held struct {
+// storedReport is a report with the time of its newest outcome by this member's clock.
+type storedReport struct {
 	Word
-	at   float64
-	left int // times that it is still told on
+	outcomeAt float64
+	sendsLeft int // remaining times to send it
 }
 
-// state is what this broker goes by for a store.
-type state struct {
+// currentVerdict is the verdict in force for a store.
+type currentVerdict struct {
 	Verdict
-	at   float64 // of the newest outcome under it
-	next float64 // when it is told again
-	why  string
+	outcomeAt float64 // time of the newest outcome that supports it
+	repeatAt  float64 // when it is repeated
+	reason    string
 }
 
-// Core is one member's part. Only one goroutine may call it.
+// Core is the state machine of one member. It is not safe for concurrent use.
 type Core struct {
 	Counts Counts
 
-	r       Rules
-	chance  func() float64
-	now     float64
-	begun   bool
-	stores  map[string]Store
-	seen    map[string]*own
-	words   map[string]map[string]*held // by store, or tenant, and observer
-	tenants map[string]*tenant
-	n       int
-	living  []Member
-	zones   map[string]string
-	runs    map[string]uint64 // of the members' processes, as last heard
-	states  map[string]*state
-	dirty   map[string]bool // stores to be judged anew
-	guilty  map[string]int  // how many stores each observer condemns; nil: to be counted anew
-	orders  orders
-	lasting []string // stores of which an order has been taken up and is to last
-	tickAt  float64
-	wholeAt float64
-	lookAt  float64
-	out     []Output
-	stood   float64 // for so long this member stood still lately,
-	stoodAt float64 // up to when what comes in may have waited for it
-}
-
-// New makes a member that knows nothing. Chance gives numbers from 0 to 1.
-func New(r Rules, chance func() float64) *Core {
+	rules            Rules
+	random           func() float64
+	now              float64
+	started          bool
+	stores           map[string]Store
+	local            map[string]*localOutcomes
+	reports          map[string]map[string]*storedReport // by store or tenant, then by observer
+	tenants          map[string]*tenantState
+	reportCount      int
+	alive            []Member
+	zones            map[string]string
+	runs             map[string]uint64 // process number of each member, as last received
+	current          map[string]*currentVerdict
+	dirty            map[string]bool // stores to re-evaluate
+	badCounts        map[string]int  // number of stores that each observer reports as bad; nil: to be recomputed
+	orders           orderTable
+	unstoredOrders   []string // stores with an order that is not stored yet
+	nextSend         float64
+	nextExchange     float64
+	nextReview       float64
+	out              []Output
+	pauseLength      float64 // length of this member's last pause,
+	pauseEffectUntil float64 // until when incoming messages may have been queued during the pause
+}
+
+// New creates the state machine of a member without any reports. The function random returns numbers in [0, 1).
+func New(rules Rules, random func() float64) *Core {
 	std := Standard()
-	r.Fresh, r.Quorum, r.Widest, r.Most = cmp.Or(r.Fresh, std.Fresh), cmp.Or(r.Quorum, std.Quorum), cmp.Or(r.Widest, std.Widest), cmp.Or(r.Most, std.Most)
-	return &Core{r: r, chance: chance, stores: map[string]Store{}, seen: map[string]*own{}, words: map[string]map[string]*held{}, tenants: map[string]*tenant{}, zones: map[string]string{}, runs: map[string]uint64{},
-		states: map[string]*state{}, dirty: map[string]bool{}, orders: newOrders()}
+	rules.Fresh, rules.Quorum, rules.Widest, rules.Most = cmp.Or(rules.Fresh, std.Fresh), cmp.Or(rules.Quorum, std.Quorum), cmp.Or(rules.Widest, std.Widest), cmp.Or(rules.Most, std.Most)
+	return &Core{rules: rules, random: random, stores: map[string]Store{}, local: map[string]*localOutcomes{}, reports: map[string]map[string]*storedReport{}, tenants: map[string]*tenantState{}, zones: map[string]string{}, runs: map[string]uint64{},
+		current: map[string]*currentVerdict{}, dirty: map[string]bool{}, orders: newOrders()}
 }
 
-// Due is when Step is wanted next though nothing comes in.
+// Due returns when Step has to be called next if there is no input before.
 func (c *Core) Due() float64 {
-	if !c.begun {
+	if !c.started {
 		return math.Inf(-1)
 	}
-	return min(c.tickAt, c.wholeAt, c.lookAt, c.orders.due(c.now))
+	return min(c.nextSend, c.nextExchange, c.nextReview, c.orders.nextDue(c.now))
 }
 
-// Step takes what came in by now and does what is due.
+// Step applies the inputs received by now, runs what is due and returns the outputs.
 func (c *Core) Step(now float64, in []Input) []Output {
 	c.out = nil
-	c.stall(now)
+	c.detectPause(now)
 	c.now = max(c.now, now)
-	if !c.begun {
-		c.begun, c.tickAt, c.lookAt, c.wholeAt = true, math.Inf(1), c.now+Repeat, c.now+wholeMs*c.chance()
+	if !c.started {
+		c.started, c.nextSend, c.nextReview, c.nextExchange = true, math.Inf(1), c.now+Repeat, c.now+exchangeIntervalMs*c.random()
 	}
 	for _, x := range in {
 		switch v := x.(type) {
 		case Saw:
-			c.saw(v)
+			c.recordOutcome(v)
 		case HeldBack:
-			c.heldBack(v)
+			c.recordThrottled(v)
 		case Stores:
-			c.list(v.All)
+			c.setStores(v.All)
 		case View:
-			c.view(v.Living)
+			c.setAlive(v.Living)
 		case Received:
 			c.receive(v.From, v.Message)
 		case Set:
-			c.set(v)
+			c.setOrder(v)
 		}
 	}
-	c.expire()
-	if c.now >= c.lookAt {
-		// Ages alone change verdicts too.
-		c.lookAt = c.now + Repeat/3
-		c.forget()
-		c.forgetTenants()
-		for store := range c.words {
+	c.expireOrders()
+	if c.now >= c.nextReview {
+		// Verdicts also change when reports age.
+		c.nextReview = c.now + Repeat/3
+		c.removeOldReports()
+		c.removeOldTenants()
+		for store := range c.reports {
 			c.dirty[store] = true
 		}
-		for store := range c.states {
+		for store := range c.current {
 			c.dirty[store] = true
 		}
 	}
-	c.judge()
-	if c.now >= c.tickAt {
-		c.tickAt = math.Inf(1)
-		c.tell()
+	c.updateVerdicts()
+	if c.now >= c.nextSend {
+		c.nextSend = math.Inf(1)
+		c.sendPending()
 	}
-	if c.now >= c.wholeAt {
-		c.wholeAt = c.now + wholeMs
-		if len(c.living) > 0 {
-			m := c.living[min(int(c.chance()*float64(len(c.living))), len(c.living)-1)]
-			c.whole(m.Name, true)
+	if c.now >= c.nextExchange {
+		c.nextExchange = c.now + exchangeIntervalMs
+		if len(c.alive) > 0 {
+			m := c.alive[min(int(c.random()*float64(len(c.alive))), len(c.alive)-1)]
+			c.sendAll(m.Name, true)
 		}
 	}
 	return c.out
 }
 
-// stall notices that this member stood still. What comes in just after that waited for it, in its mailbox or its socket, and is as much older than it says: a member that
-// woke after two seconds once held what had come meanwhile for news.
-func (c *Core) stall(now float64) {
-	if late := now - max(c.Due(), c.now); c.begun && late > stallMs {
-		c.stood, c.stoodAt = late, now+backlogMs
+// detectPause notices that this member was paused. Messages that arrive just after a pause were queued in the mailbox or the socket, and are older than they state by up to
+// its length: a member that resumed after two seconds took the messages of the meantime for fresh ones.
+func (c *Core) detectPause(now float64) {
+	if late := now - max(c.Due(), c.now); c.started && late > pauseThresholdMs {
+		c.pauseLength, c.pauseEffectUntil = late, now+pauseEffectMs
 	}
 }
 
-// waited is by how much what comes in now may be older than it says.
-func (c *Core) waited() float64 {
-	if c.now < c.stoodAt {
-		return c.stood
+// extraAge returns by how much incoming messages may be older than they state.
+func (c *Core) extraAge() float64 {
+	if c.now < c.pauseEffectUntil {
+		return c.pauseLength
 	}
 	return 0
 }
 
-// saw counts an outcome, and says so where it is news: a store that was well fails, one that failed is well, or there is more evidence.
-func (c *Core) saw(v Saw) {
+// recordOutcome records an outcome and reports it if it changes something: a healthy store fails, a failed one is well, or there is more evidence.
+func (c *Core) recordOutcome(v Saw) {
 	if v.Kind < Well || v.Kind > Silent {
 		return
 	}
-	o := c.seen[v.Store]
+	o := c.local[v.Store]
 	if o == nil {
 		if _, listed := c.stores[v.Store]; !listed {
 			return
 		}
-		o = &own{told: math.Inf(-1)}
-		c.seen[v.Store] = o
-	}
-	copy(o.at[1:], o.at[:])
-	copy(o.kind[1:], o.kind[:])
-	o.at[0], o.kind[0], o.n = c.now, v.Kind, min(o.n+1, outcomes)
-	w := c.word(v.Store, o)
-	news := w.Kind != o.last.Kind && (w.Kind != Well || o.last.Kind > Well) || w.Kind.bad() && w.Bad != o.last.Bad && w.Bad <= 3
-	// What is well and stays so is told where others hold something against it: they have to hear that this one does not.
-	if s := c.states[v.Store]; !news && c.now-o.told >= againMs {
-		news = w.Kind > Well || w.Kind == Well && (s != nil && s.Kind > Well || c.accused(v.Store))
+		o = &localOutcomes{reportedAt: math.Inf(-1)}
+		c.local[v.Store] = o
+	}
+	copy(o.times[1:], o.times[:])
+	copy(o.kinds[1:], o.kinds[:])
+	o.times[0], o.kinds[0], o.count = c.now, v.Kind, min(o.count+1, maxOutcomes)
+	w := c.localReport(v.Store, o)
+	news := w.Kind != o.lastReport.Kind && (w.Kind != Well || o.lastReport.Kind > Well) || w.Kind.bad() && w.Bad != o.lastReport.Bad && w.Bad <= 3
+	// A store that stays well is reported if others report it as bad or slow: they need the contrary evidence.
+	if s := c.current[v.Store]; !news && c.now-o.reportedAt >= repeatReportMs {
+		news = w.Kind > Well || w.Kind == Well && (s != nil && s.Kind > Well || c.reportedUnhealthyByOthers(v.Store))
 	}
 	if !news {
 		return
 	}
 	o.seq++
-	o.told, o.last = c.now, w
+	o.reportedAt, o.lastReport = c.now, w
 	w.Seq = o.seq
 	c.Counts.Said++
-	c.keep(w, c.now)
+	c.storeReport(w, c.now)
 }
 
-// accused says that somebody's fresh word holds something against a store.
-func (c *Core) accused(store string) bool {
-	for _, h := range c.words[store] {
-		if h.Kind > Well && h.Observer != c.r.Self && c.now-h.at <= c.r.Fresh {
+// reportedUnhealthyByOthers reports whether another observer's fresh report on a store is not Well.
+func (c *Core) reportedUnhealthyByOthers(store string) bool {
+	for _, h := range c.reports[store] {
+		if h.Kind > Well && h.Observer != c.rules.Self && c.now-h.outcomeAt <= c.rules.Fresh {
 			return true
 		}
 	}
 	return false
 }
 
-// word is what this broker has seen of a store within the window.
-func (c *Core) word(store string, o *own) Word {
-	w := Word{Store: store, Observer: c.r.Self, Zone: c.r.Zone, Run: c.r.Run, Kind: o.kind[0], Born: c.stores[store].Born}
-	for i := range o.n {
-		if c.now-o.at[i] > Window {
+// localReport builds this broker's report on a store from the outcomes within the window.
+func (c *Core) localReport(store string, o *localOutcomes) Word {
+	w := Word{Store: store, Observer: c.rules.Self, Zone: c.rules.Zone, Run: c.rules.Run, Kind: o.kinds[0], Born: c.stores[store].Born}
+	for i := range o.count {
+		if c.now-o.times[i] > Window {
 			break
 		}
-		if o.kind[i].bad() {
+		if o.kinds[i].bad() {
 			if w.Bad++; w.Good == 0 {
 				w.Row++
 			}
@@ -360,198 +361,200 @@
 			w.Good++
 		}
 	}
-	// By chance a broker that sees much of a store is late now and then, and each word that holds something against it has all others answer.
-	if w.Kind == Slow && (o.n < slowRow || c.now-o.at[slowRow-1] > Window || slices.ContainsFunc(o.kind[:slowRow], func(k Kind) bool { return k == Well })) {
+	// A broker with much traffic sees single slow outcomes by chance, and each report that is not Well makes all others answer.
+	if w.Kind == Slow && (o.count < slowInRow || c.now-o.times[slowInRow-1] > Window || slices.ContainsFunc(o.kinds[:slowInRow], func(k Kind) bool { return k == Well })) {
 		w.Kind = Well
 	}
 	return w
 }
 
-// keep takes a word up if it is newer than what is known of its observer. At is when its newest outcome was.
-func (c *Core) keep(w Word, at float64) bool {
-	of := c.words[w.Store]
+// storeReport stores a report if it is newer than the stored one of its observer. The time of its newest outcome is at.
+func (c *Core) storeReport(w Word, at float64) bool {
+	of := c.reports[w.Store]
 	if h := of[w.Observer]; h != nil {
-		if !w.later(h.Word) {
+		if !w.newerThan(h.Word) {
 			return false
 		}
-		h.Word, h.at, h.left = w, at, c.times()
+		h.Word, h.outcomeAt, h.sendsLeft = w, at, c.initialSends()
 	} else {
-		if c.n >= c.r.Most || w.Kind == Held && c.n >= c.r.Most/2 {
+		if c.reportCount >= c.rules.Most || w.Kind == Held && c.reportCount >= c.rules.Most/2 {
 			c.Counts.Dropped++
 			return false
 		}
 		if of == nil {
-			of = map[string]*held{}
-			c.words[w.Store] = of
+			of = map[string]*storedReport{}
+			c.reports[w.Store] = of
 		}
-		of[w.Observer] = &held{w, at, c.times()}
-		c.n++
+		of[w.Observer] = &storedReport{w, at, c.initialSends()}
+		c.reportCount++
 	}
 	c.dirty[w.Store] = true
-	c.tickAt = min(c.tickAt, c.now+tickMs*c.chance())
+	c.nextSend = min(c.nextSend, c.now+sendIntervalMs*c.random())
 	return true
 }
 
-func (c *Core) times() int { return retell * int(math.Ceil(math.Log10(float64(len(c.living)+2)))) }
+func (c *Core) initialSends() int {
+	return sendsPerLog * int(math.Ceil(math.Log10(float64(len(c.alive)+2))))
+}
 
-// list takes the list up. What was said of a store that is gone, or of an earlier process under its name, counts no more.
-func (c *Core) list(all []Store) {
+// setStores replaces the list of stores. Reports on unlisted stores, or on earlier processes of a store, no longer count.
+func (c *Core) setStores(all []Store) {
 	c.stores = map[string]Store{}
 	for _, s := range all {
 		c.stores[s.Name] = s
 		c.dirty[s.Name] = true
-		if o := c.seen[s.Name]; o != nil && o.last.Born < s.Born {
-			o.n = 0 // what it has seen was of the old one
+		if o := c.local[s.Name]; o != nil && o.lastReport.Born < s.Born {
+			o.count = 0 // the outcomes are those of the earlier process
 		}
 	}
-	maps.DeleteFunc(c.seen, func(name string, _ *own) bool { _, listed := c.stores[name]; return !listed })
-	for name := range c.states {
+	maps.DeleteFunc(c.local, func(name string, _ *localOutcomes) bool { _, listed := c.stores[name]; return !listed })
+	for name := range c.current {
 		c.dirty[name] = true
 	}
 }
 
-func (c *Core) view(living []Member) {
-	alone := len(c.living) == 0
-	c.living = slices.Clone(living)
+func (c *Core) setAlive(living []Member) {
+	alone := len(c.alive) == 0
+	c.alive = slices.Clone(living)
 	if alone && len(living) > 0 {
-		c.wholeAt = c.now // it has just started, or was cut off: it hears at once what there is
+		c.nextExchange = c.now // this member has just started or was partitioned: exchange the full state at once
 	}
-	slices.SortFunc(c.living, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	for _, m := range c.living {
+	slices.SortFunc(c.alive, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
+	for _, m := range c.alive {
 		if m.Zone != "" {
 			c.zones[m.Name] = m.Zone
 		}
 	}
 	maps.DeleteFunc(c.runs, func(name string, _ uint64) bool {
-		return !slices.ContainsFunc(c.living, func(m Member) bool { return m.Name == name })
+		return !slices.ContainsFunc(c.alive, func(m Member) bool { return m.Name == name })
 	})
 	maps.DeleteFunc(c.zones, func(name string, _ string) bool {
-		return !slices.ContainsFunc(c.living, func(m Member) bool { return m.Name == name })
+		return !slices.ContainsFunc(c.alive, func(m Member) bool { return m.Name == name })
 	})
 }
 
-// receive takes another member's message.
+// receive applies another member's message.
 func (c *Core) receive(from string, m Message) {
 	if m.Zone != "" {
 		c.zones[from] = m.Zone
 	}
 	if m.Run > c.runs[from] {
-		c.anew(from, m.Run)
+		c.handleNewProcess(from, m.Run)
 	}
 	for _, w := range m.Words {
 		switch {
-		case !w.sane() || w.Observer == c.r.Self && w.Run > c.r.Run:
+		case !w.valid() || w.Observer == c.rules.Self && w.Run > c.rules.Run:
 			c.Counts.Odd++
-		case w.Observer == c.r.Self: // its own, or an earlier process's: it knows better
-		case w.Age > keepFor*c.r.Fresh:
+		case w.Observer == c.rules.Self: // this member's own report, or one of its earlier process
+		case w.Age > retention*c.rules.Fresh:
 			c.Counts.Old++
-		case c.keep(w, c.now-w.Age-c.waited()):
+		case c.storeReport(w, c.now-w.Age-c.extraAge()):
 			c.Counts.Heard++
 		default:
 			c.Counts.Old++
 		}
 	}
-	c.hear(from, m.Orders, m.Known)
+	c.handleOrders(from, m.Orders, m.Known)
 	if m.Whole {
-		c.whole(from, false)
+		c.sendAll(from, false)
 	}
 }
 
-const nameMost = 120
+const maxNameLength = 120
 
-// tell sends what waits to some members, and to who is to hear of an order and has not said so.
-func (c *Core) tell() {
-	var wait []*held
-	for _, store := range slices.Sorted(maps.Keys(c.words)) {
-		for _, by := range slices.Sorted(maps.Keys(c.words[store])) {
-			if h := c.words[store][by]; h.left > 0 {
+// sendPending sends pending reports to some members, and orders to members that have not acknowledged them.
+func (c *Core) sendPending() {
+	var wait []*storedReport
+	for _, store := range slices.Sorted(maps.Keys(c.reports)) {
+		for _, by := range slices.Sorted(maps.Keys(c.reports[store])) {
+			if h := c.reports[store][by]; h.sendsLeft > 0 {
 				wait = append(wait, h)
 			}
 		}
 	}
-	// Words on stores first, since they weigh; the newest first; what was told least before what was told often.
-	slices.SortStableFunc(wait, func(a, b *held) int {
+	// Reports on stores come first, since verdicts depend on them; then those sent least often, then the newest.
+	slices.SortStableFunc(wait, func(a, b *storedReport) int {
 		if (a.Kind == Held) != (b.Kind == Held) {
 			return cmp.Compare(a.Kind, b.Kind)
 		}
-		return cmp.Or(cmp.Compare(b.left, a.left), cmp.Compare(b.at, a.at))
+		return cmp.Or(cmp.Compare(b.sendsLeft, a.sendsLeft), cmp.Compare(b.outcomeAt, a.outcomeAt))
 	})
-	if len(wait) > 4*wordMost {
-		wait = wait[:4*wordMost]
+	if len(wait) > 4*maxReportsPerMessage {
+		wait = wait[:4*maxReportsPerMessage]
 	}
 	if len(wait) > 0 {
-		c.tickAt = c.now + tickMs
+		c.nextSend = c.now + sendIntervalMs
 	}
-	for _, m := range c.pick(fanout) {
-		for some := range slices.Chunk(wait, wordMost) {
-			c.send(m.Name, Message{Words: c.spoken(some)})
+	for _, m := range c.randomMembers(fanout) {
+		for some := range slices.Chunk(wait, maxReportsPerMessage) {
+			c.send(m.Name, Message{Words: c.withAges(some)})
 		}
 	}
 	for _, h := range wait {
-		h.left--
+		h.sendsLeft--
 	}
-	c.remind()
+	c.sendReminders()
 }
 
-func (c *Core) spoken(some []*held) (words []Word) {
+func (c *Core) withAges(some []*storedReport) (words []Word) {
 	for _, h := range some {
 		w := h.Word
-		w.Age = max(0, c.now-h.at)
+		w.Age = max(0, c.now-h.outcomeAt)
 		words = append(words, w)
 	}
 	return words
 }
 
-// whole sends all that is fresh: after a split both sides come to agree by it.
-func (c *Core) whole(to string, ask bool) {
-	var fresh []*held
-	for _, store := range slices.Sorted(maps.Keys(c.words)) {
-		for _, by := range slices.Sorted(maps.Keys(c.words[store])) {
-			if h := c.words[store][by]; c.now-h.at <= c.r.Fresh {
+// sendAll sends all fresh reports: by this, both sides converge after a network partition.
+func (c *Core) sendAll(to string, ask bool) {
+	var fresh []*storedReport
+	for _, store := range slices.Sorted(maps.Keys(c.reports)) {
+		for _, by := range slices.Sorted(maps.Keys(c.reports[store])) {
+			if h := c.reports[store][by]; c.now-h.outcomeAt <= c.rules.Fresh {
 				fresh = append(fresh, h)
 			}
 		}
 	}
-	m := Message{Orders: c.orders.told(c.now), Known: c.orders.knows(c.now), Whole: ask}
+	m := Message{Orders: c.orders.list(c.now), Known: c.orders.versions(c.now), Whole: ask}
 	if len(fresh) == 0 {
 		c.send(to, m)
 	}
-	for some := range slices.Chunk(fresh, wordMost) {
-		m.Words = c.spoken(some)
+	for some := range slices.Chunk(fresh, maxReportsPerMessage) {
+		m.Words = c.withAges(some)
 		c.send(to, m)
 		m = Message{}
 	}
 }
 
 func (c *Core) send(to string, m Message) {
-	m.Zone, m.Run = c.r.Zone, c.r.Run
+	m.Zone, m.Run = c.rules.Zone, c.rules.Run
 	c.out = append(c.out, Send{to, m})
 }
 
-// pick draws members.
-func (c *Core) pick(n int) []Member {
-	all := slices.Clone(c.living)
+// randomMembers returns n random members that are alive, without repetition.
+func (c *Core) randomMembers(n int) []Member {
+	all := slices.Clone(c.alive)
 	for i := range min(n, len(all)) {
-		k := i + min(int(c.chance()*float64(len(all)-i)), len(all)-i-1)
+		k := i + min(int(c.random()*float64(len(all)-i)), len(all)-i-1)
 		all[i], all[k] = all[k], all[i]
 	}
 	return all[:min(n, len(all))]
 }
 
-// forget lets go of words that weigh on nothing and that no older ones come after any more.
-func (c *Core) forget() {
-	for store, of := range c.words {
+// removeOldReports removes reports so old that no older ones can arrive after them.
+func (c *Core) removeOldReports() {
+	for store, of := range c.reports {
 		for by, h := range of {
-			if c.now-h.at > keepFor*c.r.Fresh {
+			if c.now-h.outcomeAt > retention*c.rules.Fresh {
 				delete(of, by)
-				c.n--
+				c.reportCount--
 			}
 		}
 		if len(of) == 0 {
-			delete(c.words, store)
+			delete(c.reports, store)
 		}
 	}
 }
 
-// Held is how many words are kept.
-func (c *Core) Held() int { return c.n }
+// Held returns the number of reports kept.
+func (c *Core) Held() int { return c.reportCount }
--- a/internal/verdicts/verdicts_test.go
+++ b/internal/verdicts/verdicts_test.go
@@ -17,41 +17,41 @@
 	return c
 }
 
-// Of two orders the one of the higher version holds, then the one of the later name, in whatever order they come; one that is over stays over.
+// Of two orders the one with the higher version wins, then the one with the greater name, in whatever sequence they arrive. An expired order stays expired.
 func TestOrders(t *testing.T) {
 	drain := func(version uint64, by string, left float64) Order {
 		return Order{Store: "s", Do: Drain, By: by, Version: version, Left: left}
 	}
 	for name, all := range map[string][]Order{
-		"the newer comes last":      {drain(3, "b", 500), {Store: "s", Do: Clear, By: "c", Version: 5, Left: 500}},
-		"the newer comes first":     {{Store: "s", Do: Clear, By: "c", Version: 5, Left: 500}, drain(3, "b", 500)},
-		"the later name, if alike":  {drain(5, "b", 500), {Store: "s", Do: Clear, By: "c", Version: 5, Left: 500}},
-		"the earlier name is first": {{Store: "s", Do: Clear, By: "c", Version: 5, Left: 500}, drain(5, "b", 500)},
+		"newer order last":                 {drain(3, "b", 500), {Store: "s", Do: Clear, By: "c", Version: 5, Left: 500}},
+		"newer order first":                {{Store: "s", Do: Clear, By: "c", Version: 5, Left: 500}, drain(3, "b", 500)},
+		"same version, greater name last":  {drain(5, "b", 500), {Store: "s", Do: Clear, By: "c", Version: 5, Left: 500}},
+		"same version, greater name first": {{Store: "s", Do: Clear, By: "c", Version: 5, Left: 500}, drain(5, "b", 500)},
 	} {
 		c := newCore()
 		for i, o := range all {
 			c.Step(1100+float64(i), []Input{Received{"b", Message{Orders: []Order{o}}}})
 		}
-		got, holds := c.orders.of("s", 1110)
+		got, holds := c.orders.current("s", 1110)
 		require.True(t, holds, name)
 		assert.Equal(t, Clear, got.Do, name)
-		_, holds = c.orders.of("s", 1602)
+		_, holds = c.orders.current("s", 1602)
 		assert.False(t, holds, name)
 	}
 	c := newCore()
 	c.Step(1100, []Input{Set{Store: "s", Do: Drain, For: 500, Reason: strings.Repeat("x", 300)}})
-	o, _ := c.orders.of("s", 1100)
-	assert.Len(t, o.Reason, reasonMost)
+	o, _ := c.orders.current("s", 1100)
+	assert.Len(t, o.Reason, maxReasonLength)
 	c.Step(1200, []Input{Set{Store: "s", Do: Drain}})
-	_, holds := c.orders.of("s", 1200)
-	assert.False(t, holds, "taken back")
+	_, holds := c.orders.current("s", 1200)
+	assert.False(t, holds, "revoked")
 	c.Step(1210, []Input{Received{"b", Message{Orders: []Order{o}}}})
-	_, holds = c.orders.of("s", 1210)
-	assert.False(t, holds, "and it does not come back")
+	_, holds = c.orders.current("s", 1210)
+	assert.False(t, holds, "an old message does not restore it")
 }
 
-// What is impossible is counted and dropped; what is too much is not kept.
-func TestBadWords(t *testing.T) {
+// Invalid reports and orders are counted and dropped, and the number of reports is bounded.
+func TestInvalidReports(t *testing.T) {
 	c := newCore()
 	good := Word{Store: "s", Observer: "b", Kind: Fails, Bad: 3, Row: 3, Run: 1, Seq: 1}
 	for i, change := range []func(*Word){func(w *Word) { w.Store = "" }, func(w *Word) { w.Observer = strings.Repeat("x", 200) }, func(w *Word) { w.Kind = 9 }, func(w *Word) { w.Kind = 0 },
@@ -65,21 +65,21 @@
 	c.Step(1100, []Input{Received{"b", Message{Orders: []Order{{Store: "s", Do: "explode", Left: 1}, {Store: "", Do: Drain}, {Store: "s", Do: Drain, Left: math.Inf(1)}}}}})
 	assert.Equal(t, 13, c.Counts.Odd)
 	assert.Zero(t, c.Held())
-	c.r.Most = 1
+	c.rules.Most = 1
 	second := good
 	second.Observer = "c"
 	c.Step(1200, []Input{Received{"b", Message{Words: []Word{good, second}}}})
 	assert.Equal(t, [2]int{1, 1}, [2]int{c.Held(), c.Counts.Dropped})
 	c.Step(1e6, nil)
-	assert.Zero(t, c.Held(), "and it is forgotten")
+	assert.Zero(t, c.Held(), "old reports are removed")
 }
 
-// An order that lasts on a disk holds after a restart for what it had left, by the wall clock, and never for more; what is over stays over.
-func TestOrdersLast(t *testing.T) {
+// After a restart a stored order remains in force for its remaining time by the wall clock, never for longer. An expired order stays expired.
+func TestStoredOrders(t *testing.T) {
 	c := newCore()
 	c.Step(1100, []Input{Set{Store: "s", Do: Drain, For: 60000, Reason: "disk"}, Set{Store: "t", Do: Rest, For: 60000}})
 	records := c.Lasting(5e6)
-	assert.Empty(t, c.Lasting(5e6), "once each")
+	assert.Empty(t, c.Lasting(5e6), "each order is returned once")
 	c.Step(2100, []Input{Set{Store: "t", Do: Rest}})
 	records = append(records, c.Lasting(5e6+1000)...)
 	require.Len(t, records, 3)
@@ -87,21 +87,21 @@
 		again := New(Rules{Self: "a", Zone: "x", Run: 2}, half)
 		again.Restore(append([]Stored{{Order{Store: "u", Do: "explode", Left: 9}, wall}}, records...), 700, wall)
 		out := again.Step(701, []Input{Stores{[]Store{{Name: "s", Ready: true}, {Name: "t", Ready: true}, {Name: "u", Ready: true}}}})
-		o, holds := again.orders.of("s", 701)
+		o, holds := again.orders.current("s", 701)
 		assert.Equal(t, left > 0, holds)
 		if holds {
 			assert.InDelta(t, left, o.Left, 1)
 			assert.Contains(t, out, Verdict{Store: "s", Kind: Well, Drain: true, Was: Well})
 		}
-		_, holds = again.orders.of("t", 701)
-		assert.False(t, holds, "it was taken back")
-		_, holds = again.orders.of("u", 701)
-		assert.False(t, holds, "no such order")
-		assert.Empty(t, again.Lasting(wall), "they last already")
+		_, holds = again.orders.current("t", 701)
+		assert.False(t, holds, "the order was revoked")
+		_, holds = again.orders.current("u", 701)
+		assert.False(t, holds, "an invalid record is ignored")
+		assert.Empty(t, again.Lasting(wall), "restored orders are stored already")
 	}
 }
 
-// Whom one broker holds back all know: by whom, by which limit, how often, for as long as that is fresh. It weighs on no store, and words on stores go first.
+// All brokers know which tenants one of them throttles, by which limit and how often, while the reports are fresh. They affect no store, and reports on stores are sent first.
 func TestTenantsHeldBack(t *testing.T) {
 	c := newCore()
 	other := New(Rules{Self: "b", Zone: "y", Run: 1}, half)
@@ -114,7 +114,7 @@
 			}
 		}
 	}
-	assert.Equal(t, 5, c.Counts.Said, "once a second")
+	assert.Equal(t, 5, c.Counts.Said, "one report a second")
 	other.Step(6100, []Input{HeldBack{"acme", "cell west"}, Saw{"s", Fails}})
 	seen := other.Tenants()
 	require.Len(t, seen, 1)
@@ -134,7 +134,7 @@
 	assert.Equal(t, "s", first[0].Store)
 	for _, w := range []Word{{Store: "tenant/x", Observer: "a", Kind: Fails, Bad: 1}, {Store: "s", Observer: "a", Kind: Held, Times: 1}, {Store: "tenant/x", Observer: "a", Kind: Held},
 		{Store: "tenant/x", Observer: "a", Kind: Held, Times: 1, Why: strings.Repeat("x", 100)}} {
-		assert.False(t, w.sane(), "%v", w)
+		assert.False(t, w.valid(), "%v", w)
 	}
 	other.Step(6e6, nil)
 	assert.Empty(t, other.Tenants())
@@ -142,7 +142,7 @@
 	assert.Zero(t, other.Held())
 }
 
-// One late outcome is chance and no word; two in a row are one observer's, and two observers' a verdict, which is over with the first outcomes in time.
+// A single slow outcome is not reported. Two in a row make a report, and reports of two observers make a verdict, which the next well outcome ends.
 func TestSlow(t *testing.T) {
 	c := newCore()
 	saw := func(at float64, kinds ...Kind) (last []Output) {
@@ -151,26 +151,26 @@
 		}
 		return last
 	}
-	word := func(seq uint64, kind Kind) Received {
+	report := func(seq uint64, kind Kind) Received {
 		return Received{"b", Message{Run: 1, Words: []Word{{Store: "s", Observer: "b", Kind: kind, Good: 2, Run: 1, Seq: seq}}}}
 	}
 	saw(1100, Slow, Well, Slow, Well, Slow)
-	assert.Zero(t, c.Counts.Said, "late now and then")
+	assert.Zero(t, c.Counts.Said, "occasional slow outcomes are not reported")
 	saw(1200, Slow)
 	assert.Equal(t, 1, c.Counts.Said)
-	assert.Empty(t, c.states, "one observer")
-	assert.Contains(t, c.Step(1300, []Input{word(1, Slow)}), Verdict{Store: "s", Kind: Slow, Was: Well})
+	assert.Empty(t, c.current, "one observer is not enough")
+	assert.Contains(t, c.Step(1300, []Input{report(1, Slow)}), Verdict{Store: "s", Kind: Slow, Was: Well})
 	seen := c.Seen()
 	require.Len(t, seen, 1)
 	assert.Equal(t, "slow", seen[0].Kind)
 	again := c.Step(1300+Repeat, nil)
-	assert.Contains(t, again, Verdict{Store: "s", Kind: Slow, Age: Repeat, Was: Slow}, "it is told again while it holds")
+	assert.Contains(t, again, Verdict{Store: "s", Kind: Slow, Age: Repeat, Was: Slow}, "the verdict is repeated while it is in force")
 	assert.Contains(t, saw(2300, Well), Verdict{Store: "s", Kind: Well, Was: Slow})
 	saw(2400, Slow, Slow)
-	assert.NotEmpty(t, c.states)
+	assert.NotEmpty(t, c.current)
 	saw(2500, Fails)
-	assert.Empty(t, c.states, "one that sees it fail and one that sees it slow do not agree")
-	// Late is late of each broker's own target times: a jam makes all slow to all, which rests nobody.
+	assert.Empty(t, c.current, "one that sees it fail and one that sees it slow do not agree")
+	// Slow is relative to each broker's own target times: under overload all stores are slow to all brokers, which excludes none.
 	for _, store := range []string{"s", "t", "u"} {
 		for seq := range uint64(2) {
 			c.Step(3000+float64(seq), []Input{Saw{store, Slow}, Received{"b", Message{Run: 1, Words: []Word{{Store: store, Observer: "b", Kind: Slow, Good: 2, Run: 1, Seq: 9 + seq}}}}})
@@ -178,6 +178,6 @@
 	}
 	for _, x := range c.Seen() {
 		assert.Equal(t, "slow", x.Kind, x.Store)
-		assert.False(t, c.states[x.Store].Kind.bad())
+		assert.False(t, c.current[x.Store].Kind.bad())
 	}
 }
