--- a/internal/sharing/codec.go
+++ b/internal/sharing/codec.go
@@ -7,7 +7,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Marshal is the one form in which members' messages travel: msgpack, structs as arrays, numbers as short as they go.
+// Marshal encodes a message between members: msgpack with structs as arrays and numbers in their shortest form.
 func Marshal(v any) ([]byte, error) {
 	var b bytes.Buffer
 	enc := msgpack.NewEncoder(&b)
@@ -17,25 +17,25 @@
 	return b.Bytes(), err
 }
 
-// Unmarshal reads it. What is malformed is an error, whatever it is.
+// Unmarshal decodes a message. Any malformed input is an error.
 func Unmarshal(data []byte, v any) error {
-	if err := sizes(data); err != nil {
+	if err := checkSizes(data); err != nil {
 		return err
 	}
 	return msgpack.Unmarshal(data, v)
 }
 
-var errSize = errors.New("a size that the message can't hold")
+var errSize = errors.New("msgpack: an announced size exceeds the message")
 
-// sizes walks a message and refuses sizes beyond it: the library makes room for as many elements as are announced, and a few bytes can announce 4 billion.
-func sizes(data []byte) error {
-	for left := uint64(1); left > 0; left-- { // elements that are still to come
+// checkSizes walks a message and rejects sizes that exceed it: the library allocates as many elements as are announced, and a few bytes can announce 4 billion.
+func checkSizes(data []byte) error {
+	for left := uint64(1); left > 0; left-- { // elements still to read
 		if len(data) == 0 {
 			return errSize
 		}
 		c := data[0]
 		data = data[1:]
-		bytes, items, head := uint64(0), uint64(0), 0 // what follows: bytes, elements, and how long the number is that says so
+		bytes, items, head := uint64(0), uint64(0), 0 // payload bytes, nested elements, and length of the size field
 		switch {
 		case c <= 0x7f || c >= 0xe0 || c >= 0xc0 && c <= 0xc3:
 		case c <= 0x8f:
@@ -78,7 +78,7 @@
 			bytes += n
 		}
 		if bytes > uint64(len(data)) || left-1+items > uint64(len(data))-bytes {
-			return errSize // each element takes a byte at least
+			return errSize // each element takes at least one byte
 		}
 		data, left = data[bytes:], left+items
 	}
--- a/internal/sharing/sharing.go
+++ b/internal/sharing/sharing.go
@@ -1,6 +1,6 @@
-// Package sharing puts one member's shared duties together: who lives (membership), who does which item when (duties)
-// and who alone may do what must not happen twice (lease). Like them it has no I/O and no clock; it passes what one of
-// them decides to the others and names the addresses.
+// Package sharing combines the state machines of one member: membership, duties (who does which item when), leases and their tasks (what only one member
+// may do at a time), limits and verdicts on stores. Like them it does no I/O and reads no clock. It routes messages to them, passes the results of one to the
+// others, and resolves members' addresses.
 package sharing
 
 import (
@@ -19,42 +19,42 @@
 	"gullstair/internal/verdicts"
 )
 
-// Plan is what a member is given at its start.
+// Plan is a member's configuration.
 type Plan struct {
 	Name, Addr  string
-	Boot        uint64            // of this process: another number at each start
-	Incarnation uint64            // above those of earlier processes
-	Weight      float64           // its share of the items
-	Roster      map[string]string // the configured members' addresses by name, this one's among them; empty: whoever joins
-	Seeds       []string          // further addresses where members may be found
+	Boot        uint64            // number of this process; different at each start
+	Incarnation uint64            // greater than those of earlier processes
+	Weight      float64           // determines this member's share of the items
+	Roster      map[string]string // addresses of the configured members by name, this one included; empty: any member may join
+	Seeds       []string          // further addresses to contact
 	Timing      membership.Timing
 	Duties      []duties.Duty
 	Tasks       []tasks.Task
-	Longest     float64           // ms; no lease that is held by hand has a longer term; 0: none is
-	LeasesMost  int               // leases that are kept beside those of tasks
-	Drift       float64           // share by which a clock may run wrong
-	Floor       uint64            // a fencing number that no earlier holder has passed
+	Longest     float64           // ms; the longest term of a lease that is held by hand; 0: no such leases
+	LeasesMost  int               // most leases kept besides those of tasks
+	Drift       float64           // bound on the relative clock drift
+	Floor       uint64            // a fencing number that no earlier holder has exceeded
 	Votes       *Votes            // nil: votes are not stored
-	Seed        uint64            // for chance
-	Limits      Limits            // nil: none are shared
-	Verdicts    *verdicts.Rules   // of stores; nil: none are shared
-	Orders      []verdicts.Stored // operators' orders on stores that lasted
-	Notes       bool              // the modules' notes travel
+	Seed        uint64            // seed of the random numbers
+	Limits      Limits            // nil: no limits are shared
+	Verdicts    *verdicts.Rules   // rules for verdicts on stores; nil: verdicts are not shared
+	Orders      []verdicts.Stored // operators' orders on stores, as stored
+	Notes       bool              // modules' notes are exchanged
 }
 
-// Limits share limits with the other members. Unlike the rest it may be in use elsewhere at once.
+// Limits divides limits among the members. Unlike the other parts, it may be used by other goroutines at the same time.
 type Limits interface {
 	Step(now float64, in []shares.Input) []shares.Send
 	Due() float64
 }
 
-// Votes are those that were stored by earlier processes of this member. Sound says that they are all there are.
+// Votes holds the votes stored by earlier processes of this member. Sound means that none are missing.
 type Votes struct {
 	Records []lease.Record
 	Sound   bool
 }
 
-// Envelope is what travels in one datagram: one of the eight.
+// Envelope is the content of one datagram: exactly one of its eight parts is set.
 type Envelope struct {
 	From, To string
 	Member   *membership.Message
@@ -67,80 +67,80 @@
 	Note     []byte
 }
 
-// Note is what this broker's module tells all others, as an input, or what another one's tells this one, as an output.
+// Note is a module's message: as an input it goes to all other brokers, as an output it comes from another broker.
 type Note struct{ Data []byte }
 
 // Input is an Arrived, Note, verdicts.Saw, verdicts.HeldBack, verdicts.Stores, verdicts.Set, Leave, duties.Items, duties.Finished, tasks.Ended, tasks.Hold, tasks.Close, tasks.Order, lease.Stored or
 // lease.DiskLost.
 type Input any
 
-// Arrived is an envelope with the address it came from. The carrier vouches for its From.
+// Arrived is a received envelope with its source address. The carrier has authenticated From.
 type Arrived struct {
 	Addr     string
 	Envelope Envelope
 }
 
-// Leave ends this member's part: it holds nothing any more and tells the others.
+// Leave makes this member release everything it holds and announce to the others that it leaves.
 type Leave struct{}
 
 // Output is a Post, Note, verdicts.Verdict, verdicts.Stored, duties.Turn, duties.Heard, membership.Changed, lease.Store, or one of tasks: Begin, Extend, Cancel, Answer, Granted,
 // Extended and Revoked.
 type Output any
 
-// Post is an envelope to be sent.
+// Post is an envelope to send.
 type Post struct {
 	Addr     string
 	Envelope Envelope
 }
 
-// Core is one member. Only one goroutine may call it.
+// Core is the state machine of one member. It is not safe for concurrent use.
 type Core struct {
 	Members *membership.Core
 	Duties  *duties.Core
 	Leases  *lease.Core
 	Tasks   *tasks.Core
 	Holds   *tasks.Holds
-	Stores  *verdicts.Core // nil: no verdicts are shared
+	Stores  *verdicts.Core // nil: verdicts are not shared
 
-	plan    Plan
-	orders  map[uint64]*ordered
-	askers  []asker
-	addrs   map[string]string
-	arrived []sharedNews
-	view    []duties.Weighted
-	seen    int // version of the members that view was made of, plus one
-	now     float64
-	begun   bool
-	out     []Output
+	plan          Plan
+	orders        map[uint64]*pendingOrder
+	orderSenders  []orderSender
+	addrs         map[string]string
+	receivedLoads []receivedLoad
+	view          []duties.Weighted
+	viewVersion   int // version of the member list from which view was made, plus one
+	now           float64
+	started       bool
+	out           []Output
 }
 
-type sharedNews struct {
+type receivedLoad struct {
 	from string
 	data []byte
 }
 
-// ordered is an order for the holder of a lease that has not been answered.
-type ordered struct {
+// pendingOrder is an order for the holder of a lease that has not been answered.
+type pendingOrder struct {
 	tasks.Order
-	next, until float64
+	nextTry, deadline float64
 }
 
-type asker struct {
+type orderSender struct {
 	name string
 	id   uint64
 }
 
 const (
-	ordersMost   = 64
-	orderAgain   = 250.0  // ms between two tries to reach a lease's holder
-	orderWithin  = 1500.0 // ms
-	leasesAtOnce = 1100   // bytes of leases' or limits' messages in one envelope
-	limitBytes   = 80     // of a limit's message beside its names
+	maxOrders          = 64
+	orderRetryMs       = 250.0  // ms between two attempts to reach a lease's holder
+	orderTimeoutMs     = 1500.0 // ms
+	maxMessageBytes    = 1100   // most bytes of leases' or limits' messages in one envelope
+	limitOverheadBytes = 80     // size of a limit's message without its names
 )
 
-const retell = 2 // times the decimal logarithm of the members: how often a record is sent on
+const sendsPerLog = 2 // how often a record is forwarded, times the decimal logarithm of the number of members
 
-// New makes a member that knows the plan alone.
+// New creates a member that knows only its plan.
 func New(p Plan) *Core {
 	c := &Core{plan: p, addrs: maps.Clone(p.Roster)}
 	if c.addrs == nil {
@@ -149,7 +149,7 @@
 	roster := slices.Sorted(maps.Keys(p.Roster))
 	chance := rand.New(rand.NewPCG(p.Seed, p.Boot^0x1ea5e))
 	c.Members = membership.New(membership.Member{Name: p.Name, Addr: p.Addr, Boot: p.Boot,
-		Incarnation: p.Incarnation, Weight: p.Weight}, p.Timing, p.Seed, cargo{c})
+		Incarnation: p.Incarnation, Weight: p.Weight}, p.Timing, p.Seed, dutyPiggyback{c})
 	c.Duties = duties.New(p.Name, roster, p.Duties, p.Seed)
 	c.Tasks = tasks.New(p.Name, p.Tasks)
 	fixed := c.Tasks.Leases()
@@ -162,18 +162,18 @@
 	if p.Verdicts != nil {
 		c.Stores = verdicts.New(*p.Verdicts, chance.Float64)
 	}
-	c.orders = map[uint64]*ordered{}
+	c.orders = map[uint64]*pendingOrder{}
 	return c
 }
 
-// Due is when Step is wanted next though nothing comes in.
+// Due returns when Step has to be called next if there is no input before.
 func (c *Core) Due() float64 {
-	if !c.begun {
+	if !c.started {
 		return math.Inf(-1)
 	}
 	at := min(c.Members.Due(), c.Duties.Due(), c.Leases.Due(), c.Tasks.Due(), c.Holds.Due())
 	for _, o := range c.orders {
-		at = min(at, o.next)
+		at = min(at, o.nextTry)
 	}
 	if c.plan.Limits != nil {
 		at = min(at, c.plan.Limits.Due())
@@ -184,22 +184,22 @@
 	return at
 }
 
-// Step takes what came in by now, by this member's clock and by its wall clock in ms, and does what is due.
+// Step applies the inputs received by now and runs what is due. The time is given by this member's monotonic clock and by its wall clock, in ms.
 func (c *Core) Step(now, wall float64, in []Input) []Output {
 	c.out, c.now = nil, max(c.now, now)
 	var members []membership.Input
 	var items []duties.Input
-	var l leasing
+	var l leaseInputs
 	var limits []shares.Input
 	var stores []verdicts.Input
-	if !c.begun {
-		c.begun = true
+	if !c.started {
+		c.started = true
 		if c.Stores != nil {
 			c.Stores.Restore(c.plan.Orders, now, wall)
 			c.plan.Orders = nil
 		}
 		members = append(members, membership.Join{Addrs: c.seeds()})
-		items = append(items, duties.View{Living: c.living()})
+		items = append(items, duties.View{Living: c.eligibleMembers()})
 	}
 	for _, x := range in {
 		switch v := x.(type) {
@@ -225,17 +225,17 @@
 			case e.Note != nil && c.plan.Notes && c.addrs[e.From] != "":
 				c.out = append(c.out, Note{e.Note})
 			case e.Order != nil && c.plan.Roster[e.From] != "":
-				l.order(*e.Order)
-				c.asked(e.From, e.Order.ID)
+				l.addOrder(*e.Order)
+				c.rememberSender(e.From, e.Order.ID)
 			case e.Answer != nil && c.plan.Roster[e.From] != "":
-				c.answered(*e.Answer)
+				c.finishOrder(*e.Answer)
 			}
 		case duties.Items, duties.Finished:
 			items = append(items, v)
 		case verdicts.Saw, verdicts.HeldBack, verdicts.Stores, verdicts.Set:
 			stores = append(stores, v)
 		case Note:
-			c.note(v)
+			c.sendNote(v)
 		case lease.Stored, lease.DiskLost:
 			l.leases = append(l.leases, v)
 		case tasks.Ended:
@@ -243,33 +243,33 @@
 		case tasks.Hold, tasks.Close:
 			l.holds = append(l.holds, v)
 		case tasks.Order:
-			c.ordered(v)
+			c.acceptOrder(v)
 		case Leave:
 			members = append(members, membership.Leave{})
 			items = append(items, duties.Quit{})
 			l.tasks, l.holds = append(l.tasks, tasks.Leave{}), append(l.holds, tasks.Leave{})
 		}
 	}
-	c.forward(&l)
-	// What has run out is over before anything else: a member that stood still may do nothing under it.
-	c.lease(now, wall, l)
+	c.forwardOrders(&l)
+	// Expired leases end before anything else: a member that was paused may do nothing under them.
+	c.stepLeases(now, wall, l)
 	if len(members) > 0 || c.Members.Due() <= now {
-		c.member(c.Members.Step(now, members))
+		c.applyMembership(c.Members.Step(now, members))
 	}
-	for _, n := range c.arrived {
-		var load cargoLoad
+	for _, n := range c.receivedLoads {
+		var load dutyLoad
 		if Unmarshal(n.data, &load) == nil {
 			c.Duties.Heed(now, load.Common)
 			items = append(items, duties.Received{From: n.from, Page: duties.Page{Records: load.Records}})
 		}
 	}
-	c.arrived = nil
-	if v := c.Members.Version() + 1; v != c.seen {
-		c.view, c.seen = c.living(), v
+	c.receivedLoads = nil
+	if v := c.Members.Version() + 1; v != c.viewVersion {
+		c.view, c.viewVersion = c.eligibleMembers(), v
 		items = append(items, duties.View{Living: c.view})
-		c.lease(now, wall, leasing{tasks: []tasks.Input{c.crew()}})
-		limits = append(limits, c.alive())
-		stores = append(stores, c.others())
+		c.stepLeases(now, wall, leaseInputs{tasks: []tasks.Input{c.tasksView()}})
+		limits = append(limits, c.limitsView())
+		stores = append(stores, c.otherMembers())
 	}
 	if c.Stores != nil && (len(stores) > 0 || c.Stores.Due() <= now) {
 		for _, o := range c.Stores.Step(now, stores) {
@@ -285,7 +285,7 @@
 	}
 	if c.plan.Limits != nil && (len(limits) > 0 || c.plan.Limits.Due() <= now) {
 		for _, s := range c.plan.Limits.Step(now, limits) {
-			c.share(s)
+			c.sendLimits(s)
 		}
 	}
 	if len(items) > 0 || c.Duties.Due() <= now {
@@ -300,7 +300,7 @@
 	return c.out
 }
 
-func (c *Core) member(out []membership.Output) {
+func (c *Core) applyMembership(out []membership.Output) {
 	for _, o := range out {
 		switch v := o.(type) {
 		case membership.Send:
@@ -317,14 +317,14 @@
 	}
 }
 
-// leasing is what the leases, the tasks and the holds have for each other.
-type leasing struct {
+// leaseInputs holds the inputs that leases, tasks and holds have for each other.
+type leaseInputs struct {
 	leases []lease.Input
 	tasks  []tasks.Input
 	holds  []tasks.Input
 }
 
-func (l *leasing) order(o tasks.Order) {
+func (l *leaseInputs) addOrder(o tasks.Order) {
 	if tasks.ByHand(o.Lease) {
 		l.holds = append(l.holds, o)
 	} else {
@@ -332,14 +332,14 @@
 	}
 }
 
-// lease steps leases, tasks and holds until none has anything for another.
-func (c *Core) lease(now, wall float64, l leasing) {
+// stepLeases steps leases, tasks and holds until none has input for another.
+func (c *Core) stepLeases(now, wall float64, l leaseInputs) {
 	for first := true; first || len(l.leases)+len(l.tasks)+len(l.holds) > 0; first = false {
-		var next leasing
+		var next leaseInputs
 		for _, o := range c.Leases.Step(now, l.leases) {
 			switch v := o.(type) {
 			case lease.Send:
-				c.send(v)
+				c.sendLeases(v)
 			case lease.Store:
 				c.out = append(c.out, v)
 			default:
@@ -358,7 +358,7 @@
 			case lease.Want, lease.Write, lease.Drop:
 				next.leases = append(next.leases, o)
 			case tasks.Answer:
-				c.answer(v)
+				c.routeAnswer(v)
 			default:
 				c.out = append(c.out, o)
 			}
@@ -367,14 +367,14 @@
 	}
 }
 
-// send puts leases' messages into as few envelopes as hold them.
-func (c *Core) send(s lease.Send) {
+// sendLeases packs leases' messages into as few envelopes as possible.
+func (c *Core) sendLeases(s lease.Send) {
 	for begin, size, i := 0, 0, 0; i <= len(s.Messages); i++ {
 		n := 0
 		if i < len(s.Messages) {
-			n = sizeOf(s.Messages[i])
+			n = leaseMessageBytes(s.Messages[i])
 		}
-		if i == len(s.Messages) || i > begin && size+n > leasesAtOnce {
+		if i == len(s.Messages) || i > begin && size+n > maxMessageBytes {
 			c.post(s.To, Envelope{Leases: s.Messages[begin:i]})
 			begin, size = i, 0
 		}
@@ -382,14 +382,14 @@
 	}
 }
 
-// share puts limits' messages into as few envelopes as hold them.
-func (c *Core) share(s shares.Send) {
+// sendLimits packs limits' messages into as few envelopes as possible.
+func (c *Core) sendLimits(s shares.Send) {
 	for begin, size, i := 0, 0, 0; i <= len(s.Messages); i++ {
 		n := 0
 		if i < len(s.Messages) {
-			n = limitBytes + len(s.Messages[i].Limit) + len(s.Messages[i].Key)
+			n = limitOverheadBytes + len(s.Messages[i].Limit) + len(s.Messages[i].Key)
 		}
-		if i == len(s.Messages) || i > begin && size+n > leasesAtOnce {
+		if i == len(s.Messages) || i > begin && size+n > maxMessageBytes {
 			c.post(s.To, Envelope{Limits: s.Messages[begin:i]})
 			begin, size = i, 0
 		}
@@ -397,8 +397,8 @@
 	}
 }
 
-// others names the members that live beside this one. A suspect still counts.
-func (c *Core) others() (v verdicts.View) {
+// otherMembers lists the other members that are alive. A suspected member still counts.
+func (c *Core) otherMembers() (v verdicts.View) {
 	for _, w := range c.view {
 		if w.Name != c.plan.Name {
 			v.Living = append(v.Living, verdicts.Member{Name: w.Name})
@@ -407,8 +407,8 @@
 	return v
 }
 
-// note sends what the module tells to all that live.
-func (c *Core) note(n Note) {
+// sendNote sends a module's note to all members that are alive.
+func (c *Core) sendNote(n Note) {
 	for _, w := range c.view {
 		if w.Name != c.plan.Name && c.plan.Notes {
 			c.post(w.Name, Envelope{Note: n.Data})
@@ -416,16 +416,16 @@
 	}
 }
 
-// alive names the members that live.
-func (c *Core) alive() (v shares.View) {
+// limitsView lists the members that are alive.
+func (c *Core) limitsView() (v shares.View) {
 	for _, w := range c.view {
 		v.Living = append(v.Living, w.Name)
 	}
 	return v
 }
 
-// sizeOf bounds what a message takes: ten numbers of nine bytes at most, names, a note.
-func sizeOf(m lease.Message) int {
+// leaseMessageBytes bounds the encoded size of a message: ten numbers of at most nine bytes, names and a note.
+func leaseMessageBytes(m lease.Message) int {
 	n := 80 + len(m.Lease)
 	if m.Note != nil {
 		n += 32 + len(m.Note.Data)
@@ -433,59 +433,59 @@
 	return n
 }
 
-// ordered takes an operator's order; it goes to whoever holds the lease, again and again until that one answers.
-func (c *Core) ordered(o tasks.Order) {
-	if len(c.orders) >= ordersMost {
+// acceptOrder queues an operator's order. It is sent to the lease's holder repeatedly until that one answers.
+func (c *Core) acceptOrder(o tasks.Order) {
+	if len(c.orders) >= maxOrders {
 		c.out = append(c.out, tasks.Answer{ID: o.ID, Why: "too many orders are under way"})
 		return
 	}
-	c.orders[o.ID] = &ordered{Order: o, next: c.now, until: c.now + orderWithin}
+	c.orders[o.ID] = &pendingOrder{Order: o, nextTry: c.now, deadline: c.now + orderTimeoutMs}
 }
 
-func (c *Core) forward(l *leasing) {
+func (c *Core) forwardOrders(l *leaseInputs) {
 	for _, id := range slices.Sorted(maps.Keys(c.orders)) {
 		o := c.orders[id]
-		if c.now < o.next {
+		if c.now < o.nextTry {
 			continue
 		}
 		holder, _ := c.Leases.Holder(o.Lease)
 		switch {
-		case c.now >= o.until && holder == "":
-			c.answered(tasks.Answer{ID: id, Why: "nobody is known to hold that lease"})
-		case c.now >= o.until:
-			c.answered(tasks.Answer{ID: id, Why: fmt.Sprintf("no word from %s, who holds it: it may have been carried out or not", holder)})
+		case c.now >= o.deadline && holder == "":
+			c.finishOrder(tasks.Answer{ID: id, Why: "nobody is known to hold that lease"})
+		case c.now >= o.deadline:
+			c.finishOrder(tasks.Answer{ID: id, Why: fmt.Sprintf("no word from %s, who holds it: it may have been carried out or not", holder)})
 		case holder == c.plan.Name:
-			l.order(o.Order)
+			l.addOrder(o.Order)
 		case holder != "":
 			c.post(holder, Envelope{Order: &o.Order})
 		}
-		o.next = c.now + orderAgain
+		o.nextTry = c.now + orderRetryMs
 	}
 }
 
-// asked remembers who is to get the answer to an order.
-func (c *Core) asked(from string, id uint64) {
-	c.askers = append(c.askers, asker{from, id})
-	if len(c.askers) > ordersMost {
-		c.askers = slices.Delete(c.askers, 0, 1)
+// rememberSender records which member gets the answer to an order.
+func (c *Core) rememberSender(from string, id uint64) {
+	c.orderSenders = append(c.orderSenders, orderSender{from, id})
+	if len(c.orderSenders) > maxOrders {
+		c.orderSenders = slices.Delete(c.orderSenders, 0, 1)
 	}
 }
 
-func (c *Core) answer(a tasks.Answer) {
+func (c *Core) routeAnswer(a tasks.Answer) {
 	if c.orders[a.ID] != nil {
-		c.answered(a)
+		c.finishOrder(a)
 		return
 	}
-	for i, x := range c.askers {
+	for i, x := range c.orderSenders {
 		if x.id == a.ID {
 			c.post(x.name, Envelope{Answer: &a})
-			c.askers = slices.Delete(c.askers, i, i+1)
+			c.orderSenders = slices.Delete(c.orderSenders, i, i+1)
 			return
 		}
 	}
 }
 
-func (c *Core) answered(a tasks.Answer) {
+func (c *Core) finishOrder(a tasks.Answer) {
 	if c.orders[a.ID] != nil {
 		delete(c.orders, a.ID)
 		c.out = append(c.out, a)
@@ -507,8 +507,8 @@
 	return all
 }
 
-// living lists who may be given items: of a configured set its members alone.
-func (c *Core) living() []duties.Weighted {
+// eligibleMembers lists the live members that may get items: only configured ones if there is a roster.
+func (c *Core) eligibleMembers() []duties.Weighted {
 	var all []duties.Weighted
 	for _, m := range c.Members.Members() {
 		if _, listed := c.plan.Roster[m.Name]; m.Living() && (listed || len(c.plan.Roster) == 0) {
@@ -519,9 +519,9 @@
 	return all
 }
 
-// crew says who lives, in the order in which they should have a lease, and whether they are enough to be granted one: without that a member
-// would only keep others' votes from them.
-func (c *Core) crew() tasks.Crew {
+// tasksView ranks the live members as candidates for each lease, and states whether they are a majority: a candidate without a majority would only
+// block votes for others.
+func (c *Core) tasksView() tasks.Crew {
 	var living []duties.Weighted
 	for _, w := range c.view {
 		if c.plan.Roster[w.Name] != "" {
@@ -537,25 +537,25 @@
 	}}
 }
 
-// Busy says whether this member still holds a lease under which something may go on.
+// Busy reports whether this member holds a lease under which something may still run.
 func (c *Core) Busy() bool { return c.Tasks.Busy() || c.Holds.Open() > 0 }
 
-// cargo is what the duties send along with the members' messages.
-type cargo struct{ c *Core }
+// dutyPiggyback attaches the duties' records to membership messages.
+type dutyPiggyback struct{ core *Core }
 
-// cargoLoad is its form: the members' common time and records.
-type cargoLoad struct {
+// dutyLoad is the encoded form: the members' common time and the records.
+type dutyLoad struct {
 	Common  float64
 	Records []duties.Record
 }
 
-const loadBytes = 16 // of a load beside its records
+const loadOverheadBytes = 16 // size of a load without its records
 
-func (g cargo) Load(_ string, room int) []byte {
-	n := len(g.c.view)
-	load := cargoLoad{Common: g.c.Duties.Common(g.c.now),
-		Records: g.c.Duties.Records(g.c.now, room-loadBytes, retell*int(math.Ceil(math.Log10(float64(n+1)))))}
-	if room < loadBytes || len(g.c.plan.Duties) == 0 {
+func (g dutyPiggyback) Load(_ string, room int) []byte {
+	n := len(g.core.view)
+	load := dutyLoad{Common: g.core.Duties.Common(g.core.now),
+		Records: g.core.Duties.Records(g.core.now, room-loadOverheadBytes, sendsPerLog*int(math.Ceil(math.Log10(float64(n+1)))))}
+	if room < loadOverheadBytes || len(g.core.plan.Duties) == 0 {
 		return nil
 	}
 	data, err := Marshal(&load)
@@ -565,8 +565,8 @@
 	return data
 }
 
-func (g cargo) Urgent() bool { return g.c.Duties.Waiting() }
+func (g dutyPiggyback) Urgent() bool { return g.core.Duties.Waiting() }
 
-func (g cargo) Unload(from string, data []byte) {
-	g.c.arrived = append(g.c.arrived, sharedNews{from, data})
+func (g dutyPiggyback) Unload(from string, data []byte) {
+	g.core.receivedLoads = append(g.core.receivedLoads, receivedLoad{from, data})
 }
