--- a/internal/sharer/sharer.go
+++ b/internal/sharer/sharer.go
@@ -1,5 +1,5 @@
-// Package sharer runs one broker's part in shared duties: an actor that steps the core of package sharing, with the
-// carrier's datagrams, the clock and the broker round it.
+// Package sharer runs the state machine of package sharing in an actor: one goroutine that feeds it datagrams, the clock and the broker's inputs, and
+// carries out its outputs. It does network I/O by the carrier and stores records by its sinks.
 package sharer
 
 import (
@@ -22,36 +22,36 @@
 )
 
 const (
-	mailbox   = 512
-	batchMost = 64
-	// snapshotAfter is after how many votes all of them take the place of the log.
+	mailboxSize = 512
+	maxBatch    = 64
+	// snapshotAfter is the number of stored records after which a snapshot replaces the log.
 	snapshotAfter = 4096
-	leaveMost     = 3 * time.Second
+	leaveTimeout  = 3 * time.Second
 )
 
-// Work is what the broker does for the actor. None of it may keep the actor waiting.
+// Work holds the callbacks into the broker. None of them may block the actor.
 type Work struct {
-	// Turn begins an item of a duty; Finished must be called when it ends.
+	// Turn starts an item of a duty; Finished must be called when it ends.
 	Turn func(duty, item string)
-	// Heard brings what another member found, so many ms ago.
+	// Heard delivers another member's report, which is age ms old.
 	Heard func(duty, item, by string, age float64, report []byte)
-	// Begin begins an occurrence of a task; Ended must be called when nothing of it goes on any more, whatever ends it.
+	// Begin starts an occurrence of a task; Ended must be called when it has stopped entirely, for whatever reason.
 	Begin func(tasks.Begin)
-	// Extend lets one go on for longer, Cancel ends it.
+	// Extend prolongs an occurrence, Cancel stops it.
 	Extend func(tasks.Extend)
 	Cancel func(tasks.Cancel)
-	// Votes is where votes last; it is used by a goroutine of its own. Nil: votes are not stored.
+	// Votes stores votes on leases; a separate goroutine uses it. Nil: votes are not stored.
 	Votes lasting.Sink[lease.Record]
-	// Orders is where operators' orders on stores last; nil: they don't.
+	// Orders stores operators' orders on stores; nil: they are not stored.
 	Orders lasting.Sink[verdicts.Stored]
-	// Verdict is what the fleet holds of a store, Note what another broker's module tells.
+	// Verdict delivers a verdict on a store, Note a note of another broker's module.
 	Verdict func(verdicts.Verdict)
 	Note    func([]byte)
-	// Wall is the wall clock in ms.
+	// Wall returns the wall clock in ms.
 	Wall func() float64
 }
 
-// Actor is one broker's part. It is safe for several goroutines.
+// Actor runs one broker's member. It is safe for concurrent use.
 type Actor struct {
 	core    *sharing.Core
 	carrier *gossip.Carrier
@@ -59,27 +59,27 @@
 	work    Work
 	log     zerolog.Logger
 
-	mail     chan sharing.Input
-	ask      chan chan State
-	stop     chan struct{}
-	poke     chan struct{}
-	votes    *lasting.Queue[lease.Record]
-	ordersOn *lasting.Queue[verdicts.Stored]
-	given    uint64 // orders stored
-	unkept   int    // votes stored since the last snapshot
-	trusted  bool   // what is stored is all that counts, and that is stored too
-	ended    sync.WaitGroup
-	crowded  atomic.Int64
+	mail               chan sharing.Input
+	stateRequests      chan chan State
+	stop               chan struct{}
+	wake               chan struct{}
+	votes              *lasting.Queue[lease.Record]
+	storeOrders        *lasting.Queue[verdicts.Stored]
+	ordersStored       uint64 // number of orders stored
+	votesSinceSnapshot int    // votes stored since the last snapshot
+	trusted            bool   // the stored votes are complete, and this fact is stored too
+	goroutines         sync.WaitGroup
+	dropped            atomic.Int64
 
 	mu     sync.Mutex
-	orders map[uint64]chan tasks.Answer // that wait for an answer
-	holds  map[uint64]chan<- any        // who is to hear of a lease that is held by hand
+	orders map[uint64]chan tasks.Answer // orders that wait for an answer
+	holds  map[uint64]chan<- any        // receivers of events on leases held by hand
 }
 
-// State is what the control socket shows.
+// State is the state shown on the control socket.
 type State struct {
 	Self     membership.Member `json:"self"`
-	Health   int               `json:"health"` // 0: this member does well
+	Health   int               `json:"health"` // 0: healthy
 	Now      float64           `json:"now"`
 	Common   float64           `json:"common"` // the members' common time
 	Members  []membership.Seen `json:"members"`
@@ -90,90 +90,90 @@
 	Tasks    []tasks.View      `json:"tasks"`
 	Fenced   lease.Counts      `json:"fenced"`
 	Carrier  gossip.Counts     `json:"carrier"`
-	Crowded  int64             `json:"crowded"`  // datagrams that the mailbox had no room for
-	Verdicts []verdicts.Seen   `json:"verdicts"` // of stores that somebody holds something against, or that an operator has a word on
-	Tenants  []verdicts.Tenant `json:"tenants"`  // that somebody holds back
+	Crowded  int64             `json:"crowded"`  // datagrams dropped because the mailbox was full
+	Verdicts []verdicts.Seen   `json:"verdicts"` // of stores that some observer reports as not well, or that have an operator's order
+	Tenants  []verdicts.Tenant `json:"tenants"`  // tenants that some broker throttles
 	Judged   verdicts.Counts   `json:"judged"`
-	Gone     bool              `json:"gone"` // it has left, and said so for long enough
+	Gone     bool              `json:"gone"` // the member has left, and has announced it for long enough
 }
 
-// Start begins: from now on the carrier's port is served.
+// Start starts the actor and serves the carrier's port.
 func Start(plan sharing.Plan, carrier *gossip.Carrier, now func() float64, work Work, log zerolog.Logger) *Actor {
 	a := &Actor{core: sharing.New(plan), carrier: carrier, now: now, work: work, log: log,
-		poke: make(chan struct{}, 1), mail: make(chan sharing.Input, mailbox), ask: make(chan chan State), stop: make(chan struct{}),
+		wake: make(chan struct{}, 1), mail: make(chan sharing.Input, mailboxSize), stateRequests: make(chan chan State), stop: make(chan struct{}),
 		orders: map[uint64]chan tasks.Answer{}, holds: map[uint64]chan<- any{}}
 	if work.Votes != nil {
-		a.votes = lasting.NewQueue(work.Votes, func(upto uint64) { a.put(lease.Stored{Upto: upto}) }, func(err error) {
-			a.log.Error().Err(err).Msg("votes on leases can't be stored: this broker grants none any more, until it is started again")
-			a.put(lease.DiskLost{})
+		a.votes = lasting.NewQueue(work.Votes, func(upto uint64) { a.send(lease.Stored{Upto: upto}) }, func(err error) {
+			a.log.Error().Err(err).Msg("votes on leases can't be stored: this broker grants no leases until it restarts")
+			a.send(lease.DiskLost{})
 		})
 	}
 	if work.Orders != nil {
-		a.ordersOn = lasting.NewQueue(work.Orders, func(uint64) {}, func(err error) {
-			a.log.Error().Err(err).Msg("operators' orders on stores can't be stored: after a restart this broker hears of them from others alone")
+		a.storeOrders = lasting.NewQueue(work.Orders, func(uint64) {}, func(err error) {
+			a.log.Error().Err(err).Msg("operators' orders on stores can't be stored: after a restart this broker learns of them only from other brokers")
 		})
 	}
-	a.ended.Go(func() {
+	a.goroutines.Go(func() {
 		carrier.Run(func(addr string, e sharing.Envelope) {
 			select {
 			case a.mail <- sharing.Arrived{Addr: addr, Envelope: e}:
-			default: // lost like any datagram
-				a.crowded.Add(1)
+			default: // dropped, as any datagram may be
+				a.dropped.Add(1)
 			}
 		})
 	})
-	a.ended.Go(a.run)
+	a.goroutines.Go(a.run)
 	return a
 }
 
-func (a *Actor) put(in sharing.Input) {
+func (a *Actor) send(in sharing.Input) {
 	select {
 	case a.mail <- in:
 	case <-a.stop:
 	}
 }
 
-// Poke says that something is due earlier than it was. It never waits.
+// Poke makes the actor check again what is due. It never blocks.
 func (a *Actor) Poke() {
 	select {
-	case a.poke <- struct{}{}:
+	case a.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Offer gives the actor something that may be lost like a datagram: it never waits.
+// Offer passes an input to the actor, or drops it if the mailbox is full. It never blocks.
 func (a *Actor) Offer(in sharing.Input) {
 	select {
 	case a.mail <- in:
 	default:
-		a.crowded.Add(1)
+		a.dropped.Add(1)
 	}
 }
 
-// Give gives it something that may not be lost: it waits for room.
-func (a *Actor) Give(in sharing.Input) { a.put(in) }
+// Give passes an input to the actor and blocks while the mailbox is full.
+func (a *Actor) Give(in sharing.Input) { a.send(in) }
 
-// Items names all items of a duty.
+// Items sets all items of a duty.
 func (a *Actor) Items(duty string, items []string) {
-	a.put(duties.Items{Duty: duty, Items: slices.Clone(items)})
+	a.send(duties.Items{Duty: duty, Items: slices.Clone(items)})
 }
 
-// Finished tells how a Turn ended; a report of nil says nothing.
+// Finished reports the result of a Turn; a nil report means no result.
 func (a *Actor) Finished(duty, item string, report []byte) {
-	a.put(duties.Finished{Duty: duty, Item: item, Report: report})
+	a.send(duties.Finished{Duty: duty, Item: item, Report: report})
 }
 
-// Ended tells that nothing of an occurrence goes on any more.
-func (a *Actor) Ended(e tasks.Ended) { a.put(e) }
+// Ended reports that an occurrence has stopped entirely.
+func (a *Actor) Ended(e tasks.Ended) { a.send(e) }
 
-// Order has an operator's order carried out by whoever holds the lease, and waits for the answer.
+// Order sends an operator's order to the lease's holder and waits for the answer.
 func (a *Actor) Order(name string, do tasks.Do) tasks.Answer {
 	o := tasks.Order{ID: rand.Uint64(), Lease: name, Do: do}
 	reply := make(chan tasks.Answer, 1)
 	a.mu.Lock()
 	a.orders[o.ID] = reply
 	a.mu.Unlock()
-	a.put(o)
+	a.send(o)
 	select {
 	case v := <-reply:
 		return v
@@ -182,38 +182,38 @@
 	}
 }
 
-// Hold asks for a lease by hand. What becomes of it comes by the channel: tasks.Granted, tasks.Extended and tasks.Revoked. The channel has
-// to have room for some: of what finds none an Extended is left out, and anything else ends the hold.
+// Hold requests a lease by hand. The channel receives its events: tasks.Granted, tasks.Extended and tasks.Revoked. It has to be buffered, since
+// sending does not block: an Extended that does not fit is skipped, and the loss of any other event ends the hold.
 func (a *Actor) Hold(h tasks.Hold, events chan<- any) {
 	a.mu.Lock()
 	a.holds[h.ID] = events
 	a.mu.Unlock()
-	a.put(h)
+	a.send(h)
 }
 
-// Close ends a hold; clean says that nothing goes on under it.
+// Close ends a hold; clean means that nothing runs under it any more.
 func (a *Actor) Close(id uint64, clean bool) {
 	a.mu.Lock()
 	delete(a.holds, id)
 	a.mu.Unlock()
-	a.put(tasks.Close{ID: id, Clean: clean})
+	a.send(tasks.Close{ID: id, Clean: clean})
 }
 
-func (a *Actor) tellHold(id uint64, event any) {
+func (a *Actor) notifyHold(id uint64, event any) {
 	a.mu.Lock()
 	events := a.holds[id]
 	a.mu.Unlock()
 	select {
-	case events <- event: // a nil channel takes nothing
+	case events <- event: // sending to a nil channel never proceeds
 	default:
 	}
 }
 
-// State asks the actor for what it sees; false: it has ended.
+// State returns the actor's state, or false if the actor has stopped.
 func (a *Actor) State() (State, bool) {
 	reply := make(chan State, 1)
 	select {
-	case a.ask <- reply:
+	case a.stateRequests <- reply:
 		return <-reply, true
 	case <-a.stop:
 		return State{}, false
@@ -231,14 +231,14 @@
 		case in := <-a.mail:
 			batch = append(batch, in)
 		case <-timer.C:
-		case <-a.poke:
-		case reply := <-a.ask:
+		case <-a.wake:
+		case reply := <-a.stateRequests:
 			reply <- a.state()
 			continue
 		case <-a.stop:
 			return
 		}
-		for more := true; more && len(batch) < batchMost; {
+		for more := true; more && len(batch) < maxBatch; {
 			select {
 			case in := <-a.mail:
 				batch = append(batch, in)
@@ -246,7 +246,7 @@
 				more = false
 			}
 		}
-		a.carryOut(a.core.Step(a.now(), a.work.Wall(), batch))
+		a.apply(a.core.Step(a.now(), a.work.Wall(), batch))
 		if a.votes == nil {
 			continue
 		}
@@ -254,14 +254,14 @@
 			a.trusted = true
 			a.votes.Put(lasting.Order[lease.Record]{Trust: true})
 		}
-		if a.unkept >= snapshotAfter {
-			a.unkept = 0
+		if a.votesSinceSnapshot >= snapshotAfter {
+			a.votesSinceSnapshot = 0
 			a.votes.Put(lasting.Order[lease.Record]{All: a.core.Leases.Records()})
 		}
 	}
 }
 
-func (a *Actor) carryOut(out []sharing.Output) {
+func (a *Actor) apply(out []sharing.Output) {
 	for _, o := range out {
 		switch v := o.(type) {
 		case sharing.Post:
@@ -273,14 +273,14 @@
 		case verdicts.Verdict:
 			a.work.Verdict(v)
 		case verdicts.Stored:
-			if a.ordersOn == nil {
+			if a.storeOrders == nil {
 				break
 			}
-			a.given++
-			if o := (lasting.Order[verdicts.Stored]{Number: a.given, Record: v}); a.given%snapshotAfter == 0 {
-				a.ordersOn.Put(lasting.Order[verdicts.Stored]{All: a.core.Stores.Orders(a.work.Wall())})
+			a.ordersStored++
+			if o := (lasting.Order[verdicts.Stored]{Number: a.ordersStored, Record: v}); a.ordersStored%snapshotAfter == 0 {
+				a.storeOrders.Put(lasting.Order[verdicts.Stored]{All: a.core.Stores.Orders(a.work.Wall())})
 			} else {
-				a.ordersOn.Put(o)
+				a.storeOrders.Put(o)
 			}
 		case sharing.Note:
 			a.work.Note(v.Data)
@@ -291,11 +291,11 @@
 		case tasks.Cancel:
 			a.work.Cancel(v)
 		case tasks.Granted:
-			a.tellHold(v.ID, v)
+			a.notifyHold(v.ID, v)
 		case tasks.Extended:
-			a.tellHold(v.ID, v)
+			a.notifyHold(v.ID, v)
 		case tasks.Revoked:
-			a.tellHold(v.ID, v)
+			a.notifyHold(v.ID, v)
 		case tasks.Answer:
 			a.mu.Lock()
 			if reply := a.orders[v.ID]; reply != nil {
@@ -305,10 +305,10 @@
 			a.mu.Unlock()
 		case lease.Store:
 			a.votes.Put(lasting.Order[lease.Record]{Number: v.Number, Record: v.Record})
-			a.unkept++
+			a.votesSinceSnapshot++
 		case membership.Changed:
 			a.log.Info().Str("member", v.Member.Name).Str("addr", v.Member.Addr).Stringer("is", v.Member.State).
-				Stringer("was", v.Was).Str("by", v.Member.By).Msg("a member is seen differently")
+				Stringer("was", v.Was).Str("by", v.Member.By).Msg("member state changed")
 		}
 	}
 }
@@ -318,17 +318,17 @@
 		Members: a.core.Members.Members(), Duties: a.core.Duties.Shares(), Leases: a.core.Leases.Views(),
 		Tasks:  a.core.Tasks.Views(a.core.Leases.Note),
 		Counts: a.core.Members.Counts, Done: a.core.Duties.Counts, Fenced: a.core.Leases.Counts,
-		Carrier: a.carrier.Counts(), Crowded: a.crowded.Load(), Gone: a.core.Members.Gone() && !a.core.Busy()}
+		Carrier: a.carrier.Counts(), Crowded: a.dropped.Load(), Gone: a.core.Members.Gone() && !a.core.Busy()}
 	if a.core.Stores != nil {
 		s.Verdicts, s.Tenants, s.Judged = a.core.Stores.Seen(), a.core.Stores.Tenants(), a.core.Stores.Counts
 	}
 	return s
 }
 
-// Stop leaves with a word to the others, and ends.
+// Stop announces to the others that this member leaves, and stops the actor.
 func (a *Actor) Stop() {
-	a.put(sharing.Leave{})
-	for begun := time.Now(); time.Since(begun) < leaveMost; time.Sleep(10 * time.Millisecond) {
+	a.send(sharing.Leave{})
+	for begun := time.Now(); time.Since(begun) < leaveTimeout; time.Sleep(10 * time.Millisecond) {
 		if s, running := a.State(); !running || s.Gone {
 			break
 		}
@@ -336,15 +336,15 @@
 	a.Kill()
 }
 
-// Kill ends without a word.
+// Kill stops the actor without an announcement.
 func (a *Actor) Kill() {
 	close(a.stop)
 	a.carrier.Close()
 	if a.votes != nil {
 		a.votes.Close()
 	}
-	if a.ordersOn != nil {
-		a.ordersOn.Close()
+	if a.storeOrders != nil {
+		a.storeOrders.Close()
 	}
-	a.ended.Wait()
+	a.goroutines.Wait()
 }
