--- a/internal/explore/race_test.go
+++ b/internal/explore/race_test.go
@@ -2,4 +2,4 @@
 
 package explore
 
-func init() { most = 4000 } // the race detector makes a state ten times as dear; .ci/run explores without it
+func init() { maxStates = 4000 } // the race detector makes a state ten times as expensive; .ci/run explores without it
