--- a/scripts/beside-load.sh
+++ b/scripts/beside-load.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Plays all tests of cmd/gullstair beside busy processes: beside-load.sh [TIMES] [PROCESSES]. A line for each time, and what a failed
-# one wrote. It fails if one failed.
+# Runs all tests of cmd/gullstair next to CPU-bound processes: beside-load.sh [TIMES] [PROCESSES].
+# Prints one line per run, and the output of a failed run. Exits with 1 if any run failed.
 set -euo pipefail
 cd "$(dirname "$0")/../cmd/gullstair"
 times=${1:-5} processes=${2:-24}
--- a/scripts/gone-names.sh
+++ b/scripts/gone-names.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Lists the code words (in backticks) of README.md and docs/ that are words of the Go sources of an earlier revision and of no source
-# now: gone-names.sh REVISION. The glossary is left out, since it gives old names. Fails if there are any.
+# Lists outdated identifiers in README.md and docs/: gone-names.sh REVISION.
+# An identifier is outdated if it stands in backticks, occurs in the sources of the given revision, and occurs in no source
+# now. The glossary is skipped, since it lists old names. Exits with 1 if there are any.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 revision=$1
