--- a/cmd/measure/capacity.go
+++ b/cmd/measure/capacity.go
@@ -14,11 +14,11 @@
 	"gullstair/logic"
 )
 
-// capacityCmd measures the slopes of docs/CAPACITY.md that one process can show.
+// capacityCmd measures the growth rates of docs/CAPACITY.md that a single process can show.
 type capacityCmd struct {
 	Nodes   []int `default:"300,900,2700" help:"Sizes of the node list."`
 	Members []int `default:"5,60,180" help:"Sizes of the fleet, for limits of many tenants."`
-	Blocks  []int `default:"250000,1000000,4000000" help:"Entries of an index of kept blocks, held in a plain map."`
+	Blocks  []int `default:"250000,1000000,4000000" help:"Entries of an index of cached blocks in a plain map."`
 	Queries int   `default:"2000" help:"Queries played at each size of the node list."`
 }
 
@@ -51,36 +51,36 @@
 	return w.Flush()
 }
 
-// coreCost is what a broker's core and decision module cost at one size of the list.
+// coreCost is the cost of a broker's core and decision module at one size of the node list.
 type coreCost struct {
 	listKB, wholeMs, changeMs, queryUs, openKB float64
 }
 
 const (
-	replicas      = 3 // holders of a shard
+	replicas      = 3 // replicas of a shard
 	partsOfQuery  = 4
 	openAtOnce    = 500
-	measuredFor   = 20 // lists, changes
+	coreRepeats   = 20 // whole lists, and single changes
 	coreClock     = 1e12
 	queryEvery    = 2.0 // ms of virtual time
 	answeredAfter = 40.0
 	timeLeft      = 3000.0
 )
 
-// heapNow is the memory in use after a collection.
-func heapNow() float64 {
+// heapInUse returns the bytes in use after a garbage collection.
+func heapInUse() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc)
 }
 
-// startTree is a start file for a deployment of so many nodes in sets of three.
+// startTree returns a start file for a deployment of this many nodes in sets of three.
 func startTree(nodes int) map[string]any {
 	class := map[string]any{"name": "board", "aim": 1.5, "deadline": 4.0, "worth": 1.0, "lateWorth": 0.1, "semantics": "idempotent", "memorySpan": 5.0}
 	return map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 256, "sockets": 8192},
-		"known":  map[string]any{"seq": 1, "whole": true, "hosts": hostLines(nodes, "SERVING")},
+		"known":  map[string]any{"seq": 1, "whole": true, "hosts": hostList(nodes, "SERVING")},
 		"settings": map[string]any{"areas": []any{"west", "east"}, "kinds": []any{"std"}, "layers": []any{"stores"}, "accounts": []any{},
 			"balancers": 360, "ordinal": 0, "zone": 0, "granularity": 0.005, "countedBy": "request", "discovery": "automatic", "domainType": "fanout",
 			"overShareWorth": 0.1,
@@ -94,8 +94,8 @@
 				"stopSendingWithin": 0.5}, "weights": "silent"}}
 }
 
-// hostLines are the lines of a list.
-func hostLines(nodes int, health string) (hosts []any) {
+// hostList returns the entries of a node list.
+func hostList(nodes int, health string) (hosts []any) {
 	for i := range nodes {
 		hosts = append(hosts, map[string]any{"host": fmt.Sprint("s-", i), "dial": fmt.Sprintf("127.0.%d.%d:9", i/250, 1+i%250), "site": "west",
 			"class": "std", "block": i % (nodes / replicas), "health": health, "share": 1, "born_ms": 0})
@@ -103,25 +103,25 @@
 	return hosts
 }
 
-// coreRig drives a core in virtual time; its nodes answer after a while.
-type coreRig struct {
-	core *core.Core
-	now  float64
-	due  []core.CallPart
-	at   []float64
+// coreDriver drives a core in virtual time; its nodes answer after a fixed time.
+type coreDriver struct {
+	core    *core.Core
+	now     float64
+	pending []core.CallPart
+	dueAt   []float64
 }
 
-// step gives the core what is due and what comes in.
-func (r *coreRig) step(wait float64, in ...core.Input) {
+// step advances the time and passes the answers that are due and the given inputs to the core.
+func (r *coreDriver) step(wait float64, in ...core.Input) {
 	r.now += wait
-	for len(r.due) > 0 && r.at[0] <= r.now {
-		in = append(in, core.Ended{Ref: r.due[0].Ref, How: core.Answered, At: r.now, Value: "v"})
-		r.due, r.at = r.due[1:], r.at[1:]
+	for len(r.pending) > 0 && r.dueAt[0] <= r.now {
+		in = append(in, core.Ended{Ref: r.pending[0].Ref, How: core.Answered, At: r.now, Value: "v"})
+		r.pending, r.dueAt = r.pending[1:], r.dueAt[1:]
 	}
 	for _, o := range r.core.Step(r.now, in) {
 		if call, is := o.(core.Call); is {
 			for _, p := range call.Parts {
-				r.due, r.at = append(r.due, p), append(r.at, r.now+answeredAfter)
+				r.pending, r.dueAt = append(r.pending, p), append(r.dueAt, r.now+answeredAfter)
 			}
 		}
 	}
@@ -135,38 +135,38 @@
 	return s
 }
 
-// measureCore plays lists and queries at one size.
+// measureCore plays node lists and queries at one list size.
 func measureCore(nodes, queries int) (cost coreCost, err error) {
 	text, err := json.Marshal(startTree(nodes))
 	if err != nil {
 		return cost, err
 	}
-	told, err := config.Parse(text, func(string) string { return "" })
+	cfg, err := config.Parse(text, func(string) string { return "" })
 	if err != nil {
 		return cost, err
 	}
-	known := told.Known.Nodes(func(string, string) {})
-	before := heapNow()
-	r := &coreRig{core: core.New(told.Site, told.Flat, told.Seed, known), now: coreClock}
+	known := cfg.Known.Nodes(func(string, string) {})
+	before := heapInUse()
+	r := &coreDriver{core: core.New(cfg.Site, cfg.Flat, cfg.Seed, known), now: coreClock}
 	r.step(0)
-	cost.listKB = (heapNow() - before) / 1024
-	cost.wholeMs = timed(measuredFor, func(int) { r.step(1, core.List{Kind: logic.ListWhole, Nodes: known}) }) / 1e6
-	cost.changeMs = timed(measuredFor, func(i int) {
+	cost.listKB = (heapInUse() - before) / 1024
+	cost.wholeMs = nanosecondsPer(coreRepeats, func(int) { r.step(1, core.List{Kind: logic.ListWhole, Nodes: known}) }) / 1e6
+	cost.changeMs = nanosecondsPer(coreRepeats, func(i int) {
 		r.step(1, core.List{Kind: logic.ListChanges, Nodes: known[i : i+1]})
 	}) / 1e6
-	cost.queryUs = timed(queries, func(i int) { r.step(queryEvery, query(i, nodes, r.now)) }) / 1e3
+	cost.queryUs = nanosecondsPer(queries, func(i int) { r.step(queryEvery, query(i, nodes, r.now)) }) / 1e3
 	r.step(answeredAfter)
-	before = heapNow()
+	before = heapInUse()
 	for i := range openAtOnce {
 		r.step(0, query(queries+i, nodes, r.now))
 	}
-	cost.openKB = (heapNow() - before) / 1024 / openAtOnce
+	cost.openKB = (heapInUse() - before) / 1024 / openAtOnce
 	runtime.KeepAlive(r)
 	return cost, nil
 }
 
-// timed is how many ns one of n takes.
-func timed(n int, do func(i int)) float64 {
+// nanosecondsPer returns the mean time of one of n calls, in ns.
+func nanosecondsPer(n int, do func(i int)) float64 {
 	begun := time.Now()
 	for i := range n {
 		do(i)
@@ -174,26 +174,26 @@
 	return float64(time.Since(begun)) / float64(n)
 }
 
-// measureMap holds an index of kept blocks, by a hash of 64 bits, in a plain map to the number of a node and the block's
-// age. It is not part of the broker: it gives the size that a compact structure is to be weighed against.
+// measureMap builds an index of cached blocks as a plain map from a 64-bit hash to a node number and the block's age.
+// The broker does not use it: it is the baseline for the size of a compact structure.
 func measureMap(entries int) (bytes, ns float64) {
 	type place struct{ node, _ uint32 }
-	before := heapNow()
+	before := heapInUse()
 	index := map[uint64]place{}
 	for i := range entries {
-		index[mixed(uint64(i))] = place{node: uint32(i % 2700)}
+		index[mixHash(uint64(i))] = place{node: uint32(i % 2700)}
 	}
-	bytes = (heapNow() - before) / float64(entries)
-	ns = timed(entries, func(i int) { // an old block goes, a new one comes
-		delete(index, mixed(uint64(i)))
-		index[mixed(uint64(i+entries))] = place{}
+	bytes = (heapInUse() - before) / float64(entries)
+	ns = nanosecondsPer(entries, func(i int) { // an old block is removed, a new one is added
+		delete(index, mixHash(uint64(i)))
+		index[mixHash(uint64(i+entries))] = place{}
 	})
 	runtime.KeepAlive(index)
 	return bytes, ns
 }
 
-// mixed spreads numbers as hashes are spread.
-func mixed(x uint64) uint64 {
+// mixHash spreads consecutive numbers like hashes.
+func mixHash(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
 	x ^= x >> 27
--- a/cmd/measure/capacity_test.go
+++ b/cmd/measure/capacity_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The measured core serves the queries that it is measured by, and costs more with a longer list.
+// TestMeasureCore checks that the measured core serves the queries, and costs more with a longer list.
 func TestMeasureCore(t *testing.T) {
 	small, err := measureCore(30, 50)
 	require.NoError(t, err)
@@ -21,6 +21,6 @@
 
 func TestMeasureMap(t *testing.T) {
 	bytes, ns := measureMap(100000)
-	assert.Greater(t, bytes, 16.0, "a key and a place at least")
+	assert.Greater(t, bytes, 16.0, "an entry needs at least the size of a key and a value")
 	assert.Positive(t, ns)
 }
--- a/cmd/measure/fleet.go
+++ b/cmd/measure/fleet.go
@@ -26,22 +26,22 @@
 	"gullstair/internal/sharer"
 )
 
-// fleetCmd measures what the members' control traffic costs a broker, on real processes beside hollow brokers: brokers
-// without clients, all in the process of this command.
+// fleetCmd measures the cost of the members' control traffic for a broker. It runs real broker processes next to
+// hollow brokers, which have no clients and all run inside the process of this command.
 type fleetCmd struct {
 	Members []int         `default:"30,120,360" help:"Sizes of the fleet."`
-	Real    int           `default:"3" help:"Brokers that are processes of their own."`
-	Nodes   int           `default:"2700" help:"Nodes on the list of the real ones."`
-	Settle  time.Duration `default:"20s" help:"How long a fleet may take until all see each other, before it is measured."`
-	Span    time.Duration `default:"15s" help:"How long it is measured."`
-	Program string        `default:"bin/gullstair" help:"The broker." type:"path"`
+	Real    int           `default:"3" help:"Number of real brokers, each a process of its own."`
+	Nodes   int           `default:"2700" help:"Nodes on the list of the real brokers."`
+	Settle  time.Duration `default:"20s" help:"Time for all members to see each other before the measurement."`
+	Span    time.Duration `default:"15s" help:"Duration of the measurement."`
+	Program string        `default:"bin/gullstair" help:"Path of the broker program." type:"path"`
 }
 
 const (
 	hollowNodes  = 12
 	realMB       = 256
-	hollowMB     = 8192 // the process's: all hollow brokers share it
-	clockTicks   = 100  // of a second, in /proc
+	hollowMB     = 8192 // of the process, which all hollow brokers share
+	clockTicks   = 100  // per second, in /proc
 	pageKB       = 4
 	memoryFields = 24
 )
@@ -54,7 +54,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(w, "%d\t%d\t%.1f\t%.0f\t%.0f\t%.2f\t%.1f\t%.2f\n", n, m.seen, m.datagrams, m.bytesOut, m.bytesIn, m.core, m.memory, m.hollow)
+		fmt.Fprintf(w, "%d\t%d\t%.1f\t%.0f\t%.0f\t%.2f\t%.1f\t%.2f\n", n, m.fewestSeen, m.datagrams, m.bytesOut, m.bytesIn, m.core, m.memory, m.hollow)
 		if err := w.Flush(); err != nil {
 			return err
 		}
@@ -62,13 +62,13 @@
 	return nil
 }
 
-// fleetCost is what one real broker of a fleet costs, the mean of all.
+// fleetCost is the mean cost of one real broker of a fleet.
 type fleetCost struct {
-	seen                                               int // members that the one that sees fewest sees live
+	fewestSeen                                         int // smallest number of live members that any real broker sees
 	datagrams, bytesOut, bytesIn, core, memory, hollow float64
 }
 
-// fleetRun is one fleet that runs.
+// fleetRun is a running fleet.
 type fleetRun struct {
 	dir    string
 	agent  net.Listener
@@ -90,19 +90,19 @@
 		return cost, err
 	}
 	time.Sleep(c.Settle)
-	first, err := r.look()
+	first, err := r.sample()
 	if err != nil {
 		return cost, err
 	}
 	time.Sleep(c.Span)
-	last, err := r.look()
+	last, err := r.sample()
 	if err != nil {
 		return cost, err
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	span := c.Span.Seconds() * float64(c.Real)
-	cost.seen = last.seen
+	cost.fewestSeen = last.seen
 	cost.datagrams = float64(last.sent-first.sent) / span
 	cost.bytesOut, cost.bytesIn = float64(last.out-first.out)/span, float64(last.in-first.in)/span
 	cost.core = float64(last.ticks-first.ticks) / clockTicks / span * 100
@@ -111,7 +111,7 @@
 	return cost, nil
 }
 
-// start starts a fleet: the first members are real.
+// start starts a fleet; the first c.Real members are real.
 func (c *fleetCmd) start(members int) (*fleetRun, error) {
 	r := &fleetRun{}
 	var err error
@@ -167,20 +167,20 @@
 	if err != nil {
 		return err
 	}
-	told, err := config.Parse(start, func(string) string { return "" })
+	cfg, err := config.Parse(start, func(string) string { return "" })
 	if err != nil {
 		return err
 	}
-	doc, err := features.Parse([]byte(text), "hollow.hcl", told.Name)
+	doc, err := features.Parse([]byte(text), "hollow.hcl", cfg.Name)
 	if err != nil {
 		return err
 	}
-	b, err := broker.Start(told, doc, zerolog.Nop())
+	b, err := broker.Start(cfg, doc, zerolog.Nop())
 	if err != nil {
 		return err
 	}
 	r.hollow = append(r.hollow, b)
-	runtime.GOMAXPROCS(max(1, runtime.NumCPU()/2)) // the broker has set it to its own one
+	runtime.GOMAXPROCS(max(1, runtime.NumCPU()/2)) // the broker has set it for its own process
 	return nil
 }
 
@@ -195,7 +195,7 @@
 	return json.Marshal(tree)
 }
 
-// fleetFeatures is a member's document: membership, verdicts, and a limit for each tenant.
+// fleetFeatures returns a member's features document: membership, verdicts, and a limit for each tenant.
 func fleetFeatures(addresses []string, i int) string {
 	var members strings.Builder
 	for j, addr := range addresses {
@@ -206,7 +206,7 @@
 		addresses[i], members.String(), secret)
 }
 
-// serveLists is a discovery in which nothing changes.
+// serveLists runs a discovery server whose node list never changes.
 func serveLists() (net.Listener, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -224,14 +224,14 @@
 	return ln, nil
 }
 
-// fleetLook is what all real brokers together have done so far, and hold.
-type fleetLook struct {
+// fleetSample holds the counters and the memory of all real brokers in total.
+type fleetSample struct {
 	sent, out, in int64
 	ticks, pages  int
 	seen          int
 }
 
-func (r *fleetRun) look() (l fleetLook, err error) {
+func (r *fleetRun) sample() (l fleetSample, err error) {
 	l.seen = 1 << 30
 	for i, p := range r.real {
 		var s sharer.State
@@ -255,7 +255,7 @@
 	return l, nil
 }
 
-// processCost reads a process's processor time, in ticks, and its resident pages.
+// processCost returns the CPU time of a process in clock ticks and its resident pages.
 func processCost(pid int) (ticks, pages int, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -279,7 +279,7 @@
 	for _, b := range r.hollow {
 		go b.Stop(0)
 	}
-	time.Sleep(3 * time.Second) // those that leave say so
+	time.Sleep(3 * time.Second) // lets the hollow brokers announce their departure
 	if r.agent != nil {
 		r.agent.Close()
 	}
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,4 +1,5 @@
-// Command measure takes the measurements of docs/results.md that need no bench: run it with -h.
+// Command measure runs the measurements of docs/results.md that need no separate benchmark setup. Run it with -h for
+// its subcommands.
 package main
 
 import (
@@ -19,19 +20,19 @@
 )
 
 type commands struct {
-	Members   membersCmd   `cmd:"" help:"Detection, false suspicions and traffic of membership, by members and loss, in virtual time."`
-	Scenarios scenariosCmd `cmd:"" help:"Every scenario that comes with the program in virtual time: the broker beside the plain rules."`
-	Leases    leasesCmd    `cmd:"" help:"Takeover of a lease after a kill and an orderly leave, the gap after a restart of all, and messages by leases, in virtual time."`
-	Limits    limitsCmd    `cmd:"" help:"Ways to share a limit among members on the same days: used, over, followed, messages, in virtual time."`
-	Verdicts  verdictsCmd  `cmd:"" help:"Scenarios of verdicts with brokers that tell each other nothing, notes, verdicts and both, over seeds, in virtual time."`
+	Members   membersCmd   `cmd:"" help:"Failure detection, false suspicions and traffic of the membership protocol, by members and loss, in virtual time."`
+	Scenarios scenariosCmd `cmd:"" help:"Every scenario that comes with the program, in virtual time: the broker compared with baseline policies."`
+	Leases    leasesCmd    `cmd:"" help:"Takeover time of a lease after a kill and after an orderly shutdown, the gap after a restart of all, and the message rate by leases, in virtual time."`
+	Limits    limitsCmd    `cmd:"" help:"Ways to share a limit among members under the same load: utilization, excess, time to follow demand, and messages, in virtual time."`
+	Verdicts  verdictsCmd  `cmd:"" help:"Scenarios of store failures with brokers that share nothing, notes, verdicts or both, over seeds, in virtual time."`
 	Duties    dutiesCmd    `cmd:"" help:"Probes saved, items moved, takeover and traffic of shared probing, in virtual time."`
-	Capacity  capacityCmd  `cmd:"" help:"State and time of the core by nodes, limits of many tenants by members, and a plain map of kept blocks: slopes of docs/CAPACITY.md."`
-	Fleet     fleetCmd     `cmd:"" help:"Control traffic, processor time and memory of real brokers beside hollow ones that share a process, by members, on loopback."`
+	Capacity  capacityCmd  `cmd:"" help:"Memory and time of the core by nodes, limits of many tenants by members, and a plain map of cached blocks, for docs/CAPACITY.md."`
+	Fleet     fleetCmd     `cmd:"" help:"Control traffic, CPU time and memory of real brokers next to hollow ones that share a process, by members, on loopback."`
 }
 
 type membersCmd struct {
-	Kills int    `default:"9" help:"Members killed at each size and loss."`
-	Seed  uint64 `default:"1" help:"For chance."`
+	Kills int    `default:"9" help:"Number of members killed at each size and loss."`
+	Seed  uint64 `default:"1" help:"Random seed."`
 }
 
 func (c *membersCmd) Run(out io.Writer) error {
@@ -51,8 +52,8 @@
 }
 
 type leasesCmd struct {
-	Tries int    `default:"200" help:"Holders ended at each number of voters and term."`
-	Seed  uint64 `default:"1" help:"For chance."`
+	Tries int    `default:"200" help:"Number of holders ended at each number of voters and term."`
+	Seed  uint64 `default:"1" help:"Random seed."`
 }
 
 func (c *leasesCmd) Run(out io.Writer) error {
@@ -77,15 +78,15 @@
 }
 
 type limitsCmd struct {
-	Seeds   int         `default:"3" help:"Plays of each day."`
-	Members []int       `default:"5,60" help:"Members of the fleets."`
+	Seeds   int         `default:"3" help:"Number of seeds for each day."`
+	Members []int       `default:"5,60" help:"Fleet sizes."`
 	Size    float64     `default:"200" help:"The limit, in scans a second."`
-	Ways    []trial.Way `default:"fixed share,escrow,leader,gossip,each alone" help:"Ways to share it. Gossip's messages grow with the members: leave it out where they are many."`
-	Tenants bool        `help:"Instead: what 1,000 and 10,000 keys of one limit cost."`
-	Plot    string      `help:"Instead: draw a split with loans out under each way into this SVG file." placeholder:"FILE"`
+	Ways    []trial.Way `default:"fixed share,escrow,leader,gossip,each alone" help:"Ways to share the limit. The messages of gossip grow with the members: omit it for large fleets."`
+	Tenants bool        `help:"Measure the cost of 1,000 and 10,000 keys of one limit instead."`
+	Plot    string      `help:"Draw a partition with outstanding loans under each way into this SVG file instead." placeholder:"FILE"`
 }
 
-// mean is of a day's plays under one way; Over and Follow are the largest.
+// mean plays a day with one way of sharing under all seeds and returns the means; Over and Follow are maxima.
 func (c *limitsCmd) mean(d trial.Day, way trial.Way) trial.Played {
 	sum := trial.Played{Way: way}
 	for seed := range c.Seeds {
@@ -132,7 +133,7 @@
 				rows, names = append(rows, trial.Played{Way: way}), append(names, d.Name)
 			}
 		}
-		var group errgroup // each day is a world of its own
+		var group errgroup // the days are independent of each other
 		for i, d := range trial.Days(n, c.Size) {
 			for j, way := range c.Ways {
 				group.run(func() error {
@@ -159,7 +160,7 @@
 }
 
 type dutiesCmd struct {
-	Seed uint64 `default:"1" help:"For chance."`
+	Seed uint64 `default:"1" help:"Random seed."`
 }
 
 func (c *dutiesCmd) Run(out io.Writer) error {
@@ -174,7 +175,7 @@
 }
 
 type scenariosCmd struct {
-	Seeds int `default:"4" help:"Seeds, from 1 on; figures are their means."`
+	Seeds int `default:"4" help:"Number of seeds, from 1 on; the figures are means."`
 }
 
 func (c *scenariosCmd) Run(out io.Writer) error {
@@ -232,19 +233,19 @@
 	return nil
 }
 
-// errgroup runs functions together, as many as there are cores, and keeps the first error.
+// errgroup runs functions concurrently, at most one per core, and keeps the first error.
 type errgroup struct {
 	wg   sync.WaitGroup
 	once sync.Once
 	err  error
 }
 
-var room = make(chan struct{}, runtime.NumCPU())
+var cpuSlots = make(chan struct{}, runtime.NumCPU())
 
 func (g *errgroup) run(f func() error) {
 	g.wg.Go(func() {
-		room <- struct{}{}
-		defer func() { <-room }()
+		cpuSlots <- struct{}{}
+		defer func() { <-cpuSlots }()
 		if err := f(); err != nil {
 			g.once.Do(func() { g.err = err })
 		}
--- a/cmd/measure/page.go
+++ b/cmd/measure/page.go
@@ -17,23 +17,23 @@
 	"gullstair/internal/emulator"
 )
 
-// day is a scenario as it went with sharing off and on, the same draws in both.
-type day struct {
+// comparison holds the runs of a scenario with sharing off and on, with the same random draws.
+type comparison struct {
 	Name, About string
 	Brokers     int
-	Sides       []side
+	Sides       []runView
 }
 
-type side struct {
+type runView struct {
 	Name    string
 	F       emulator.Figures
 	Service template.HTML // SVG
 	Parts   template.HTML
 }
 
-const sideWide, sideHigh = 15 * vg.Centimeter, 6 * vg.Centimeter
+const chartWidth, chartHeight = 15 * vg.Centimeter, 6 * vg.Centimeter
 
-var pageForm = template.Must(template.New("page").Parse(`<!DOCTYPE html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><meta charset="utf-8"><title>Verdicts shared by the fleet</title>
 <style>body{font:15px sans-serif;margin:2em;max-width:76em}table{border-collapse:collapse}td,th{padding:.2em .8em;text-align:left;vertical-align:top}th{font-weight:600}svg{max-width:100%;height:auto}</style>
 <h1>A fault's day with sharing off and on</h1>
@@ -45,9 +45,10 @@
 {{end}}</html>
 `))
 
-// drawSide draws a run's windows. Most is the largest number of parts in any window of both sides, so that they compare.
-func drawSide(name string, f emulator.Figures, least float64, most int) (s side, err error) {
-	s = side{Name: name, F: f}
+// drawRun draws the windows of a run. most is the largest number of parts in any window of both runs, so that both
+// charts have the same scale.
+func drawRun(name string, f emulator.Figures, least float64, most int) (s runView, err error) {
+	s = runView{Name: name, F: f}
 	var service, parts plotter.XYs
 	for _, w := range f.Windows {
 		if w.Asked > 0 {
@@ -55,38 +56,38 @@
 		}
 		parts = append(parts, plotter.XY{X: w.From / 1000, Y: float64(w.Struck)})
 	}
-	if s.Service, err = svg("service", "of the benefit", service, least, 1, 0); err != nil {
+	if s.Service, err = lineChart("service", "of the benefit", service, least, 1, 0); err != nil {
 		return s, err
 	}
-	s.Parts, err = svg("parts to stores that fail", "parts", parts, 0, float64(max(1, most)), 1)
+	s.Parts, err = lineChart("parts to stores that fail", "parts", parts, 0, float64(max(1, most)), 1)
 	return s, err
 }
 
-func svg(title, unit string, pts plotter.XYs, least, most float64, n int) (template.HTML, error) {
+func lineChart(title, unit string, pts plotter.XYs, least, most float64, n int) (template.HTML, error) {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", unit
 	p.Y.Min, p.Y.Max = least, most
 	l, err := plotter.NewLine(pts)
 	if err != nil {
-		return "", fmt.Errorf("the plot: %w", err)
+		return "", fmt.Errorf("draw the plot: %w", err)
 	}
 	l.Color, l.Width, l.StepStyle = plotutil.Color(n), vg.Points(1.5), plotter.PostStep
 	grid := plotter.NewGrid()
 	grid.Horizontal.Color, grid.Vertical.Color = color.Gray{220}, color.Gray{235}
 	p.Add(grid, l)
-	canvas := vgsvg.New(sideWide, sideHigh)
+	canvas := vgsvg.New(chartWidth, chartHeight)
 	p.Draw(draw.New(canvas))
 	var b bytes.Buffer
 	if _, err := canvas.WriteTo(&b); err != nil {
-		return "", fmt.Errorf("the plot: %w", err)
+		return "", fmt.Errorf("draw the plot: %w", err)
 	}
-	_, body, _ := bytes.Cut(b.Bytes(), []byte("?>")) // no XML head within a page
+	_, body, _ := bytes.Cut(b.Bytes(), []byte("?>")) // strips the XML header, since the SVG is embedded in a page
 	return template.HTML(body), nil
 }
 
-// compared puts two runs of a day side by side.
-func compared(name, about string, brokers int, off, on emulator.Figures, how string) (day, error) {
-	d := day{Name: name, About: about, Brokers: brokers}
+// compareRuns builds the comparison of two runs of a scenario.
+func compareRuns(name, about string, brokers int, off, on emulator.Figures, how string) (comparison, error) {
+	d := comparison{Name: name, About: about, Brokers: brokers}
 	least, most := 1.0, 0
 	for _, f := range []emulator.Figures{off, on} {
 		for _, w := range f.Windows {
@@ -100,7 +101,7 @@
 		name string
 		f    emulator.Figures
 	}{{"sharing off", off}, {"sharing on (" + how + ")", on}} {
-		s, err := drawSide(x.name, x.f, max(0, least-0.02), most)
+		s, err := drawRun(x.name, x.f, max(0, least-0.02), most)
 		if err != nil {
 			return d, err
 		}
@@ -109,11 +110,11 @@
 	return d, nil
 }
 
-// writePage writes all days as one page.
-func writePage(path string, days []day) error {
+// writePage writes all comparisons as one HTML page.
+func writePage(path string, days []comparison) error {
 	var b bytes.Buffer
-	if err := pageForm.Execute(&b, days); err != nil {
-		return fmt.Errorf("the page: %w", err)
+	if err := pageTemplate.Execute(&b, days); err != nil {
+		return fmt.Errorf("render the page: %w", err)
 	}
 	return os.WriteFile(path, b.Bytes(), 0o644)
 }
--- a/cmd/measure/plot.go
+++ b/cmd/measure/plot.go
@@ -16,23 +16,24 @@
 )
 
 const (
-	plotWide, plotHigh = 26 * vg.Centimeter, 9 * vg.Centimeter
-	smooth             = 5 // steps of a series that one point is the mean of
+	plotWidth, plotHeight = 26 * vg.Centimeter, 9 * vg.Centimeter
+	smoothingSteps        = 5 // number of steps that each point averages
 )
 
-// line is a series as points: seconds, and the mean of some steps.
-func line(series []float64) (pts plotter.XYs) {
-	for i := smooth; i <= len(series); i++ {
+// smoothedPoints converts a series to points: seconds, and the moving average.
+func smoothedPoints(series []float64) (pts plotter.XYs) {
+	for i := smoothingSteps; i <= len(series); i++ {
 		sum := 0.0
-		for _, x := range series[i-smooth : i] {
+		for _, x := range series[i-smoothingSteps : i] {
 			sum += x
 		}
-		pts = append(pts, plotter.XY{X: float64(i) * trial.SeriesStep / 1000, Y: sum / smooth})
+		pts = append(pts, plotter.XY{X: float64(i) * trial.SeriesStep / 1000, Y: sum / smoothingSteps})
 	}
 	return pts
 }
 
-// plotLimits draws a day under each way: what the fleet used over time, beside what it was allowed, and the sides of a split.
+// plotLimits draws a day under each way of sharing: what the fleet and each side of the partition used over time, next
+// to the limit.
 func plotLimits(path string, d trial.Day, ways []trial.Way) error {
 	all := make([]*plot.Plot, 0, len(ways))
 	for _, way := range ways {
@@ -47,9 +48,9 @@
 		p.Add(allowed, plotter.NewGrid())
 		p.Legend.Add("allowed", allowed)
 		for i, s := range append([][]float64{played.Taken}, played.By...) {
-			l, err := plotter.NewLine(line(s))
+			l, err := plotter.NewLine(smoothedPoints(s))
 			if err != nil {
-				return fmt.Errorf("the plot: %w", err)
+				return fmt.Errorf("draw the plot: %w", err)
 			}
 			l.Color, l.Width = plotutil.Color(i), vg.Points(1.2)
 			p.Add(l)
@@ -57,12 +58,12 @@
 		}
 		all = append(all, p)
 	}
-	return stacked(path, all)
+	return writeStacked(path, all)
 }
 
-// stacked writes plots one below the other as SVG.
-func stacked(path string, all []*plot.Plot) error {
-	canvas := vgsvg.New(plotWide, plotHigh*vg.Length(len(all)))
+// writeStacked writes the plots below each other into one SVG file.
+func writeStacked(path string, all []*plot.Plot) error {
+	canvas := vgsvg.New(plotWidth, plotHeight*vg.Length(len(all)))
 	rows := make([][]*plot.Plot, len(all))
 	for i, p := range all {
 		rows[i] = []*plot.Plot{p}
@@ -73,11 +74,11 @@
 	}
 	f, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("the plot: %w", err)
+		return fmt.Errorf("draw the plot: %w", err)
 	}
 	if _, err := canvas.WriteTo(f); err != nil {
 		f.Close()
-		return fmt.Errorf("the plot: %w", err)
+		return fmt.Errorf("draw the plot: %w", err)
 	}
 	return f.Close()
 }
--- a/cmd/measure/verdicts.go
+++ b/cmd/measure/verdicts.go
@@ -15,21 +15,21 @@
 )
 
 type verdictsCmd struct {
-	Seeds   int    `default:"8" help:"Seeds, from 1 on."`
-	Spread  bool   `help:"Instead: how fast verdicts and orders go round at 4, 32 and 200 members under 0, 5 and 30% loss, and what that costs."`
+	Seeds   int    `default:"8" help:"Number of seeds, from 1 on."`
+	Spread  bool   `help:"Measure instead how fast verdicts and orders spread at 4, 32 and 200 members under 0, 5 and 30% loss, and the cost."`
 	Sizes   []int  `default:"4,32,200" help:"Members for --spread."`
-	Prefix  string `default:"shared-" help:"Scenarios whose names begin so."`
-	Brokers int    `help:"So many brokers in place of the scenarios' own; all the scans are as many as before."`
-	Page    string `help:"Beside the table: a page with each scenario's first seed, sharing off and on, side by side, into this HTML file." placeholder:"FILE"`
+	Prefix  string `default:"shared-" help:"Only scenarios whose names have this prefix."`
+	Brokers int    `help:"Number of brokers instead of the scenarios' own; the total number of scans stays."`
+	Page    string `help:"Also write an HTML page that compares each scenario's first seed with sharing off and on." placeholder:"FILE"`
 }
 
-// sharings are what brokers may tell each other.
-var sharings = []struct {
+// sharingModes lists what brokers may share with each other.
+var sharingModes = []struct {
 	name            string
 	notes, verdicts bool
 }{{"alone", false, false}, {"notes", true, false}, {"verdicts", false, true}, {"both", true, true}}
 
-// Run plays each scenario of verdicts with and without them, with the same draws.
+// Run plays each scenario in all sharing modes with the same random draws.
 func (c *verdictsCmd) Run(out io.Writer) error {
 	if c.Spread {
 		return c.spread(out)
@@ -39,7 +39,7 @@
 		return err
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	var days []day
+	var days []comparison
 	fmt.Fprintln(w, "SCENARIO\tBROKERS TELL EACH OTHER\tSERVICE\tWORST 10 s\tP99 ms\tPARTS TO STRUCK STORES\tDISPATCHES A SCAN\tAGAINST ALONE: SERVICE, 95% INTERVAL")
 	for _, e := range entries {
 		name := strings.TrimSuffix(e.Name(), ".hcl")
@@ -55,9 +55,9 @@
 			return err
 		}
 		brokers := cmp.Or(c.Brokers, first.Fleet.Brokers)
-		all := make([][]emulator.Figures, len(sharings))
+		all := make([][]emulator.Figures, len(sharingModes))
 		var group errgroup
-		for k := range sharings {
+		for k := range sharingModes {
 			all[k] = make([]emulator.Figures, c.Seeds)
 			for seed := range c.Seeds {
 				group.run(func() error {
@@ -68,7 +68,7 @@
 					if c.Brokers > 0 {
 						s.Fleet.Brokers = c.Brokers
 					}
-					s.Fleet.Notes, s.Fleet.Verdicts = sharings[k].notes, sharings[k].verdicts
+					s.Fleet.Notes, s.Fleet.Verdicts = sharingModes[k].notes, sharingModes[k].verdicts
 					world := emulator.New(&s.Fleet, uint64(seed+1), emulator.Gullstair)
 					for _, f := range s.Faults {
 						if err := world.Plan(f); err != nil {
@@ -83,7 +83,7 @@
 		if err := group.wait(); err != nil {
 			return err
 		}
-		for k, how := range sharings {
+		for k, how := range sharingModes {
 			var service, worst, p99, struck, dispatches []float64
 			var gain []float64
 			broken := ""
@@ -95,13 +95,13 @@
 					broken = ", a rule broken"
 				}
 			}
-			m, half := interval(gain)
+			m, half := confidenceInterval(gain)
 			fmt.Fprintf(w, "%s\t%s\t%.4f\t%.4f\t%.0f\t%.0f\t%.3f\t%+.4f ± %.4f%s\n", name, how.name, mean(service), mean(worst), mean(p99), mean(struck), mean(dispatches), m, half, broken)
 		}
 		if err := w.Flush(); err != nil {
 			return err
 		}
-		d, err := compared(name, first.About, brokers, all[0][0], all[len(sharings)-1][0], "notes and verdicts")
+		d, err := compareRuns(name, first.About, brokers, all[0][0], all[len(sharingModes)-1][0], "notes and verdicts")
 		if err != nil {
 			return err
 		}
@@ -142,8 +142,9 @@
 	return m
 }
 
-// interval is a mean with half of its 95% interval, as if the draws were normal.
-func interval(all []float64) (m, half float64) {
+// confidenceInterval returns the mean and half the width of its 95% confidence interval, assuming a normal
+// distribution.
+func confidenceInterval(all []float64) (m, half float64) {
 	m = mean(all)
 	sum := 0.0
 	for _, x := range all {
--- a/scenarios/scenarios.go
+++ b/scenarios/scenarios.go
@@ -1,9 +1,9 @@
-// Package scenarios holds the rehearsals that come with the program.
+// Package scenarios embeds the rehearsal scenarios that come with the program. It does no I/O.
 package scenarios
 
 import "embed"
 
-// Files are their documents, by name with ".hcl".
+// Files holds the scenario documents, by name with ".hcl".
 //
 //go:embed *.hcl
 var Files embed.FS
