--- a/cmd/gullstair/cells.go
+++ b/cmd/gullstair/cells.go
@@ -11,7 +11,7 @@
 	"gullstair/internal/quota"
 )
 
-type cellsCmd struct{ asking }
+type cellsCmd struct{ socketFlags }
 
 func (c *cellsCmd) Run(out io.Writer) error {
 	var all []core.CellView
@@ -19,7 +19,7 @@
 		return err
 	}
 	if c.JSON {
-		return encoded(out, all)
+		return writeJSON(out, all)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "CELL\tSTATE\tSTORES\tOPEN\tTENANTS\tTAKEN\tTHROTTLED\tBECAUSE OF")
--- a/cmd/gullstair/control_test.go
+++ b/cmd/gullstair/control_test.go
@@ -20,8 +20,8 @@
 	"gullstair/internal/settings"
 )
 
-// Brokers as processes of the program, each at a loopback address of its own with a folder for its disk: what a fleet in
-// virtual time can't show is played here with real sockets, files and signals.
+// These tests run brokers as processes, each with a loopback address and a data folder of its own. They cover what a
+// fleet in virtual time can't show: real sockets, files and signals.
 
 // controlProcess is one broker's process.
 type controlProcess struct {
@@ -34,13 +34,13 @@
 	disk      bool
 	bootstrap bool
 	process   *rig.Process
-	programs  []string // it is started from these in turn, if any; else from this one
+	programs  []string // programs to start in turn; if empty, this test binary
 	starts    int
 }
 
 const (
 	controlSeeds   = "127.9.0.1:18381,127.9.0.2:18381,127.9.0.3:18381"
-	controlWaiting = 20 * time.Second
+	controlTimeout = 20 * time.Second
 )
 
 func newControl(t *testing.T, number int, disk, bootstrap bool) *controlProcess {
@@ -79,18 +79,18 @@
 	c.bootstrap = false
 }
 
-// awaitSignals waits until the process takes signals: until then the default of each ends it, as it does with any program.
+// awaitSignals waits until the process catches signals: before that the default action of each signal ends it.
 func (c *controlProcess) awaitSignals() {
-	for begun := time.Now(); time.Since(begun) < controlWaiting; time.Sleep(time.Millisecond) {
+	for begun := time.Now(); time.Since(begun) < controlTimeout; time.Sleep(time.Millisecond) {
 		text, err := os.ReadFile(filepath.Join(c.folder, "out"))
 		if err == nil && bytes.Contains(text[min(c.logged, int64(len(text))):], []byte(`"broker starting"`)) {
 			return
 		}
 	}
-	c.t.Errorf("%s takes no signals %v after its start", c.ip, controlWaiting)
+	c.t.Errorf("%s does not catch signals %v after its start", c.ip, controlTimeout)
 }
 
-// wipe has the process killed and started again with an empty disk.
+// wipe kills the process and starts it again with an empty disk.
 func (c *controlProcess) wipe() {
 	c.process.Kill()
 	require.NoError(c.t, os.RemoveAll(filepath.Join(c.folder, "data")))
@@ -122,9 +122,9 @@
 		version, version)
 }
 
-// replace sends a configuration to one broker after the other until there is a clear answer.
+// replace sends a configuration to one broker after the other until one gives a definite answer.
 func replace(t *testing.T, brokers []*controlProcess, base, version int) int {
-	for begun := time.Now(); time.Since(begun) < controlWaiting; {
+	for begun := time.Now(); time.Since(begun) < controlTimeout; {
 		for _, c := range brokers {
 			status, _ := c.call(2*time.Second, http.MethodPost, "/v1/config/replace", strconv.Itoa(base), configurationText(version))
 			if status != 0 && status < 500 {
@@ -133,12 +133,12 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatalf("configuration %d got no clear answer in %v", version, controlWaiting)
+	t.Fatalf("configuration %d got no definite answer in %v", version, controlTimeout)
 	return 0
 }
 
-// TestControlProcesses stops a control process for twenty seconds, replaces one by plan and wipes another right after it,
-// races two operators whose answers are lost, and restarts a member after hundreds of changes.
+// TestControlProcesses pauses a control process for twenty seconds, replaces another one by plan and wipes a third
+// right after it, races two operators whose answers are lost, and restarts a member after hundreds of changes.
 func TestControlProcesses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes more than twenty seconds")
@@ -160,7 +160,7 @@
 	awaitNewest(t, stopped, version, 2*time.Second)
 
 	successor := newControl(t, 5, true, false)
-	time.Sleep(4 * time.Second) // catch_up_s
+	time.Sleep(4 * time.Second) // the catch_up_s setting
 	brokers[0].process.Signal(syscall.SIGTERM)
 	<-brokers[0].process.Ended()
 	brokers = []*controlProcess{successor, brokers[1], brokers[2], brokers[3]}
@@ -206,7 +206,8 @@
 	require.True(t, bytes.Contains([]byte(text), []byte(`"standing":"voter"`)), text)
 }
 
-// awaitNewest reads from one broker until it has the newest configuration; an older one is never handed out.
+// awaitNewest reads from one broker until it returns the newest configuration and checks that it never returns an
+// older one.
 func awaitNewest(t *testing.T, c *controlProcess, version int, within time.Duration) {
 	for begun := time.Now(); time.Since(begun) < within; {
 		status, text := c.read()
@@ -216,5 +217,5 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatalf("%s does not hand out version %d within %v", c.ip, version, within)
+	t.Fatalf("%s does not return version %d within %v", c.ip, version, within)
 }
--- a/cmd/gullstair/fleet.go
+++ b/cmd/gullstair/fleet.go
@@ -23,19 +23,19 @@
 	"gullstair/internal/settings"
 )
 
-// fleetCommands are the subcommands of the router fleet.
+// fleetCommands lists the subcommands of the router fleet.
 var fleetCommands = []string{"broker", "check-settings", "status"}
 
 const checkConfig = "check-config"
 
 const (
-	memoryShare   = 0.7 // of the machine's limit that the heap may take before the collector works harder
+	memoryShare   = 0.7 // Share of the memory limit that the heap may reach before the garbage collector works harder.
 	statusTimeout = 3 * time.Second
 	bytesPerMB    = 1 << 20
 )
 
-// isFleetCommand says whether the command line is one of the router fleet's. check-config with a file is; without one
-// it checks the start file of serve, as before.
+// isFleetCommand reports whether the command line belongs to the router fleet. check-config with a file argument does;
+// without one it checks the start file of serve, as in earlier releases.
 func isFleetCommand(args []string) bool {
 	if len(args) > 1 && args[0] == checkConfig && !strings.HasPrefix(args[1], "-") {
 		return true
@@ -43,26 +43,26 @@
 	return len(args) > 0 && slices.Contains(fleetCommands, args[0])
 }
 
-// runFleet carries out one command line of the router fleet.
+// runFleet runs one command line of the router fleet.
 func runFleet(args []string, out io.Writer) error {
 	path := os.Getenv(settings.EnvironmentVariable)
 	var document, address string
 	level := "info"
 	parser := flaggy.NewParser("gullstair")
-	parser.Description = "A router fleet with an index of kept prompts."
+	parser.Description = "A router fleet with an index of cached prompts."
 	parser.ShowVersionWithVersionFlag = false
 	parser.String(&path, "s", "settings", "The settings file (default: $"+settings.EnvironmentVariable+").")
 	broker := flaggy.NewSubcommand("broker")
 	broker.Description = "Run one broker of the fleet."
-	broker.String(&level, "l", "log-level", "The least severe log lines that are written: debug, info, warn, error.")
+	broker.String(&level, "l", "log-level", "Minimum log level: debug, info, warn, error.")
 	checkSettings := flaggy.NewSubcommand("check-settings")
 	checkSettings.Description = "Read and check the settings file."
 	checkConfiguration := flaggy.NewSubcommand(checkConfig)
-	checkConfiguration.Description = "Read and check a configuration of the operator."
+	checkConfiguration.Description = "Read and check an operator configuration."
 	checkConfiguration.AddPositionalValue(&document, "file", 1, true, "The configuration, as JSON.")
 	status := flaggy.NewSubcommand("status")
-	status.Description = "What a running broker knows of the fleet, as JSON."
-	status.AddPositionalValue(&address, "address", 1, false, "The broker's control address (default: that of the settings).")
+	status.Description = "Print a running broker's view of the fleet, as JSON."
+	status.AddPositionalValue(&address, "address", 1, false, "The broker's control address (default: from the settings).")
 	for _, command := range []*flaggy.Subcommand{broker, checkSettings, checkConfiguration, status} {
 		parser.AttachSubcommand(command, 1)
 	}
@@ -79,9 +79,9 @@
 		_, err := settings.Path()
 		return err
 	}
-	taken := &brokerSignals{}
+	signals := &brokerSignals{}
 	if broker.Used {
-		taken = takeBrokerSignals()
+		signals = catchBrokerSignals()
 	}
 	s, err := settings.Load(path)
 	if err != nil {
@@ -94,27 +94,28 @@
 	case status.Used:
 		return printStatus(s.ListenControl, out)
 	}
-	return runBroker(s, path, level, taken)
+	return runBroker(s, path, level, signals)
 }
 
-// brokerSignals are what a broker is told by its operator.
+// brokerSignals holds the signals that an operator can send to a broker.
 type brokerSignals struct {
-	ended   context.Context // by SIGTERM or SIGINT
-	hangups <-chan os.Signal
+	terminated context.Context // canceled by SIGTERM or SIGINT
+	hangups    <-chan os.Signal
 }
 
-// takeBrokerSignals takes the signals from now on. It goes before anything else: the default of each ends the process.
-func takeBrokerSignals() *brokerSignals {
-	ended, end := context.WithCancel(context.Background())
-	told := takeSignals(1, syscall.SIGTERM, syscall.SIGINT)
+// catchBrokerSignals starts catching the signals. It runs before anything else, since the default action of each ends
+// the process.
+func catchBrokerSignals() *brokerSignals {
+	terminated, end := context.WithCancel(context.Background())
+	terminate := catchSignals(1, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
-		<-told
+		<-terminate
 		end()
 	}()
-	return &brokerSignals{ended: ended, hangups: takeSignals(1, syscall.SIGHUP)}
+	return &brokerSignals{terminated: terminated, hangups: catchSignals(1, syscall.SIGHUP)}
 }
 
-func runBroker(s *settings.Settings, path, level string, taken *brokerSignals) error {
+func runBroker(s *settings.Settings, path, level string, signals *brokerSignals) error {
 	logger := &log.Logger{Level: log.ParseLevel(level), Writer: log.IOWriter{Writer: os.Stderr}}
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryShare * bytesPerMB))
@@ -124,11 +125,11 @@
 		return err
 	}
 	go func() {
-		for range taken.hangups {
+		for range signals.hangups {
 			broker.Reload()
 		}
 	}()
-	return broker.Run(taken.ended)
+	return broker.Run(signals.terminated)
 }
 
 func checkConfigurationFile(path string, out io.Writer) error {
@@ -148,7 +149,7 @@
 	client := &http.Client{Timeout: statusTimeout}
 	response, err := client.Get("http://" + address + "/v1/status")
 	if err != nil {
-		return errors.Wrap(err, "ask the broker")
+		return errors.Wrap(err, "query the broker")
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
--- a/cmd/gullstair/fleet_test.go
+++ b/cmd/gullstair/fleet_test.go
@@ -38,12 +38,12 @@
 		"valid configuration":     {[]string{"check-config", write(t, "c.json", `{"version":3}`)}, "version 3 is valid: 0 routes, 0 services", ""},
 		"invalid configuration":   {[]string{"check-config", write(t, "c.json", `{"version":0}`)}, "", "version 0 is not above 0"},
 		"unknown file":            {[]string{"check-config", "nowhere.json"}, "", "nowhere.json"},
-		"status of nobody":        {[]string{"status", "127.0.0.1:1"}, "", "ask the broker"},
+		"status of a closed port": {[]string{"status", "127.0.0.1:1"}, "", "query the broker"},
 		"broker without settings": {[]string{"broker"}, "", "GULLSTAIR_SETTINGS is not set"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if !isFleetCommand(c.args) {
-				t.Fatal("it is not taken for one of the fleet's commands")
+				t.Fatal("not recognized as a command of the router fleet")
 			}
 			var out bytes.Buffer
 			err := runFleet(c.args, &out)
@@ -56,6 +56,6 @@
 		})
 	}
 	if isFleetCommand([]string{"check-config"}) || isFleetCommand([]string{"serve"}) || isFleetCommand(nil) {
-		t.Error("an earlier command is taken for one of the fleet's")
+		t.Error("a command of the aggregator is recognized as one of the router fleet")
 	}
 }
--- a/cmd/gullstair/json_test.go
+++ b/cmd/gullstair/json_test.go
@@ -16,11 +16,12 @@
 
 var snakeCase = regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)*$`)
 
-// keys calls seen with the key of every field that a type's JSON has, at all depths; maps' keys are names.
-func keys(t reflect.Type, seen func(where, key string), met map[reflect.Type]bool) {
+// walkKeys calls seen with every JSON key of a type and of all types that it contains; the keys of maps are data and
+// are skipped.
+func walkKeys(t reflect.Type, seen func(where, key string), met map[reflect.Type]bool) {
 	switch t.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Array, reflect.Map:
-		keys(t.Elem(), seen, met)
+		walkKeys(t.Elem(), seen, met)
 	case reflect.Struct:
 		if met[t] {
 			return
@@ -35,16 +36,16 @@
 			if !f.Anonymous {
 				seen(t.String()+"."+f.Name, key)
 			}
-			keys(f.Type, seen, met)
+			walkKeys(f.Type, seen, met)
 		}
 	}
 }
 
-// What the commands write has one spelling of keys, at all depths: scripts read it.
+// TestJSONKeys checks that all JSON keys that the commands write are in snake case, since scripts read them.
 func TestJSONKeys(t *testing.T) {
 	n := 0
 	for _, v := range []any{sharer.State{}, core.CellView{}, emulator.Figures{}, broker.LimitsSeen{}} {
-		keys(reflect.TypeOf(v), func(where, key string) {
+		walkKeys(reflect.TypeOf(v), func(where, key string) {
 			n++
 			assert.Regexp(t, snakeCase, key, where)
 		}, map[reflect.Type]bool{})
--- a/cmd/gullstair/lease.go
+++ b/cmd/gullstair/lease.go
@@ -25,38 +25,39 @@
 )
 
 type leaseCmd struct {
-	Run     leaseRunCmd     `cmd:"" help:"Run a command while holding a lease; it is ended when the lease is lost."`
-	List    leaseListCmd    `cmd:"" help:"All leases and scheduled tasks, as a running broker sees them."`
-	Show    leaseShowCmd    `cmd:"" help:"One task or lease: its slots, holders, last run and next."`
-	Release leaseOrderCmd   `cmd:"" help:"Have a lease given up: what runs under it is ended first."`
-	Pause   leaseOrderCmd   `cmd:"" help:"Begin no more occurrences of a task; what runs goes on."`
-	Resume  leaseOrderCmd   `cmd:"" help:"Begin them again."`
-	Trigger leaseOrderCmd   `cmd:"" help:"Begin an occurrence of a task now."`
-	Fence   leaseFencingCmd `cmd:"" help:"Let a fencing number pass where effects land: exit code 0 if it is as high as any before it, 1 if not."`
+	Run     leaseRunCmd   `cmd:"" help:"Run a command while holding a lease; the command is ended when the lease is lost."`
+	List    leaseListCmd  `cmd:"" help:"List all leases and scheduled tasks, as a running broker sees them."`
+	Show    leaseShowCmd  `cmd:"" help:"Show one task or lease: its slots, holders, last and next run."`
+	Release leaseOrderCmd `cmd:"" help:"Release a lease; its command is ended first."`
+	Pause   leaseOrderCmd `cmd:"" help:"Start no further occurrences of a task; the current one continues."`
+	Resume  leaseOrderCmd `cmd:"" help:"Resume a paused task."`
+	Trigger leaseOrderCmd `cmd:"" help:"Start an occurrence of a task now."`
+	Fence   leaseFenceCmd `cmd:"" help:"Check a fencing number at the target of writes: exit code 0 if no higher number was seen before, 1 otherwise."`
 }
 
-// exitCode ends the program with another code than 1; nothing more is said.
+// exitCode is an error that makes the program exit with this code instead of 1, without printing a message.
 type exitCode int
 
 func (e exitCode) Error() string { return fmt.Sprintf("exit code %d", int(e)) }
 
 // guardCmd is the process that a broker starts for each run of a task.
 type guardCmd struct {
-	Until   int64         `required:"" help:"Deadline by the machine's clock."`
-	Grace   time.Duration `required:"" help:"Before the deadline: SIGTERM."`
-	Lead    time.Duration `required:"" help:"Before the deadline: SIGKILL."`
-	Timeout time.Duration `help:"Longest time; 0: none."`
-	Command []string      `arg:"" passthrough:"" help:"What to run."`
+	Until   int64         `required:"" help:"Deadline on the machine's clock."`
+	Grace   time.Duration `required:"" help:"Time before the deadline at which SIGTERM is sent."`
+	Lead    time.Duration `required:"" help:"Time before the deadline at which SIGKILL is sent."`
+	Timeout time.Duration `help:"Maximum run time; 0: none."`
+	Command []string      `arg:"" passthrough:"" help:"Command to run."`
 }
 
 func (c *guardCmd) Run() error {
-	// What is for the broker's group is not for the guard: it ends by what it is told, or by its own timer.
+	// Signals to the broker's process group are not meant for the guard: it ends on the broker's request or when its own
+	// timer expires.
 	signal.Ignore(syscall.SIGINT, syscall.SIGHUP, syscall.SIGPIPE)
-	guard.Serve(guard.Spec{Argv: dashless(c.Command), Until: c.Until, Grace: c.Grace, Lead: c.Lead, Timeout: c.Timeout, Out: os.Stderr}, os.Stdin, os.Stdout)
+	guard.Serve(guard.Spec{Argv: trimDashes(c.Command), Until: c.Until, Grace: c.Grace, Lead: c.Lead, Timeout: c.Timeout, Out: os.Stderr}, os.Stdin, os.Stdout)
 	return nil
 }
 
-func dashless(command []string) []string {
+func trimDashes(command []string) []string {
 	if len(command) > 0 && command[0] == "--" {
 		return command[1:]
 	}
@@ -65,19 +66,19 @@
 
 type leaseRunCmd struct {
 	Socket  string        `required:"" help:"The broker's control socket." type:"path"`
-	Holders int           `default:"1" help:"So many may hold a lease of this name at once in the whole fleet."`
-	Term    time.Duration `default:"10s" help:"How long the lease holds without word from a majority of the brokers."`
-	Wait    time.Duration `default:"-1ns" help:"Give up when it is not held by then; below 0: wait."`
+	Holders int           `default:"1" help:"Number of concurrent holders of a lease of this name in the whole fleet."`
+	Term    time.Duration `default:"10s" help:"How long the lease holds without a renewal by a majority of the brokers."`
+	Wait    time.Duration `default:"-1ns" help:"Give up if the lease is not acquired within this time; below 0: wait indefinitely."`
 	Name    string        `arg:"" help:"The lease's name."`
-	Command []string      `arg:"" passthrough:"" help:"What to run, after --."`
+	Command []string      `arg:"" passthrough:"" help:"Command to run, after --."`
 }
 
-const notHeld = exitCode(75) // as sysexits.h has it: try again later
+const exitNotAcquired = exitCode(75) // EX_TEMPFAIL of sysexits.h: try again later
 
 func (c *leaseRunCmd) Run(out io.Writer) error {
-	command := dashless(c.Command)
+	command := trimDashes(c.Command)
 	if len(command) == 0 {
-		return errors.New("lease run: name a command after --")
+		return errors.New("lease run: a command is required after --")
 	}
 	who := "somebody"
 	if u, err := user.Current(); err == nil {
@@ -89,7 +90,7 @@
 		return err
 	}
 	defer conn.Close()
-	signals := takeSignals(4, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
+	signals := catchSignals(4, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 	events := make(chan broker.HoldEvent, 16)
 	go func() {
 		defer close(events)
@@ -111,7 +112,7 @@
 		select {
 		case e, open := <-events:
 			if !open {
-				return fmt.Errorf("lease run: the broker at %s has ended", c.Socket)
+				return fmt.Errorf("lease run: the broker at %s closed the connection", c.Socket)
 			}
 			if e.Revoked != "" {
 				return fmt.Errorf("lease run: %s", e.Revoked)
@@ -120,24 +121,24 @@
 		case <-late:
 			done()
 			fmt.Fprintf(os.Stderr, "gullstair: lease run: %s is held by others\n", c.Name)
-			return notHeld
+			return exitNotAcquired
 		case <-signals:
 			done()
-			return notHeld
+			return exitNotAcquired
 		}
 	}
 	spec := guard.Spec{Argv: command, Env: broker.Environment(held.Lease, held.Slot, held.Fence, held.UntilMS), Until: held.Until, In: os.Stdin, Out: os.Stdout}
 	spec.Grace, spec.Lead = broker.Warning(c.Term)
-	told := make(chan guard.Told, 16)
+	updates := make(chan guard.Told, 16)
 	ended := make(chan struct{})
 	go func() {
-		defer close(told)
+		defer close(updates)
 		for {
 			var t guard.Told
 			select {
 			case e, open := <-events:
 				if !open {
-					return // the broker is gone: the last deadline stands
+					return // the broker is gone: the last deadline remains in force
 				}
 				t = guard.Told{Until: e.Until, Cancel: e.Revoked}
 			case s := <-signals:
@@ -146,15 +147,15 @@
 				return
 			}
 			select {
-			case told <- t:
+			case updates <- t:
 			case <-ended:
 				return
 			}
 		}
 	}()
-	r := guard.Run(spec, told, nil)
+	r := guard.Run(spec, updates, nil)
 	close(ended)
-	done() // nothing goes on under it
+	done() // the command has ended, so the lease can be released
 	if r.Why != "" {
 		fmt.Fprintf(os.Stderr, "gullstair: lease run: ended: %s\n", r.Why)
 	}
@@ -164,20 +165,20 @@
 	return nil
 }
 
-type leaseListCmd struct{ asking }
+type leaseListCmd struct{ socketFlags }
 
-// leaseRow is one slot, as list and show write it.
+// leaseRow is one slot, as list and show print it.
 type leaseRow struct {
-	Name    string        `json:"name"`
-	Slot    int           `json:"slot"`
-	Kind    string        `json:"kind"` // task or hold
-	Holder  string        `json:"holder"`
-	Fence   uint64        `json:"fence"`
-	ForMS   float64       `json:"for_ms"`  // until it runs out, if it is not renewed
-	NextMS  float64       `json:"next_ms"` // Unix ms of the next occurrence, as the holder reckons; 0: not known here
-	Last    *tasks.Log    `json:"last,omitempty"`
-	By      *tasks.Holder `json:"by,omitempty"`
-	BlankMS float64       `json:"quiet_ms"` // for so long this broker's voter grants nothing
+	Name          string        `json:"name"`
+	Slot          int           `json:"slot"`
+	Kind          string        `json:"kind"` // task or hold
+	Holder        string        `json:"holder"`
+	Fence         uint64        `json:"fence"`
+	RemainingMS   float64       `json:"for_ms"`  // until the lease expires unless it is renewed
+	NextMS        float64       `json:"next_ms"` // Unix ms of the next occurrence, as computed by the holder; 0: not known to this broker
+	Last          *tasks.Log    `json:"last,omitempty"`
+	By            *tasks.Holder `json:"by,omitempty"`
+	GracePeriodMS float64       `json:"quiet_ms"` // remaining time in which this broker's voter grants nothing
 }
 
 func leaseRows(s sharer.State) (rows []leaseRow) {
@@ -192,9 +193,9 @@
 			continue
 		}
 		slot, _ := strconv.Atoi(rest[at+1:])
-		r := leaseRow{Name: rest[:at], Slot: slot, Kind: kind, Holder: l.Holder, Fence: l.Epoch, BlankMS: max(0, l.Quiet-s.Now)}
+		r := leaseRow{Name: rest[:at], Slot: slot, Kind: kind, Holder: l.Holder, Fence: l.Epoch, GracePeriodMS: max(0, l.Quiet-s.Now)}
 		if l.Holder != "" {
-			r.ForMS = l.Until - s.Now
+			r.RemainingMS = l.Until - s.Now
 		}
 		if v, is := views[l.Lease]; is {
 			r.Last, r.NextMS = &v.Log, v.Next
@@ -206,31 +207,31 @@
 	return rows
 }
 
-func wallTime(ms float64) string {
+func formatTime(ms float64) string {
 	if ms <= 0 {
 		return "-"
 	}
 	return time.UnixMilli(int64(ms)).UTC().Format("2006-01-02 15:04:05Z")
 }
 
-// lastRun words what is known of a task's newest occurrence.
-func lastRun(l *tasks.Log, holder string) string {
+// describeLastRun describes what is known of a task's newest occurrence.
+func describeLastRun(l *tasks.Log, holder string) string {
 	switch {
 	case l == nil || l.Begun == 0:
 		return "never begun"
 	case !l.Ended && holder == l.By:
-		return fmt.Sprintf("begun %s by %s, under way", wallTime(l.Begun), l.By)
+		return fmt.Sprintf("begun %s by %s, under way", formatTime(l.Begun), l.By)
 	case !l.Ended:
-		return fmt.Sprintf("begun %s by %s, how it ended is not known", wallTime(l.Begun), l.By)
+		return fmt.Sprintf("begun %s by %s, how it ended is not known", formatTime(l.Begun), l.By)
 	case l.Why != "":
-		return fmt.Sprintf("begun %s by %s, code %d after %s: %s", wallTime(l.Begun), l.By, l.Code, ago(l.Took), l.Why)
+		return fmt.Sprintf("begun %s by %s, code %d after %s: %s", formatTime(l.Begun), l.By, l.Code, formatDuration(l.Took), l.Why)
 	}
-	return fmt.Sprintf("begun %s by %s, code %d after %s", wallTime(l.Begun), l.By, l.Code, ago(l.Took))
+	return fmt.Sprintf("begun %s by %s, code %d after %s", formatTime(l.Begun), l.By, l.Code, formatDuration(l.Took))
 }
 
-func (c *leaseListCmd) Run(out io.Writer) error { return c.write(out, "") }
+func (c *leaseListCmd) Run(out io.Writer) error { return c.writeLeases(out, "") }
 
-func (c asking) write(out io.Writer, only string) error {
+func (c socketFlags) writeLeases(out io.Writer, only string) error {
 	s, err := c.state()
 	if err != nil {
 		return err
@@ -239,27 +240,27 @@
 	if only != "" {
 		rows = slices.DeleteFunc(rows, func(r leaseRow) bool { return r.Name != only })
 		if len(rows) == 0 {
-			return fmt.Errorf("no lease and no task %q is known to this broker", only)
+			return fmt.Errorf("this broker knows no lease or task %q", only)
 		}
 	}
 	if c.JSON {
-		return encoded(out, rows)
+		return writeJSON(out, rows)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "NAME\tSLOT\tKIND\tHOLDER\tFENCE\tFOR\tNEXT\tLAST")
 	for _, r := range rows {
-		holder, left, next, last := r.Holder, "-", wallTime(r.NextMS), "-"
+		holder, left, next, last := r.Holder, "-", formatTime(r.NextMS), "-"
 		if holder == "" {
 			holder = "nobody"
 		} else {
-			left = ago(r.ForMS)
+			left = formatDuration(r.RemainingMS)
 		}
 		if r.Last != nil {
-			if last = lastRun(r.Last, r.Holder); r.Last.Paused {
+			if last = describeLastRun(r.Last, r.Holder); r.Last.Paused {
 				next = "paused"
 			}
 		} else if r.By != nil {
-			last = fmt.Sprintf("since %s by %s", wallTime(r.By.Begun), r.By.By)
+			last = fmt.Sprintf("since %s by %s", formatTime(r.By.Begun), r.By.By)
 		}
 		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%d\t%s\t%s\t%s\n", r.Name, r.Slot, r.Kind, holder, r.Fence, left, next, last)
 	}
@@ -267,17 +268,17 @@
 }
 
 type leaseShowCmd struct {
-	asking
+	socketFlags
 	Name string `arg:"" help:"The task's or lease's name."`
 }
 
-func (c *leaseShowCmd) Run(out io.Writer) error { return c.write(out, c.Name) }
+func (c *leaseShowCmd) Run(out io.Writer) error { return c.writeLeases(out, c.Name) }
 
 type leaseOrderCmd struct {
 	Socket string `required:"" help:"The broker's control socket." type:"path"`
 	Name   string `arg:"" help:"The task's or lease's name."`
-	Slot   int    `default:"-1" help:"This slot alone."`
-	do     tasks.Do
+	Slot   int    `default:"-1" help:"Only this slot; below 0: all slots."`
+	action tasks.Do
 }
 
 func (c *leaseOrderCmd) Run(out io.Writer) error {
@@ -293,21 +294,21 @@
 		}
 		n++
 		name := fmt.Sprintf("%s/%s/%d", r.Kind, r.Name, r.Slot)
-		if err := control.Post(c.Socket, "lease", url.Values{"lease": {name}, "do": {string(c.do)}}); err != nil {
+		if err := control.Post(c.Socket, "lease", url.Values{"lease": {name}, "do": {string(c.action)}}); err != nil {
 			failed = append(failed, fmt.Errorf("%s: %w", name, err))
 		} else {
 			fmt.Fprintf(out, "%s: done\n", name)
 		}
 	}
 	if n == 0 {
-		return fmt.Errorf("no lease and no task %q is known to this broker", c.Name)
+		return fmt.Errorf("this broker knows no lease or task %q", c.Name)
 	}
 	return errors.Join(failed...)
 }
 
-type leaseFencingCmd struct {
-	File   string `arg:"" help:"Where the highest number so far is kept, beside what it guards." type:"path"`
-	Number uint64 `arg:"" help:"The number to let pass, such as $GULLSTAIR_FENCE."`
+type leaseFenceCmd struct {
+	File   string `arg:"" help:"File that stores the highest number seen so far, next to the data that it protects." type:"path"`
+	Number uint64 `arg:"" help:"The fencing number to check, such as $GULLSTAIR_FENCE."`
 }
 
-func (c *leaseFencingCmd) Run() error { return fence.At(c.File).Pass(c.Number, nil) }
+func (c *leaseFenceCmd) Run() error { return fence.At(c.File).Pass(c.Number, nil) }
--- a/cmd/gullstair/leases_test.go
+++ b/cmd/gullstair/leases_test.go
@@ -25,8 +25,9 @@
 	"gullstair/internal/sharer"
 )
 
-// bent are clocks as the rig sets them for a process of this test binary: the rate at its start, the wall clock's error at any time.
-func bent(path string) broker.Clocks {
+// skewedClocks returns clocks that read their error from a file: the rate once at the start, the offset of the wall
+// clock at any time.
+func skewedClocks(path string) broker.Clocks {
 	read := func() (rate float64, wall int64) {
 		rate = 1
 		if text, err := os.ReadFile(path); err == nil {
@@ -43,7 +44,7 @@
 		}}
 }
 
-// leaseFleet is a fleet with one task, whose work a witness sees.
+// leaseFleet is a fleet with one task, whose runs report to a witness.
 type leaseFleet struct {
 	*rig.Fleet
 	t       *testing.T
@@ -51,12 +52,12 @@
 }
 
 const (
-	leaseTerm  = 2 * time.Second // the guard has a tenth of it to kill on a machine that has other work
-	taskEvery  = time.Second
-	takeoverIn = 30 * time.Second // patience on a busy machine; what it takes is measured by cmd/measure
+	leaseTerm       = 2 * time.Second // the guard has a tenth of it to kill the command, also on a busy machine
+	taskEvery       = time.Second
+	takeoverTimeout = 30 * time.Second // a generous timeout for busy machines; cmd/measure measures the real takeover time
 )
 
-// document is a member's part of the features: a task that works for as long as span, and leases by hand.
+// taskDocument returns a member's features document: a task that works for the given span, and leases by hand.
 func taskDocument(witness, span, how, dir string) func(m *rig.Member) (string, string) {
 	return func(m *rig.Member) (string, string) {
 		votes := ""
@@ -81,16 +82,16 @@
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		f.Close()
-		// Guards go on to their deadlines without their brokers, and are gone by then.
+		// Guards outlive their brokers up to their deadlines, and must be gone by then.
 		last := 0
 		assert.NoError(t, rig.Until(10*time.Second, func() bool {
 			n := len(w.Seen())
 			idle := n == last && guardsGone(w)
 			last = n
 			return idle
-		}), "no work outlives its lease")
+		}), "work outlives its lease")
 		for _, k := range w.Seen() {
-			assert.Empty(t, k.Left(), "of the work under %d", k.Fence)
+			assert.Empty(t, k.Left(), "processes left of the work under fencing number %d", k.Fence)
 		}
 		assert.Empty(t, w.Judge())
 		w.Close()
@@ -110,32 +111,32 @@
 	return &leaseFleet{f, t, w}
 }
 
-// guardsGone says whether no process that a witness heard of is there any more.
+// guardsGone reports whether no process that reported to the witness is left.
 func guardsGone(w *rig.Witness) bool {
 	return !slices.ContainsFunc(w.Seen(), func(k rig.Work) bool { return len(k.Left()) > 0 })
 }
 
-// anew waits for work under a higher number than some.
-func (f *leaseFleet) anew(than rig.Work) (rig.Work, *rig.Member) {
+// newerWork waits for work under a higher fencing number than the given work.
+func (f *leaseFleet) newerWork(than rig.Work) (rig.Work, *rig.Member) {
 	f.t.Helper()
 	var last rig.Work
-	require.NoError(f.t, rig.Until(takeoverIn, func() bool {
+	require.NoError(f.t, rig.Until(takeoverTimeout, func() bool {
 		if all := f.witness.Seen(); len(all) > 0 {
 			last = all[len(all)-1]
 		}
 		return last.Fence > than.Fence
-	}), "the task runs again, under a higher number")
+	}), "the task runs again under a higher fencing number")
 	return last, f.holder(last.Fence)
 }
 
-// atWork waits for work that goes on now, and its holder.
-func (f *leaseFleet) atWork() (k rig.Work, m *rig.Member) {
+// currentWork waits for work that is in progress, and returns it with its holder.
+func (f *leaseFleet) currentWork() (k rig.Work, m *rig.Member) {
 	f.t.Helper()
 	now := guard.Now()
-	require.NoError(f.t, rig.Until(takeoverIn, func() bool {
+	require.NoError(f.t, rig.Until(takeoverTimeout, func() bool {
 		for _, k = range f.witness.Seen() {
 			if strings.HasPrefix(k.Lease, "task/") && k.Last > now {
-				// What a killed broker's guard lets go on to its deadline has no holder any more.
+				// Work that a killed broker's guard continues up to its deadline has no holder any more.
 				if m = f.holder(k.Fence); m != nil {
 					return true
 				}
@@ -146,7 +147,7 @@
 	return k, m
 }
 
-// holder is the member whose lease has a number; nil: none says so.
+// holder returns the member whose lease has the fencing number, or nil if no member reports it.
 func (f *leaseFleet) holder(fence uint64) *rig.Member {
 	for _, m := range f.Members {
 		if !m.Running() {
@@ -174,183 +175,187 @@
 	return all
 }
 
-// Five brokers and a task whose work a witness sees, through faults between and at them: never two at once, fencing numbers that grow, and work again once
-// a majority is together.
+// TestLeaseFaults runs five brokers and one task through network and process faults: no two runs may overlap, fencing
+// numbers must grow, and work must resume once a majority is connected.
 func TestLeaseFaults(t *testing.T) {
-	besideOthers(t)
+	runParallel(t)
 	f := startLeases(t, 5, "1500ms", "stubborn", "votes", func(m *rig.Member) {
-		require.NoError(t, m.Bend([]float64{0.99, 1.01, 1}[m.N%3], 0)) // the drift that is told, at both ends
+		require.NoError(t, m.Bend([]float64{0.99, 1.01, 1}[m.N%3], 0)) // the configured drift, at both ends of its range
 	})
 	for _, c := range []struct {
 		name string
 		do   func(k rig.Work, m *rig.Member)
 	}{
-		{"the holder is killed in mid-task", func(k rig.Work, m *rig.Member) {
+		{"the holder is killed during a task", func(k rig.Work, m *rig.Member) {
 			m.Kill()
-			f.anew(k)
+			f.newerWork(k)
 			require.NoError(t, m.Launch())
 		}},
-		{"the holder stands still for three terms in mid-task", func(k rig.Work, m *rig.Member) {
+		{"the holder is paused for three terms during a task", func(k rig.Work, m *rig.Member) {
 			m.Signal(syscall.SIGSTOP)
-			_, other := f.anew(k)
+			_, other := f.newerWork(k)
 			assert.NotEqual(t, m, other)
 			m.Signal(syscall.SIGCONT)
 		}},
-		{"the holder's guard stands still", func(k rig.Work, m *rig.Member) {
+		{"the holder's guard is paused", func(k rig.Work, m *rig.Member) {
 			for _, pid := range guardsOf(m.Pid()) {
 				syscall.Kill(pid, syscall.SIGSTOP)
 			}
 			f.Switch.Split(f.others(m))
-			f.anew(k)
+			f.newerWork(k)
 			f.Switch.Heal()
 		}},
 		{"the holder is cut off", func(k rig.Work, m *rig.Member) {
 			f.Switch.Split(f.others(m))
-			_, other := f.anew(k)
+			_, other := f.newerWork(k)
 			assert.NotEqual(t, m, other)
 			f.Switch.Heal()
 		}},
-		{"nobody hears the holder", func(k rig.Work, m *rig.Member) {
+		{"no member receives from the holder", func(k rig.Work, m *rig.Member) {
 			for i := range f.Members {
 				f.Switch.Set(m.N, i, func(l *rig.Link) { l.Cut = true })
 			}
-			f.anew(k)
+			f.newerWork(k)
 			f.Switch.Heal()
 		}},
-		{"the holder hears nobody", func(k rig.Work, m *rig.Member) {
+		{"the holder receives from no member", func(k rig.Work, m *rig.Member) {
 			for i := range f.Members {
 				f.Switch.Set(i, m.N, func(l *rig.Link) { l.Cut = true })
 			}
-			f.anew(k)
+			f.newerWork(k)
 			f.Switch.Heal()
 		}},
-		{"a split of three and two", func(k rig.Work, m *rig.Member) {
+		{"a partition of three and two", func(k rig.Work, m *rig.Member) {
 			o := f.others(m)
 			f.Switch.Split([]int{m.N, o[0]}, o[1:])
-			f.anew(k)
+			f.newerWork(k)
 			f.Switch.Heal()
 		}},
-		{"a split of two, two and one", func(_ rig.Work, m *rig.Member) {
+		{"a partition of two, two and one", func(_ rig.Work, m *rig.Member) {
 			o := f.others(m)
 			f.Switch.Split([]int{m.N, o[0]}, o[1:3])
 			before := len(f.witness.Seen())
-			require.NoError(t, rig.Until(takeoverIn, func() bool { return f.holderOf() == nil }), "no side is a majority")
+			require.NoError(t, rig.Until(takeoverTimeout, func() bool { return f.holderOf() == nil }), "no side has a majority, so the lease has no holder")
 			assert.LessOrEqual(t, len(f.witness.Seen()), before+1)
 			f.Switch.Heal()
 		}},
-		{"a third is lost, much comes twice, out of order or flipped", func(rig.Work, *rig.Member) {
+		{"loss, duplicates, reordering and corruption", func(rig.Work, *rig.Member) {
 			f.Switch.All(func(l *rig.Link) { l.Loss, l.Duplicate, l.Jitter, l.Flip = 0.3, 0.3, 20, 0.02 })
-			f.atWork()
-			f.atWork()
+			f.currentWork()
+			f.currentWork()
 			f.Switch.Heal()
 		}},
-		{"what was sent is sent again", func(k rig.Work, m *rig.Member) {
+		{"replayed datagrams", func(k rig.Work, m *rig.Member) {
 			m.Kill()
-			f.anew(k)
+			f.newerWork(k)
 			assert.Positive(t, f.Switch.Replay())
 			require.NoError(t, m.Launch())
 			assert.Positive(t, f.Switch.Replay())
 		}},
 		{"wall clocks an hour apart, and jumping", func(k rig.Work, m *rig.Member) {
 			o := f.others(m)
-			require.NoError(t, m.Bend(1, time.Hour)) // it is cut off by its own clock: the others go on
+			require.NoError(t, m.Bend(1, time.Hour)) // its own clock cuts it off from the others, which continue
 			require.NoError(t, f.Members[o[0]].Bend(1, -10*time.Second))
-			_, other := f.anew(k)
+			_, other := f.newerWork(k)
 			assert.NotEqual(t, m, other)
 			require.NoError(t, m.Bend(1, 0))
 			require.NoError(t, f.Members[o[0]].Bend(1, 0))
 		}},
-		{"all are started again at once", func(rig.Work, *rig.Member) {
+		{"all restart at once", func(rig.Work, *rig.Member) {
 			for _, m := range f.Members {
 				m.Kill()
 			}
 			require.NoError(t, f.LaunchAll())
 		}},
-		{"all again, one voter's disk from an older copy", func(_ rig.Work, m *rig.Member) {
+		{"all restart, one voter with an older copy of its disk", func(_ rig.Work, m *rig.Member) {
 			for _, m := range f.Members {
 				m.Kill()
 			}
 			path := m.Path("votes")
 			copyDir(t, path, path+".old")
 			require.NoError(t, f.LaunchAll())
-			f.atWork()
+			f.currentWork()
 			for _, m := range f.Members {
 				m.Kill()
 			}
 			require.NoError(t, os.RemoveAll(path))
 			copyDir(t, path+".old", path)
 			require.NoError(t, f.LaunchAll())
-			require.NoError(t, rig.Until(takeoverIn, func() bool {
+			require.NoError(t, rig.Until(takeoverTimeout, func() bool {
 				log, _ := os.ReadFile(m.Path("log"))
 				return bytes.Contains(log, []byte("it is a copy"))
-			}), "it is found and named")
-			// Ended before its quiet time is over: the next process may not take for whole what this one has stored since.
+			}), "the copy is detected and logged")
+			// It is stopped before its grace period ends: the next process must not treat as complete what this one has stored
+			// since.
 			m.Kill()
 			require.NoError(t, m.Launch())
-			require.NoError(t, rig.Until(takeoverIn, func() bool {
+			require.NoError(t, rig.Until(takeoverTimeout, func() bool {
 				log, _ := os.ReadFile(m.Path("log"))
 				return bytes.Contains(log, []byte("an earlier process found something missing"))
-			}), "the doubt outlasts it")
+			}), "the next process still distrusts its votes")
 		}},
-		{"the holder ends in order", func(k rig.Work, m *rig.Member) {
+		{"the holder shuts down in order", func(k rig.Work, m *rig.Member) {
 			m.End(20 * time.Second)
-			f.anew(k)
+			f.newerWork(k)
 			require.NoError(t, m.Launch())
 		}},
 	} {
-		k, m := f.atWork()
+		k, m := f.currentWork()
 		t.Logf("%s: %s under %d", c.name, m.Name, k.Fence)
 		c.do(k, m)
-		f.atWork()
+		f.currentWork()
 		require.Empty(t, f.witness.Judge(), c.name)
 	}
 }
 
-// Voters without disks: after a restart of all nothing is granted for a term, what ran is over by then, and the task goes on.
+// TestLeasesWithoutDisks runs voters without disks: after a restart of all, nothing is granted for one term, the
+// earlier run has ended by then, and the task resumes.
 func TestLeasesWithoutDisks(t *testing.T) {
-	besideOthers(t)
+	runParallel(t)
 	f := startLeases(t, 3, "5s", "stubborn", "", nil)
-	k, _ := f.atWork()
+	k, _ := f.currentWork()
 	for _, m := range f.Members {
-		m.Kill() // its work goes on to the end of its term
+		m.Kill() // its work continues to the end of its term
 	}
 	require.NoError(t, f.LaunchAll())
-	again, _ := f.anew(k)
+	again, _ := f.newerWork(k)
 	assert.Greater(t, again.First, k.Last)
-	k, m := f.atWork()
-	// Its guard is killed: what it guarded is gone before anything else begins.
+	k, m := f.currentWork()
+	// Killing the guard must end the command it guards before any other run begins.
 	pids := guardsOf(m.Pid())
 	require.NotEmpty(t, pids)
 	for _, pid := range pids {
 		syscall.Kill(pid, syscall.SIGKILL)
 	}
-	// The broker ends what its guard left, the grandchild in a session of its own too.
-	require.NoError(t, rig.Until(takeoverIn, func() bool { return len(k.Left()) == 0 }))
-	// Not before the broker has said so may it be killed itself: a guard and its broker killed at once leave a grandchild in a session of its own to the
-	// fence (docs/leases.md). That grandchild's words once passed for work that goes on, and the test's end was the broker's.
-	require.NoError(t, rig.Until(takeoverIn, func() bool {
+	// The broker ends the processes that the guard left behind, including the grandchild in a session of its own.
+	require.NoError(t, rig.Until(takeoverTimeout, func() bool { return len(k.Left()) == 0 }))
+	// The broker must not be killed before it has reported this: if a guard and its broker die at once, only the fence
+	// stops a grandchild in a session of its own (docs/leases.md). A late report of such a grandchild once counted as
+	// running work, and the test failed when it killed the broker.
+	require.NoError(t, rig.Until(takeoverTimeout, func() bool {
 		log, _ := os.ReadFile(m.Path("log"))
 		return bytes.Contains(log, []byte("its guard was ended"))
 	}))
-	f.atWork()
+	f.currentWork()
 }
 
-// Disks that are full, as the kernel says it: a voter that can store nothing more grants nothing more and says why. One of three costs nothing; with two nobody may
-// begin; started again with room they find what the last write left, and the task goes on.
+// TestLeaseDiskFull fills disks (the kernel refuses further writes): a voter that can't store a vote grants nothing
+// more and logs why. One such voter of three has no effect; with two, no run may begin. After a restart with free
+// space they recover from what the last write left, and the task resumes.
 func TestLeaseDiskFull(t *testing.T) {
-	besideOthers(t)
+	runParallel(t)
 	f := startLeases(t, 3, "300ms", "plain", "votes", nil)
-	f.atWork()
+	f.currentWork()
 	said := func(m *rig.Member, any ...string) {
 		t.Helper()
-		require.NoError(t, rig.Until(takeoverIn, func() bool {
+		require.NoError(t, rig.Until(takeoverTimeout, func() bool {
 			log, _ := os.ReadFile(m.Path("log"))
 			return slices.ContainsFunc(any, func(what string) bool { return bytes.Contains(log, []byte(what)) })
 		}), any)
 	}
 	fill := func(m *rig.Member) {
 		t.Helper()
-		// The log of what it says is longer than its votes: it has to go on, so it is moved out of the limit's way.
+		// The log is longer than the file of votes and must stay writable, so it is truncated to stay below the size limit.
 		require.NoError(t, os.Truncate(m.Path("log"), 0))
 		size := int64(0)
 		names, _ := filepath.Glob(filepath.Join(m.Path("votes"), "log-*"))
@@ -364,65 +369,67 @@
 		said(m, "file too large")
 	}
 	fill(f.Members[0])
-	f.atWork() // two of three are a majority
+	f.currentWork() // two of three are a majority
 	fill(f.Members[1])
-	require.NoError(t, rig.Until(takeoverIn, func() bool { return f.holderOf() == nil }), "one of three is none")
+	require.NoError(t, rig.Until(takeoverTimeout, func() bool { return f.holderOf() == nil }), "one voter of three is no majority")
 	all := f.witness.Seen()
 	for _, m := range f.Members[:2] {
 		m.Kill()
 		require.NoError(t, m.Launch())
-		// Whether the last write left a torn tail is the kernel's to say.
+		// Whether the last write left a torn tail depends on the kernel.
 		said(m, "votes on leases may be missing", "votes on leases are as they were stored")
 	}
-	f.anew(all[len(all)-1])
+	f.newerWork(all[len(all)-1])
 }
 
-// A whole machine stands still, broker, guard and command, and wakes after another one holds the lease: that no lease can cover, and the fence where effects
-// land does. The command wakes first and goes on for as long as it is let.
+// TestMachineStandsStill pauses a whole machine (broker, guard and command) and resumes it after another one holds the
+// lease. No lease can prevent the late writes, but the fence at the target of the writes does. The command resumes
+// first and continues as long as it can.
 func TestMachineStandsStill(t *testing.T) {
-	besideOthers(t)
+	runParallel(t)
 	f := startLeases(t, 3, "30s", "fenced", "votes", nil)
-	k, m := f.atWork()
+	k, m := f.currentWork()
 	stopped := append([]int{m.Pid()}, guardsOf(m.Pid())...)
 	for _, pid := range append(slices.Clone(stopped), k.Pids...) {
 		require.NoError(t, syscall.Kill(pid, syscall.SIGSTOP))
 	}
-	next, _ := f.anew(k)
-	require.NoError(t, rig.Until(takeoverIn, func() bool { // its effects have landed
+	next, _ := f.newerWork(k)
+	require.NoError(t, rig.Until(takeoverTimeout, func() bool { // its writes have arrived
 		all := f.witness.Seen()
 		return all[len(all)-1].Fence == next.Fence && all[len(all)-1].Last > next.Last
 	}))
 	for _, pid := range k.Pids {
 		require.NoError(t, syscall.Kill(pid, syscall.SIGCONT))
 	}
-	require.NoError(t, rig.Until(takeoverIn, func() bool { return len(k.Left()) == 0 }), "it is let do nothing, and ends")
+	require.NoError(t, rig.Until(takeoverTimeout, func() bool { return len(k.Left()) == 0 }), "the fence refuses its writes, and it ends")
 	for _, pid := range stopped {
 		syscall.Kill(pid, syscall.SIGCONT)
 	}
-	f.atWork()
+	f.currentWork()
 	for _, x := range f.witness.Seen() {
 		if x.Fence == k.Fence {
-			assert.Less(t, x.Last, next.First, "nothing landed under the old number after the new one's first")
+			assert.Less(t, x.Last, next.First, "a write under the old number arrived after the first one under the new number")
 		}
 	}
 }
 
-// Leases by hand: so many hold one at a time in the fleet, whoever waits gets it next, an operator can have it released, and a command whose lease
-// is lost is ended. A lease is lost where brokers stand still for longer than it lasts: then what is tried is tried again.
+// TestLeaseByHand checks leases by hand: the fleet never has more holders than configured, a waiting command acquires
+// the lease next, an operator can release it, and a command that loses its lease is ended. A broker that is not
+// scheduled for longer than a term loses its lease; such attempts are repeated.
 func TestLeaseByHand(t *testing.T) {
 	for name, disturb := range map[string]func(*rig.Fleet) (stop func()){
 		"calm": func(*rig.Fleet) func() { return func() {} },
-		"a broker stands still for longer than the term": func(f *rig.Fleet) func() {
-			return standStill(f.Members[:1], time.Second, leaseTerm+time.Second, 3)
+		"a broker is paused for longer than the term": func(f *rig.Fleet) func() {
+			return pauseTurns(f.Members[:1], time.Second, leaseTerm+time.Second, 3)
 		},
-		"a broker is held for dead and back, again and again": func(f *rig.Fleet) func() {
-			return standStill(f.Members[:1], 700*time.Millisecond, 900*time.Millisecond, 5)
+		"a broker is repeatedly declared dead and rejoins": func(f *rig.Fleet) func() {
+			return pauseTurns(f.Members[:1], 700*time.Millisecond, 900*time.Millisecond, 5)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			besideOthers(t)
+			runParallel(t)
 			f := startLeases(t, 3, "20ms", "plain", "votes", nil)
-			f.atWork()
+			f.currentWork()
 			stop := disturb(f.Fleet)
 			defer stop()
 			f.slotsByHand()
@@ -434,7 +441,7 @@
 	}
 }
 
-// hold has a command run under a lease by hand.
+// hold runs a command under a lease by hand.
 func (f *leaseFleet) hold(m *rig.Member, name, span string, holders int, more ...string) *exec.Cmd {
 	args := append([]string{"lease", "run", "--socket", m.Socket(), "--term", leaseTerm.String(), "--holders", fmt.Sprint(holders), "--wait", "60s"}, more...)
 	cmd := exec.Command(os.Args[0], append(args, name, "--", os.Args[0], "witness", f.witness.Addr, span, "plain")...)
@@ -445,8 +452,8 @@
 	return cmd
 }
 
-// holding counts who holds a lease, as a member sees it.
-func (f *leaseFleet) holding(m *rig.Member, name string) (n int) {
+// countHolders counts the holders of a lease, as a member sees it.
+func (f *leaseFleet) countHolders(m *rig.Member, name string) (n int) {
 	var rows []leaseRow
 	require.NoError(f.t, json.Unmarshal([]byte(command(f.t, m, "lease", "list", "--json")), &rows))
 	for _, r := range rows {
@@ -457,44 +464,45 @@
 	return n
 }
 
-// working waits until a command goes on under a lease. That some voter has granted a try is not enough: another try may cross it and win.
-func (f *leaseFleet) working(name string) {
+// awaitRunning waits until a command runs under a lease. A grant by a single voter is not enough: a competing attempt
+// may still win.
+func (f *leaseFleet) awaitRunning(name string) {
 	f.t.Helper()
 	now := guard.Now()
-	require.NoError(f.t, rig.Until(takeoverIn, func() bool {
+	require.NoError(f.t, rig.Until(takeoverTimeout, func() bool {
 		return slices.ContainsFunc(f.witness.Seen(), func(k rig.Work) bool { return strings.HasPrefix(k.Lease, "hold/"+name+"/") && k.Last > now })
 	}))
 }
 
-// codeOf is what a command ends with; it is waited for.
-func codeOf(cmd *exec.Cmd) int {
+// waitExitCode waits for a command and returns its exit code.
+func waitExitCode(cmd *exec.Cmd) int {
 	_ = cmd.Wait()
 	return cmd.ProcessState.ExitCode()
 }
 
-// undisturbed tries something until it comes about with no process standing still.
-func (f *leaseFleet) undisturbed(what string, do func(attempt int) error) {
+// retryStalled repeats an attempt until it succeeds; a failure is excused only if a member or the test stalled meanwhile.
+func (f *leaseFleet) retryStalled(what string, do func(attempt int) error) {
 	f.t.Helper()
-	unlessStill(f.t, what, f.Members, do)
+	retryAfterStall(f.t, what, f.Members, do)
 }
 
-// slotsByHand: three ask for one of two slots.
+// slotsByHand runs three commands that compete for two slots.
 func (f *leaseFleet) slotsByHand() {
 	f.t.Helper()
-	f.undisturbed("three commands take turns in two slots", func(attempt int) error {
+	f.retryStalled("three commands take turns in two slots", func(attempt int) error {
 		name := fmt.Sprint("maintenance-", attempt)
 		var cmds []*exec.Cmd
 		for _, m := range f.Members {
 			cmds = append(cmds, f.hold(m, name, "2500ms", 2))
 		}
-		two := rig.Until(takeoverIn, func() bool { return f.holding(f.Members[0], name) == 2 })
+		two := rig.Until(takeoverTimeout, func() bool { return f.countHolders(f.Members[0], name) == 2 })
 		for _, c := range cmds {
-			if code := codeOf(c); code != 0 {
+			if code := waitExitCode(c); code != 0 {
 				return fmt.Errorf("a command ended with %d", code)
 			}
 		}
 		if two != nil {
-			return fmt.Errorf("two never hold at once: %w", two)
+			return fmt.Errorf("the two slots were never held at once: %w", two)
 		}
 		slots := map[string]int{}
 		for _, k := range f.witness.Seen() {
@@ -509,93 +517,95 @@
 	})
 }
 
-// releasedByHand: one that is held is not waited for longer than asked, is shown, and is released by order at another broker.
+// releasedByHand checks that a command stops waiting for a held lease after --wait, that the lease is shown, and that
+// an order at another broker releases it.
 func (f *leaseFleet) releasedByHand() {
 	f.t.Helper()
-	f.undisturbed("a lease is shown and released", func(int) error {
+	f.retryStalled("a lease is shown and released", func(int) error {
 		first := f.hold(f.Members[0], "one", "60s", 1)
 		defer func() {
 			first.Process.Kill()
 			first.Wait()
 		}()
-		f.working("one")
-		seen := rig.Until(takeoverIn, func() bool { return f.holding(f.Members[0], "one") == 1 })
-		late := codeOf(f.hold(f.Members[1], "one", "60s", 1, "--wait", "300ms"))
+		f.awaitRunning("one")
+		seen := rig.Until(takeoverTimeout, func() bool { return f.countHolders(f.Members[0], "one") == 1 })
+		late := waitExitCode(f.hold(f.Members[1], "one", "60s", 1, "--wait", "300ms"))
 		shown := command(f.t, f.Members[2], "lease", "show", "one")
-		if seen != nil || late != int(notHeld) || !strings.Contains(shown, "witness") || !strings.Contains(shown, "n0") {
-			return fmt.Errorf("seen: %v; who came late ended with %d; shown: %s", seen, late, shown)
+		if seen != nil || late != int(exitNotAcquired) || !strings.Contains(shown, "witness") || !strings.Contains(shown, "n0") {
+			return fmt.Errorf("held: %v; the second command ended with %d; shown: %s", seen, late, shown)
 		}
 		command(f.t, f.Members[2], "lease", "release", "one")
-		if code := codeOf(first); code != 128+int(syscall.SIGTERM) {
-			return fmt.Errorf("released, it ended with %d", code)
+		if code := waitExitCode(first); code != 128+int(syscall.SIGTERM) {
+			return fmt.Errorf("after the release the command ended with %d", code)
 		}
 		return nil
 	})
 }
 
-// holderIsCutOff: it is ended before the term is over, and the lease is free for others.
+// holderIsCutOff checks that the command of a holder that is cut off ends before the term is over, and that others can
+// then acquire the lease.
 func (f *leaseFleet) holderIsCutOff() {
 	f.t.Helper()
-	f.undisturbed("a holder is cut off", func(int) error {
+	f.retryStalled("a holder is cut off", func(int) error {
 		cut := f.hold(f.Members[0], "one", "60s", 1)
-		f.working("one")
+		f.awaitRunning("one")
 		f.Switch.Split([]int{1, 2})
-		other := codeOf(f.hold(f.Members[1], "one", "100ms", 1))
-		code := codeOf(cut)
+		other := waitExitCode(f.hold(f.Members[1], "one", "100ms", 1))
+		code := waitExitCode(cut)
 		f.Switch.Heal()
 		if other != 0 || code == 0 {
-			return fmt.Errorf("the next one ended with %d, who was cut off with %d", other, code)
+			return fmt.Errorf("the next holder's command ended with %d, that of the holder that was cut off with %d", other, code)
 		}
 		return nil
 	})
 }
 
-// holderIsKilled: what it ran is gone, and the lease is free after its term.
+// holderIsKilled checks that the command of a killed holder is gone, and that the lease is free after its term.
 func (f *leaseFleet) holderIsKilled() {
 	f.t.Helper()
-	f.undisturbed("a holder is killed", func(int) error {
+	f.retryStalled("a holder is killed", func(int) error {
 		killed := f.hold(f.Members[1], "one", "60s", 1)
-		f.working("one")
+		f.awaitRunning("one")
 		killed.Process.Kill()
 		killed.Wait()
-		if code := codeOf(f.hold(f.Members[2], "one", "100ms", 1)); code != 0 {
-			return fmt.Errorf("the next one ended with %d", code)
+		if code := waitExitCode(f.hold(f.Members[2], "one", "100ms", 1)); code != 0 {
+			return fmt.Errorf("the next holder's command ended with %d", code)
 		}
 		return nil
 	})
 }
 
-// ordersOnTheTask: a task that is paused is not triggered, and goes on once it is resumed.
+// ordersOnTheTask checks that a paused task can't be triggered, and that it continues once it is resumed.
 func (f *leaseFleet) ordersOnTheTask() {
 	f.t.Helper()
 	command(f.t, f.Members[1], "lease", "pause", "close")
-	require.NoError(f.t, rig.Until(takeoverIn, func() bool {
+	require.NoError(f.t, rig.Until(takeoverTimeout, func() bool {
 		return strings.Contains(command(f.t, f.Members[2], "lease", "list"), "paused")
 	}), "it is shown as paused")
 	assert.Contains(f.t, refusal(f.t, f.Members[1], "lease", "trigger", "close"), "the task is paused")
 	command(f.t, f.Members[1], "lease", "resume", "close")
-	f.atWork()
-	assert.Contains(f.t, refusal(f.t, f.Members[1], "lease", "release", "nothing"), "no lease and no task")
+	f.currentWork()
+	assert.Contains(f.t, refusal(f.t, f.Members[1], "lease", "release", "nothing"), "knows no lease or task")
 }
 
-// TestHoldIsLostWithItsBroker has a holder's broker stand still for longer than the lease lasts. The command is ended before the term
-// is over, says why, and the next holder has a higher number; the broker, awake again, holds nothing.
+// TestHoldIsLostWithItsBroker pauses a holder's broker for longer than a term. The command is ended before the term is
+// over and reports why, the next holder has a higher fencing number, and the broker holds nothing after it resumes.
 func TestHoldIsLostWithItsBroker(t *testing.T) {
-	besideOthers(t)
+	runParallel(t)
 	f := startLeases(t, 3, "20ms", "plain", "votes", nil)
-	f.atWork()
+	f.currentWork()
 	lost := f.hold(f.Members[0], "one", "60s", 1)
-	f.working("one")
+	f.awaitRunning("one")
 	f.Members[0].Signal(syscall.SIGSTOP)
-	assert.Equal(t, 128+int(syscall.SIGTERM), codeOf(lost), "the command of a lease that has run out")
-	f.undisturbed("the next one holds it", func(int) error {
-		if code := codeOf(f.hold(f.Members[1], "one", "300ms", 1)); code != 0 {
-			return fmt.Errorf("it ended with %d", code)
+	assert.Equal(t, 128+int(syscall.SIGTERM), waitExitCode(lost), "the command of an expired lease")
+	f.retryStalled("the next holder acquires the lease", func(int) error {
+		if code := waitExitCode(f.hold(f.Members[1], "one", "300ms", 1)); code != 0 {
+			return fmt.Errorf("the next holder's command ended with %d", code)
 		}
 		return nil
 	})
 	f.Members[0].Signal(syscall.SIGCONT)
-	require.NoError(t, rig.Until(takeoverIn, func() bool { return f.holding(f.Members[0], "one") == 0 }), "it holds nothing any more")
+	require.NoError(t, rig.Until(takeoverTimeout, func() bool { return f.countHolders(f.Members[0], "one") == 0 }), "the resumed broker holds nothing")
 	var before, after rig.Work
 	for _, k := range f.witness.Seen() {
 		if strings.HasPrefix(k.Lease, "hold/one/") {
@@ -603,21 +613,21 @@
 		}
 	}
 	assert.Greater(t, after.Fence, before.Fence)
-	assert.Greater(t, after.First, before.Last, "never two at work")
+	assert.Greater(t, after.First, before.Last, "two runs overlap")
 }
 
 var (
-	rigSeed     = flag.Uint64("rig.seed", 1, "draw the schedule of TestLeaseSchedule from this seed")
-	rigMembers  = flag.Int("rig.members", 5, "processes of TestLeaseSchedule")
-	rigFaults   = flag.Int("rig.faults", 6, "faults of its schedule")
-	rigSpan     = flag.Duration("rig.span", 8*time.Second, "time in which they begin")
+	rigSeed     = flag.Uint64("rig.seed", 1, "seed of the schedule of TestLeaseSchedule")
+	rigMembers  = flag.Int("rig.members", 5, "number of processes of TestLeaseSchedule")
+	rigFaults   = flag.Int("rig.faults", 6, "number of faults in its schedule")
+	rigSpan     = flag.Duration("rig.span", 8*time.Second, "time span in which the faults begin")
 	rigSchedule = flag.String("rig.schedule", "", "play the schedule in this file instead")
 )
 
-// A schedule of faults drawn from a seed: never two at work, and work again once all is well. One that fails is printed, played again to say how
-// often it fails, and made smaller; -rig.schedule plays it.
+// TestLeaseSchedule plays faults drawn from a seed: no two runs may overlap, and work must resume once all faults are
+// over. A failing schedule is printed, replayed to count how often it fails, and reduced; -rig.schedule plays it.
 func TestLeaseSchedule(t *testing.T) {
-	besideOthers(t)
+	runParallel(t)
 	s := rig.Draw(*rigSeed, *rigMembers, *rigFaults, *rigSpan)
 	if *rigSchedule != "" {
 		text, err := os.ReadFile(*rigSchedule)
@@ -631,10 +641,10 @@
 	plays := 0
 	play := func(s rig.Schedule) bool {
 		plays++
-		f.atWork()
+		f.currentWork()
 		before := len(f.witness.Judge())
 		require.NoError(t, f.Play(s))
-		f.atWork()
+		f.currentWork()
 		return len(f.witness.Judge()) > before
 	}
 	if !play(s) {
@@ -655,7 +665,7 @@
 	require.NoError(t, err, string(out))
 }
 
-// holderOf is who holds the task's lease.
+// holderOf returns the member that holds the task's lease.
 func (f *leaseFleet) holderOf() *rig.Member {
 	for _, m := range f.Members {
 		var s sharer.State
@@ -666,7 +676,7 @@
 	return nil
 }
 
-// guardsOf are the processes that a broker has started.
+// guardsOf returns the processes that a broker has started.
 func guardsOf(pid int) (all []int) {
 	paths, _ := filepath.Glob("/proc/[0-9]*/stat")
 	for _, path := range paths {
--- a/cmd/gullstair/limits.go
+++ b/cmd/gullstair/limits.go
@@ -12,24 +12,24 @@
 )
 
 type limitsCmd struct {
-	Show  limitsShowCmd  `cmd:"" default:"withargs" help:"Each limit and the busiest keys of it (the default)."`
-	Set   limitsSetCmd   `cmd:"" help:"Another size of a limit for a while, in the whole fleet."`
-	Clear limitsClearCmd `cmd:"" help:"Take that back before its time."`
+	Show  limitsShowCmd  `cmd:"" default:"withargs" help:"Show each limit and its busiest keys (the default)."`
+	Set   limitsSetCmd   `cmd:"" help:"Change the size of a limit for a while, in the whole fleet."`
+	Clear limitsClearCmd `cmd:"" help:"End such a change early."`
 }
 
 type limitsSetCmd struct {
 	Socket string        `required:"" help:"The broker's control socket." type:"path"`
 	Name   string        `arg:"" help:"The limit's name."`
-	Size   string        `required:"" help:"Scans a second, open scans or ms of work, as the limit counts."`
-	Burst  string        `help:"Scans at once, where it counts scans a second; none: in proportion."`
-	For    time.Duration `required:"" help:"How long; it goes back by itself then, also at a broker that is cut off."`
+	Size   string        `required:"" help:"Scans a second, open scans or ms of work, depending on what the limit counts."`
+	Burst  string        `help:"Burst of a limit that counts scans a second; if omitted, in proportion to the size."`
+	For    time.Duration `required:"" help:"How long; then the limit reverts by itself, also at a broker that is cut off."`
 }
 
 func (c *limitsSetCmd) Run(out io.Writer) error {
 	if err := control.Post(c.Socket, "limits", url.Values{"limit": {c.Name}, "size": {c.Size}, "burst": {c.Burst}, "for": {c.For.String()}}); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(out, "%s: set here and told to all; gullstair limits shows how many know it\n", c.Name)
+	_, err := fmt.Fprintf(out, "%s: set here and sent to all brokers; gullstair limits shows how many know it\n", c.Name)
 	return err
 }
 
@@ -42,11 +42,11 @@
 	if err := control.Post(c.Socket, "limits", url.Values{"limit": {c.Name}, "do": {"clear"}}); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(out, "%s: taken back here and told to all\n", c.Name)
+	_, err := fmt.Fprintf(out, "%s: reverted here and sent to all brokers\n", c.Name)
 	return err
 }
 
-type limitsShowCmd struct{ asking }
+type limitsShowCmd struct{ socketFlags }
 
 func (c *limitsShowCmd) Run(out io.Writer) error {
 	var s broker.LimitsSeen
@@ -54,7 +54,7 @@
 		return err
 	}
 	if c.JSON {
-		return encoded(out, s)
+		return writeJSON(out, s)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "LIMIT\tKEY\tSIZE\tHOME\tLENT\tBORROWED\tSHARE\tUSED\tASKED\tAGE\tOVER AT MOST\tSTATE")
@@ -62,15 +62,15 @@
 		state := "connected"
 		switch {
 		case l.Quiet > 0:
-			state = fmt.Sprintf("home share rests for %s", ago(l.Quiet))
+			state = fmt.Sprintf("home share rests for %s", formatDuration(l.Quiet))
 		case l.Cut:
 			state = "lenders are silent"
 		}
 		if l.Order != "" {
-			state += fmt.Sprintf("; set by %s for %s, known to %d others", l.Order, ago(l.Left), l.Told)
+			state += fmt.Sprintf("; set by %s for %s, known to %d others", l.Order, formatDuration(l.Left), l.Told)
 		}
 		fmt.Fprintf(w, "%s\t%s\t%g\t%.3f\t%.3f\t%.3f\t%.3f\t%.1f\t%.1f\t%s\t%.3f\t%s\n", l.Limit, l.Key, l.Size, l.Home, l.Lent, l.Borrowed, l.Share,
-			l.Used, l.Demand, ago(l.Age), l.Over, state)
+			l.Used, l.Demand, formatDuration(l.Age), l.Over, state)
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/cmd/gullstair/limits_test.go
+++ b/cmd/gullstair/limits_test.go
@@ -24,34 +24,35 @@
 	"gullstair/internal/verdicts"
 )
 
-// limitFleet is a fleet with a limit and clients who ask each broker so often in a second. What they got is all that is judged.
+// limitFleet is a fleet with a limit, and clients that query each broker at a set rate. Checks use only the answers
+// that the clients got.
 type limitFleet struct {
 	*rig.Fleet
-	t      *testing.T
-	client *http.Client
-	demand []atomic.Int64 // scans a second, by broker
-	begun  time.Time
-	stop   chan struct{}
-	asking sync.WaitGroup
-	// stopAll ends it before the test does.
+	t       *testing.T
+	client  *http.Client
+	demand  []atomic.Int64 // scans a second, by broker
+	started time.Time
+	stop    chan struct{}
+	clients sync.WaitGroup
+	// stopAll stops the clients before the test ends.
 	stopAll func()
 
-	account func() string // whose the next scan is; nil: nobody's in particular
+	account func() string // returns the account of the next scan; nil: no account
 
-	mu   sync.Mutex
-	got  []answer
-	back []answer // throttled ones
+	mu        sync.Mutex
+	got       []answer
+	throttled []answer // throttled answers
 }
 
-// rates are the members' clocks': 3% apart, within the drift that they are told.
+// rates are the rates of the members' clocks: up to 3% apart, within the configured drift.
 var rates = []float64{0.985, 1, 1.015, 0.985, 1}
 
-// answer is a scan that was taken: at some moment between the two, by the clients' clock.
+// answer is a scan that was admitted at some moment between sent and came, by the clients' clock.
 type answer struct {
 	broker     int
 	sent, came time.Duration
 	account    string
-	after      float64 // s, as a throttled one was told to come back
+	retryAfter float64 // s, the Retry-After of a throttled one
 }
 
 const (
@@ -59,12 +60,13 @@
 	limitBurst = 16.0
 )
 
-// startLimits starts the first five of so many processes.
+// startLimits starts five processes, which list this many members.
 func startLimits(t *testing.T, members int, limit string, sharing ...string) *limitFleet {
 	return startSomeLimits(t, members, 5, limit, sharing...)
 }
 
-// startSomeLimits starts the first ones of so many processes, which their documents list. What is lent lasts at every other one.
+// startSomeLimits starts the first processes of the members, which their documents list. Every other member stores its
+// loans durably.
 func startSomeLimits(t *testing.T, members, first int, limit string, sharing ...string) *limitFleet {
 	tree := startTree(t)
 	var hosts []any
@@ -83,10 +85,10 @@
 		}})
 	require.NoError(t, err)
 	f := &limitFleet{Fleet: fleet, t: t, client: &http.Client{Timeout: 3 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 64}}, demand: make([]atomic.Int64, members),
-		begun: time.Now(), stop: make(chan struct{})}
+		started: time.Now(), stop: make(chan struct{})}
 	f.stopAll = sync.OnceFunc(func() {
 		close(f.stop)
-		f.asking.Wait()
+		f.clients.Wait()
 		f.Close()
 		f.client.CloseIdleConnections()
 	})
@@ -102,12 +104,12 @@
 		require.NoError(t, m.Launch())
 	}
 	for i := range f.Members {
-		f.asking.Go(func() { f.ask(i) })
+		f.clients.Go(func() { f.ask(i) })
 	}
 	return f
 }
 
-// ask asks one broker at the pace that is set. Scans don't wait for one another.
+// ask sends scans to one broker at the set rate, without waiting for their answers.
 func (f *limitFleet) ask(i int) {
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
@@ -123,7 +125,7 @@
 		for ; owed >= 1; owed-- {
 			n++
 			id := fmt.Sprint("q", i, "-", n)
-			f.asking.Go(func() { f.scan(i, id) })
+			f.clients.Go(func() { f.scan(i, id) })
 		}
 	}
 }
@@ -140,27 +142,27 @@
 		a.account = f.account()
 		req.Header.Set("X-Account", a.account)
 	}
-	a.sent = time.Since(f.begun)
+	a.sent = time.Since(f.started)
 	res, err := f.client.Do(req)
 	if err != nil {
-		return // its broker was killed, or stands still
+		return // its broker was killed or is paused
 	}
 	defer res.Body.Close()
 	io.Copy(io.Discard, res.Body)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if a.came = time.Since(f.begun); res.StatusCode == http.StatusOK {
+	if a.came = time.Since(f.started); res.StatusCode == http.StatusOK {
 		f.got = append(f.got, a)
-	} else if fmt.Sscan(res.Header.Get("Retry-After"), &a.after); a.after > 0 {
-		f.back = append(f.back, a)
+	} else if fmt.Sscan(res.Header.Get("Retry-After"), &a.retryAfter); a.retryAfter > 0 {
+		f.throttled = append(f.throttled, a)
 	}
 }
 
-// let lets time pass and returns how many scans a second were answered meanwhile, by broker.
-func (f *limitFleet) let(span time.Duration) (all float64, by []float64) {
-	from := time.Since(f.begun)
+// measureRate lets time pass and returns how many scans a second were answered meanwhile, in total and by broker.
+func (f *limitFleet) measureRate(span time.Duration) (all float64, by []float64) {
+	from := time.Since(f.started)
 	<-time.After(span)
-	to := time.Since(f.begun)
+	to := time.Since(f.started)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	by = make([]float64, len(f.Members))
@@ -173,34 +175,35 @@
 	return all, by
 }
 
-func (f *limitFleet) askAll(perSecond ...int64) {
+func (f *limitFleet) setDemand(perSecond ...int64) {
 	for i, n := range perSecond {
 		f.demand[i].Store(n)
 	}
 }
 
-// near waits until that share of the limit is used at least.
-func (f *limitFleet) near(what string, least float64, demand ...int64) {
+// awaitUse waits until at least this share of the limit is used.
+func (f *limitFleet) awaitUse(what string, least float64, demand ...int64) {
 	f.t.Helper()
-	f.askAll(demand...)
+	f.setDemand(demand...)
 	require.NoError(f.t, rig.Until(20*time.Second, func() bool {
-		all, _ := f.let(500 * time.Millisecond)
+		all, _ := f.measureRate(500 * time.Millisecond)
 		return all > least*limitRate
 	}), what)
 }
 
-// kept judges every window at the end.
-func (f *limitFleet) kept() {
+// checkExcess checks the limit over all windows at the end.
+func (f *limitFleet) checkExcess() {
 	f.t.Helper()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	over := judge(f.got, limitRate, limitBurst)
+	over := excess(f.got, limitRate, limitBurst)
 	assert.LessOrEqual(f.t, over, 0.0, "scans beyond rate x window + burst, of %d", len(f.got))
-	f.t.Logf("%d scans answered in %.0f s; largest excess over all windows %.1f", len(f.got), time.Since(f.begun).Seconds(), over)
+	f.t.Logf("%d scans answered in %.0f s; largest excess over all windows %.1f", len(f.got), time.Since(f.started).Seconds(), over)
 }
 
-// judge is how many scans more than rate x window + burst were answered in the worst window: what was sent and answered within it counts.
-func judge(got []answer, rate, burst float64) float64 {
+// excess returns how many scans more than rate x window + burst were answered in the worst window; a scan counts if it
+// was sent and answered within the window.
+func excess(got []answer, rate, burst float64) float64 {
 	var all []rig.Span
 	for _, a := range got {
 		all = append(all, rig.Span{From: float64(a.sent) / 1e6, To: float64(a.came) / 1e6})
@@ -208,98 +211,100 @@
 	return rig.Excess(all, rate/1000, burst)
 }
 
-// The judge finds what is over: as many scans as a bucket gives are not, one more is.
+// TestLimitJudge checks that excess accepts as many scans as a token bucket grants, and finds one more.
 func TestLimitJudge(t *testing.T) {
 	var got []answer
 	for i := range 40 {
 		at := time.Duration(max(0, i-15)) * time.Second / 80
 		got = append(got, answer{sent: at, came: at + time.Millisecond})
 	}
-	assert.LessOrEqual(t, judge(got, 80, 16), 0.0)
-	assert.Greater(t, judge(append(got, answer{came: time.Millisecond}), 80, 16), 0.5)
+	assert.LessOrEqual(t, excess(got, 80, 16), 0.0)
+	assert.Greater(t, excess(append(got, answer{came: time.Millisecond}), 80, 16), 0.5)
 }
 
-// A strict limit for five processes whose clocks run apart: demand that moves, splits with loans out, one-way links, loss, replays, brokers killed, stopped
-// past their loans' ends and all restarted. Never a scan over; and what is free is used.
+// TestLimitFaults puts a strict limit on five processes with diverging clocks through moving demand, partitions with
+// outstanding loans, one-way links, loss, replays, and brokers that are killed, paused past the end of their loans,
+// and all restarted. The limit must never be exceeded, and free capacity must be used.
 func TestLimitFaults(t *testing.T) {
-	besideOthers(t)
+	runParallel(t)
 	f := startLimits(t, 5, fleetLimit)
-	near := f.near
-	near("all of it at one broker", 0.85, 160)
-	near("and moved", 0.85, 0, 160, 0, 0, 0)
-	near("and moved on", 0.85, 5, 5, 5, 160, 5)
-
-	// 3-2, with loans out both ways: each side goes on with its members' home shares.
-	f.askAll(160, 5, 5, 160, 5)
-	f.let(time.Second)
+	near := f.awaitUse
+	near("all demand at one broker", 0.85, 160)
+	near("demand moves", 0.85, 0, 160, 0, 0, 0)
+	near("demand moves again", 0.85, 5, 5, 5, 160, 5)
+
+	// A partition of 3 and 2 with outstanding loans both ways: each side continues with its members' home shares.
+	f.setDemand(160, 5, 5, 160, 5)
+	f.measureRate(time.Second)
 	f.Switch.Split([]int{0, 1, 2}, []int{3, 4})
-	f.askAll(100, 100, 100, 100, 100)
+	f.setDemand(100, 100, 100, 100, 100)
 	require.NoError(t, rig.Until(20*time.Second, func() bool {
-		_, by := f.let(time.Second)
+		_, by := f.measureRate(time.Second)
 		return by[0]+by[1]+by[2] > 0.8*limitRate*3/5 && by[3]+by[4] > 0.8*limitRate*2/5
 	}), "each side at its members' share")
 	assert.Contains(t, command(t, f.Members[3], "limits"), "LIMIT")
 	f.Switch.Split([]int{0, 1}, []int{2, 3}, []int{4})
-	f.let(500 * time.Millisecond)
+	f.measureRate(500 * time.Millisecond)
 	f.Switch.Heal()
 	near("healed", 0.85, 0, 0, 160, 0, 0)
 
-	// An operator lowers it for a while: at once at all brokers, and back by itself.
-	f.askAll(40, 40, 40, 40, 40)
+	// An operator lowers the limit for a while: all brokers apply it at once, and it ends by itself.
+	f.setDemand(40, 40, 40, 40, 40)
 	command(t, f.Members[1], "limits", "set", "all", "--size", "20", "--for", "4s")
 	assert.Contains(t, refusal(t, f.Members[1], "limits", "set", "none", "--size", "20", "--for", "4s"), `no limit "none"`)
-	f.let(500 * time.Millisecond)
-	all, _ := f.let(2 * time.Second)
+	f.measureRate(500 * time.Millisecond)
+	all, _ := f.measureRate(2 * time.Second)
 	assert.Less(t, all, 20+limitBurst/4/2+3)
 	assert.Contains(t, command(t, f.Members[4], "limits"), "set by n1")
-	near("and back by itself", 0.85, 40, 40, 40, 40, 40)
+	near("the order ends by itself", 0.85, 40, 40, 40, 40, 40)
 
-	// A wall clock an hour off cuts its broker off, since members refuse old datagrams; the limit rests on no wall clock.
+	// A wall clock that is an hour off cuts its broker off, since members refuse old datagrams; the limit itself uses no
+	// wall clock.
 	require.NoError(t, f.Members[2].Bend(rates[2], time.Hour))
-	f.askAll(0, 100, 160, 0, 0)
-	f.let(2 * time.Second)
+	f.setDemand(0, 100, 160, 0, 0)
+	f.measureRate(2 * time.Second)
 	require.NoError(t, f.Members[2].Bend(rates[2], 0))
-	near("its clock is right again", 0.85, 0, 0, 160, 0, 0)
+	near("the clock is corrected", 0.85, 0, 0, 160, 0, 0)
 
-	// One way between lender and borrower, loss, and what was sent before once more.
+	// A one-way link between lender and borrower, loss, and replayed datagrams.
 	f.Switch.Set(0, 2, func(l *rig.Link) { l.Cut = true })
 	f.Switch.Set(2, 1, func(l *rig.Link) { l.Cut = true })
-	f.let(time.Second)
+	f.measureRate(time.Second)
 	f.Switch.Heal()
 	f.Switch.All(func(l *rig.Link) { l.Loss = 1.0 / 3 })
-	f.let(time.Second)
+	f.measureRate(time.Second)
 	f.Switch.Replay()
-	f.let(500 * time.Millisecond)
+	f.measureRate(500 * time.Millisecond)
 	f.Switch.Heal()
 	near("after loss", 0.85, 0, 0, 160, 0, 0)
 
-	// A borrower that stands still past its loans' ends takes nothing under them when it wakes, though its mailbox is full.
+	// A borrower that is paused past the end of its loans uses none of them when it resumes, though its mailbox is full.
 	f.Members[2].Signal(syscall.SIGSTOP)
-	f.askAll(100, 100, 100, 100, 100)
-	f.let(2500 * time.Millisecond)
+	f.setDemand(100, 100, 100, 100, 100)
+	f.measureRate(2500 * time.Millisecond)
 	f.Members[2].Signal(syscall.SIGCONT)
-	f.let(time.Second)
+	f.measureRate(time.Second)
 
-	// A lender is killed, then a borrower; all are restarted at once.
+	// A lender is killed, then a borrower; then all are restarted at once.
 	near("one borrows", 0.7, 0, 0, 160, 0, 0)
 	f.Members[0].Kill()
-	f.let(300 * time.Millisecond)
+	f.measureRate(300 * time.Millisecond)
 	f.Members[2].Kill()
-	f.askAll(100, 100, 100, 100, 100)
-	f.let(300 * time.Millisecond)
+	f.setDemand(100, 100, 100, 100, 100)
+	f.measureRate(300 * time.Millisecond)
 	require.NoError(t, f.Members[0].Launch())
 	require.NoError(t, f.Members[2].Launch())
-	f.let(time.Second)
+	f.measureRate(time.Second)
 	for _, m := range f.Members {
 		m.Kill()
 	}
 	require.NoError(t, f.LaunchAll())
 	near("all are back", 0.7, 100, 100, 100, 100, 100)
 
-	f.kept()
+	f.checkExcess()
 }
 
-// between are the scans that were sent and answered in a span, at some brokers.
+// between returns the scans that were sent and answered within a span, at the given brokers.
 func (f *limitFleet) between(from, to time.Duration, brokers ...int) (some []answer) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -311,49 +316,52 @@
 	return some
 }
 
-// seenOrder is whose order on a limit a member was found to go by: at some moment between the question and the answer.
-type seenOrder struct {
+// observedOrder is the operator's order that a member applied at some moment between the request and the response.
+type observedOrder struct {
 	member      int
 	asked, came time.Duration
 	by          string
 }
 
-// orders asks each member whose order holds; a member whose socket does not answer in time says nothing.
-func (f *limitFleet) orders() (all []seenOrder) {
+// observeOrders queries each member for the order that it applies; a member whose socket does not answer in time is
+// left out.
+func (f *limitFleet) observeOrders() (all []observedOrder) {
 	for i, m := range f.Members {
 		var s broker.LimitsSeen
-		asked := time.Since(f.begun)
+		asked := time.Since(f.started)
 		if m.Ask("limits", &s) == nil && len(s.Limits) > 0 {
-			all = append(all, seenOrder{member: i, asked: asked, came: time.Since(f.begun), by: s.Limits[0].Order})
+			all = append(all, observedOrder{member: i, asked: asked, came: time.Since(f.started), by: s.Limits[0].Order})
 		}
 	}
 	return all
 }
 
-// ordered says whether these members were all found to go by somebody's order.
-func ordered(all []seenOrder, by string, members ...int) bool {
+// allApply reports whether each of these members was found to apply the order that broker by gave (empty: no order).
+func allApply(all []observedOrder, by string, members ...int) bool {
 	for _, i := range members {
-		if !slices.ContainsFunc(all, func(o seenOrder) bool { return o.member == i && o.by == by }) {
+		if !slices.ContainsFunc(all, func(o observedOrder) bool { return o.member == i && o.by == by }) {
 			return false
 		}
 	}
 	return true
 }
 
-// Operators on two sides of a split: who hears of an order goes by it at once, the other side by what it knows; healed, one order holds for all, the later one, and it
-// ends by itself also where it was not heard of when it was set. What may never be is judged at each moment; what is to come about has time on a machine with other work.
+// TestLimitOrders gives orders on both sides of a partition: brokers that an order reaches apply it at once, the other
+// side continues with what it knows. After the partition heals, the later order holds everywhere, and it ends by
+// itself also where it did not arrive when it was given. Safety is checked at every moment; progress has generous
+// timeouts for busy machines.
 func TestLimitOrders(t *testing.T) {
 	for name, disturb := range map[string]func(*rig.Fleet) (stop func()){
 		"calm": func(*rig.Fleet) func() { return func() {} },
-		"processes stand still by turns": func(f *rig.Fleet) func() {
-			return standStillByTurns(f.Members, 50*time.Millisecond, 1200*time.Millisecond)
+		"processes are paused in turn": func(f *rig.Fleet) func() {
+			return pauseByTurns(f.Members, 50*time.Millisecond, 1200*time.Millisecond)
 		},
-		"one stands still for longer than asked": func(f *rig.Fleet) func() {
-			return standStillByTurns(f.Members[2:3], 2500*time.Millisecond, 2500*time.Millisecond)
+		"one is paused for longer than the timeout": func(f *rig.Fleet) func() {
+			return pauseByTurns(f.Members[2:3], 2500*time.Millisecond, 2500*time.Millisecond)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			besideOthers(t)
+			runParallel(t)
 			limitOrders(t, disturb)
 		})
 	}
@@ -363,89 +371,90 @@
 	const (
 		patience = 20 * time.Second
 		lasts    = 9 * time.Second
-		// An order that lets less in ends rather late by every clock, for as much as clocks may drift, and counts from when it is heard of.
+		// By every clock, an order that lowers the limit may end late by the clock drift, and counts from its arrival.
 		latest = lasts * 1060 / 1000
 	)
 	f := startLimits(t, 5, fleetLimit)
-	f.near("calm", 0.85, 100, 100, 100, 100, 100)
+	f.awaitUse("calm", 0.85, 100, 100, 100, 100, 100)
 	stop := disturb(f.Fleet)
 	defer stop()
 	set := func(i int, size string, span time.Duration) {
 		command(t, f.Members[i], "limits", "set", "all", "--size", size, "--for", span.String())
 	}
 	f.Switch.Split([]int{0, 1, 2}, []int{3, 4})
-	f.let(1500 * time.Millisecond) // loans that went across have run out
+	f.measureRate(1500 * time.Millisecond) // loans across the partition have expired
 	set(0, "8", time.Minute)
-	require.NoError(t, rig.Until(patience, func() bool { return ordered(f.orders(), "n0", 0, 1, 2) }))
-	from := time.Since(f.begun)
+	require.NoError(t, rig.Until(patience, func() bool { return allApply(f.observeOrders(), "n0", 0, 1, 2) }))
+	from := time.Since(f.started)
 	require.NoError(t, rig.Until(patience, func() bool {
-		begun := time.Since(f.begun)
-		f.let(2 * time.Second)
-		high := f.between(begun, time.Since(f.begun), 3, 4)
-		return float64(len(high)) > 0.7*limitRate*2/5*(time.Since(f.begun)-begun).Seconds()
-	}), "who did not hear of it uses its members' share of the old size")
-	low, high := f.between(from, time.Since(f.begun), 0, 1, 2), f.between(from, time.Since(f.begun), 3, 4)
-	// Its members' share of a tenth: home shares are whole tokens, so that of the burst of 1.6 may be all here.
-	assert.LessOrEqual(t, judge(low, limitRate/10*3/5, limitBurst/10+0.1), 0.0, "who heard of it")
-	assert.LessOrEqual(t, judge(high, limitRate*2/5, limitBurst*2/5+1), 0.0, "who did not goes by its members' share of the old size")
-	begun := time.Since(f.begun)
+		begun := time.Since(f.started)
+		f.measureRate(2 * time.Second)
+		high := f.between(begun, time.Since(f.started), 3, 4)
+		return float64(len(high)) > 0.7*limitRate*2/5*(time.Since(f.started)-begun).Seconds()
+	}), "the side without the order uses its members' share of the old size")
+	low, high := f.between(from, time.Since(f.started), 0, 1, 2), f.between(from, time.Since(f.started), 3, 4)
+	// The members' share of a tenth: home shares are whole tokens, so the whole burst of 1.6 may be on this side.
+	assert.LessOrEqual(t, excess(low, limitRate/10*3/5, limitBurst/10+0.1), 0.0, "the side with the order exceeds its share")
+	assert.LessOrEqual(t, excess(high, limitRate*2/5, limitBurst*2/5+1), 0.0, "the side without the order exceeds its members' share of the old size")
+	begun := time.Since(f.started)
 	set(4, "40", lasts)
-	f.let(time.Second)
+	f.measureRate(time.Second)
 	f.Switch.Heal()
-	var found []seenOrder
-	look := func() []seenOrder {
-		all := f.orders()
+	var found []observedOrder
+	look := func() []observedOrder {
+		all := f.observeOrders()
 		found = append(found, all...)
 		return all
 	}
-	require.NoError(t, rig.Until(lasts-2*time.Second, func() bool { return ordered(look(), "n4", 0, 1, 2, 3, 4) }), "the later one holds for all")
-	from = time.Since(f.begun)
-	f.let(1500 * time.Millisecond)
-	assert.LessOrEqual(t, judge(f.between(from, time.Since(f.begun), 0, 1, 2, 3, 4), limitRate/2, limitBurst/2+1), 0.0)
-	require.NoError(t, rig.Until(patience, func() bool { return ordered(look(), "", 0, 1, 2, 3, 4) }), "the order ends by itself")
-	heard := map[int]time.Duration{}
+	require.NoError(t, rig.Until(lasts-2*time.Second, func() bool { return allApply(look(), "n4", 0, 1, 2, 3, 4) }), "the later order holds for all")
+	from = time.Since(f.started)
+	f.measureRate(1500 * time.Millisecond)
+	assert.LessOrEqual(t, excess(f.between(from, time.Since(f.started), 0, 1, 2, 3, 4), limitRate/2, limitBurst/2+1), 0.0)
+	require.NoError(t, rig.Until(patience, func() bool { return allApply(look(), "", 0, 1, 2, 3, 4) }), "the order ends by itself")
+	receivedAt := map[int]time.Duration{}
 	for _, o := range found {
-		switch at, known := heard[o.member]; {
+		switch at, known := receivedAt[o.member]; {
 		case o.by == "n4" && !known:
-			heard[o.member] = o.came
+			receivedAt[o.member] = o.came
 		case o.by == "n4":
 			assert.Less(t, o.asked, at+latest, "n%d: the order ends at its time", o.member)
 		case known:
-			assert.Empty(t, o.by, "n%d: nobody else's order comes back", o.member)
+			assert.Empty(t, o.by, "n%d: another order comes back", o.member)
 			assert.Greater(t, o.came, begun+lasts, "n%d: the order does not end before its time", o.member)
 		}
 	}
 	stop()
-	f.near("over by itself", 0.85, 100, 100, 100, 100, 100)
-	assert.True(t, ordered(f.orders(), "", 0, 1, 2, 3, 4))
-	f.kept()
+	f.awaitUse("over by itself", 0.85, 100, 100, 100, 100, 100)
+	assert.True(t, allApply(f.observeOrders(), "", 0, 1, 2, 3, 4))
+	f.checkExcess()
 }
 
-// Limits of many tenants by a power law, who change, while a third of the messages is lost and clients come back at once whatever they are told: no tenant is ever
-// over, whoever is turned away hears so at once with a time to come back, and what is idle is forgotten without a burst for who returns.
+// TestLimitTenants limits many tenants of a power-law distribution that changes, while a third of the messages is lost
+// and clients ignore Retry-After. No tenant may ever exceed its limit, a throttled client gets an immediate answer
+// with a time to retry, and an idle account is forgotten without a new burst for a tenant that returns.
 func TestLimitTenants(t *testing.T) {
-	takesRoom(t, 2)
+	acquireFleetSlots(t, 2)
 	const rate, burst = 5.0, 5.0
 	f := startLimits(t, 5, "limit \"each\" {\n  for = \"tenant\"\n  scans_per_s = 5\n  burst = 5\n}\n", "  verdicts {\n  }\n")
 	rnd := rand.New(rand.NewPCG(1, 0x7e4a))
 	var mu sync.Mutex
-	shift := 0 // a tenth of the names is another one with each
+	shift := 0 // each shift replaces a tenth of the names
 	f.account = func() string {
 		mu.Lock()
 		defer mu.Unlock()
-		// By a power law: a few ask much more than they may.
+		// By a power law: a few request much more than their limit.
 		n := int(math.Pow(3000, rnd.Float64())) - 1
 		return fmt.Sprint("t", n, "-", (shift+n%10)/10)
 	}
 	f.Switch.All(func(l *rig.Link) { l.Loss = 1.0 / 3 })
 	for range 8 {
-		f.askAll(40, 40, 40, 40, 40)
-		f.let(time.Second)
+		f.setDemand(40, 40, 40, 40, 40)
+		f.measureRate(time.Second)
 		mu.Lock()
 		shift++
 		mu.Unlock()
 	}
-	// Who is held back by some is known to all, and by which limit.
+	// All brokers know which tenants are throttled, and by which limit.
 	f.Switch.Heal()
 	require.NoError(t, rig.Until(20*time.Second, func() bool {
 		var s sharer.State
@@ -454,7 +463,7 @@
 		})
 	}))
 	assert.Contains(t, command(t, f.Members[3], "verdict", "tenants"), "the fleet's limit each")
-	f.askAll(0, 0, 0, 0, 0)
+	f.setDemand(0, 0, 0, 0, 0)
 	require.NoError(t, rig.Until(40*time.Second, func() bool {
 		for _, m := range f.Members {
 			var s broker.LimitsSeen
@@ -463,11 +472,11 @@
 			}
 		}
 		return true
-	}), "who asks nothing more is forgotten")
-	f.askAll(40, 40, 40, 40, 40) // they return
-	f.let(time.Second)
-	f.askAll(0, 0, 0, 0, 0)
-	f.let(1500 * time.Millisecond)
+	}), "idle tenants are forgotten")
+	f.setDemand(40, 40, 40, 40, 40) // the tenants return
+	f.measureRate(time.Second)
+	f.setDemand(0, 0, 0, 0, 0)
+	f.measureRate(1500 * time.Millisecond)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	by := map[string][]answer{}
@@ -476,22 +485,23 @@
 	}
 	busy := 0
 	for account, some := range by {
-		assert.LessOrEqual(t, judge(some, rate, burst), 0.0, account)
+		assert.LessOrEqual(t, excess(some, rate, burst), 0.0, account)
 		if len(some) > 20 {
 			busy++
 		}
 	}
 	assert.Greater(t, len(by), 300)
 	assert.Positive(t, busy)
-	require.Greater(t, len(f.back), 100, "some are turned away")
-	// At once, not near their time's end (1 s). On a machine with other work all answers are late, those that were taken and went to a store too.
-	taken, back := slowest(f.got), slowest(f.back)
-	assert.LessOrEqual(t, back, max(500*time.Millisecond, 2*taken), "turned away at once")
-	t.Logf("%d tenants, %d scans taken, nine of ten within %v, %d turned away, nine of ten within %v", len(by), len(f.got), taken, len(f.back), back)
+	require.Greater(t, len(f.throttled), 100, "too few scans are throttled")
+	// Immediately, not near the end of their deadline (1 s). On a busy machine all answers are late, also those of
+	// admitted scans.
+	taken, back := p90(f.got), p90(f.throttled)
+	assert.LessOrEqual(t, back, max(500*time.Millisecond, 2*taken), "throttled clients got a late answer")
+	t.Logf("%d tenants, %d scans taken, nine of ten within %v, %d throttled, nine of ten within %v", len(by), len(f.got), taken, len(f.throttled), back)
 }
 
-// slowest is what nine of ten answers took at most.
-func slowest(all []answer) time.Duration {
+// p90 returns the 90th percentile of the latency of the answers.
+func p90(all []answer) time.Duration {
 	var took []time.Duration
 	for _, a := range all {
 		took = append(took, a.came-a.sent)
@@ -500,53 +510,55 @@
 	return took[len(took)*9/10].Round(time.Millisecond)
 }
 
-// The roster grows from five to seven and shrinks to three under load, in the order that docs/limits.md gives: never a scan over.
+// TestLimitRoster grows the roster from five to seven members and shrinks it to three under load, in the order that
+// docs/limits.md gives; the limit must never be exceeded.
 func TestLimitRoster(t *testing.T) {
-	besideOthers(t)
+	runParallel(t)
 	f := startLimits(t, 7, fleetLimit)
-	f.near("five", 0.85, 40, 40, 40, 40, 40)
+	f.awaitUse("five", 0.85, 40, 40, 40, 40, 40)
 	list := func(n int, members ...*rig.Member) {
 		for _, m := range members {
 			m.Listed = n
 			require.NoError(t, m.Write())
 			m.Kill()
 			require.NoError(t, m.Launch())
-			f.let(300 * time.Millisecond)
+			f.measureRate(300 * time.Millisecond)
 		}
 	}
-	list(7, f.Members[:5]...) // those who stay first
+	list(7, f.Members[:5]...) // the remaining members first
 	list(7, f.Members[5:]...)
-	f.near("seven", 0.85, 30, 30, 30, 30, 30, 30, 30)
-	for _, m := range f.Members[3:] { // those who go first
+	f.awaitUse("seven", 0.85, 30, 30, 30, 30, 30, 30, 30)
+	for _, m := range f.Members[3:] { // the leaving members first
 		m.End(10 * time.Second)
 	}
 	list(3, f.Members[:3]...)
-	f.near("three", 0.85, 60, 60, 60, 0, 0, 0, 0)
-	f.kept()
+	f.awaitUse("three", 0.85, 60, 60, 60, 0, 0, 0, 0)
+	f.checkExcess()
 }
 
-// An available limit in a split of three and two: who is cut off goes on with what was borrowed for linger, then each side has its members' share, or alone
-// if that is more. What the whole fleet takes stays within the stated formula.
+// TestLimitAvailable partitions a fleet with an available limit into three and two: a broker that is cut off keeps its
+// borrowed share for the linger time; after that each side uses its members' share, or alone if that is more. The
+// fleet's total stays within the documented formula.
 func TestLimitAvailable(t *testing.T) {
-	besideOthers(t)
+	runParallel(t)
 	const alone, linger = 0.6, 2.0
 	f := startLimits(t, 5, "limit \"all\" {\n  for = \"fleet\"\n  scans_per_s = 80\n  burst = 16\n  mode = \"available\"\n  linger = \"2s\"\n  alone = 0.6\n}\n")
-	f.near("all of it at one", 0.9, 160, 0, 0, 0, 0)
+	f.awaitUse("all of it at one", 0.9, 160, 0, 0, 0, 0)
 	f.Switch.Split([]int{0, 1, 2}, []int{3, 4})
-	cut := time.Since(f.begun)
-	f.askAll(100, 100, 100, 100, 100)
+	cut := time.Since(f.started)
+	f.setDemand(100, 100, 100, 100, 100)
 	side := func() (left, right float64) {
-		_, by := f.let(time.Second)
+		_, by := f.measureRate(time.Second)
 		return by[0] + by[1] + by[2], by[3] + by[4]
 	}
-	// The right side is told that three are gone only when its members have held them for dead.
+	// The right side learns that three members are gone only when its members have declared them dead.
 	require.NoError(t, rig.Until(30*time.Second, func() bool {
 		left, right := side()
 		return left > 0.9*0.6*limitRate && right > 0.9*alone*limitRate
 	}), "the larger side its members' share, the smaller one alone")
 	command(t, f.Members[3], "limits")
-	f.let(2 * time.Second)
-	healed := time.Since(f.begun)
+	f.measureRate(2 * time.Second)
+	healed := time.Since(f.started)
 	f.Switch.Heal()
 	f.mu.Lock()
 	var during []answer
@@ -556,13 +568,13 @@
 		}
 	}
 	f.mu.Unlock()
-	// Two sides: (s-1) x alone more, for linger the limit once more, and a burst for each side.
-	over := judge(during, limitRate*(1+alone), limitBurst*(1+alone)+limitRate*linger)
+	// Two sides: (s-1) x alone more, the limit once more during linger, and a burst for each side.
+	over := excess(during, limitRate*(1+alone), limitBurst*(1+alone)+limitRate*linger)
 	assert.LessOrEqual(t, over, 0.0)
-	assert.Positive(t, judge(during, limitRate, limitBurst), "it is passed, as it may be")
+	assert.Positive(t, excess(during, limitRate, limitBurst), "the sides together exceed the plain limit, as the formula allows")
 	t.Logf("%d scans in a split of %.0f s, %.0f below the formula", len(during), (healed - cut).Seconds(), -over)
 	require.NoError(t, rig.Until(30*time.Second, func() bool {
-		all, _ := f.let(time.Second)
+		all, _ := f.measureRate(time.Second)
 		return all < 1.05*limitRate && all > 0.85*limitRate
 	}), "healed")
 }
--- a/cmd/gullstair/main.go
+++ b/cmd/gullstair/main.go
@@ -1,4 +1,5 @@
-// Command gullstair is the broker and what belongs to it. Run it with -h for its sub-commands.
+// Command gullstair runs a broker, and the tools to operate, check and rehearse brokers. Run it with -h for its
+// subcommands.
 package main
 
 import (
@@ -18,23 +19,23 @@
 	"gullstair/internal/tasks"
 )
 
-// commands is the whole command line; kong reads it from these tags.
+// commands is the whole command line; kong reads it from the tags.
 type commands struct {
-	Serve       serveCmd    `cmd:"" default:"withargs" help:"Run one broker (the default). It is told by GW_CONFIG, GW_NAME, GW_LISTEN and GW_DISCOVERY."`
-	CheckConfig checkCmd    `cmd:"" help:"Read and check what serve would be told, say what was found, and exit."`
-	Members     membersCmd  `cmd:"" help:"Who a running broker sees, and how."`
-	Duties      dutiesCmd   `cmd:"" help:"Which broker does what, when it was last done, and who holds which lease, as a running broker sees it."`
-	Cells       cellsCmd    `cmd:"" help:"A running broker's cells: what is open in each, what was turned away and why, which refuse."`
-	Limits      limitsCmd   `cmd:"" help:"Limits that hold for the whole fleet: this broker's share of each, lent, borrowed, used, how old that is and how far over it can be."`
-	Verdict     verdictCmd  `cmd:"" help:"What the brokers together hold of each store, why, and an operator's word on one."`
-	Lease       leaseCmd    `cmd:"" help:"Leases that hold for the whole fleet: scheduled tasks, and commands run under a lease."`
-	Guard       guardCmd    `cmd:"" hidden:"" help:"Run a command that may not outlive a deadline; brokers start it."`
-	Rehearse    rehearseCmd `cmd:"" help:"Play a scenario of failures against emulated stores and judge what the brokers do."`
+	Serve       serveCmd    `cmd:"" default:"withargs" help:"Run one broker (the default). GW_CONFIG, GW_NAME, GW_LISTEN and GW_DISCOVERY configure it."`
+	CheckConfig checkCmd    `cmd:"" help:"Read and check the configuration of serve, print a summary, and exit."`
+	Members     membersCmd  `cmd:"" help:"List the members that a running broker sees, with their states."`
+	Duties      dutiesCmd   `cmd:"" help:"List the duties with their owners and last runs, and the leases with their holders, as a running broker sees them."`
+	Cells       cellsCmd    `cmd:"" help:"List a running broker's cells: open and throttled scans, the reasons, and the cells that refuse scans."`
+	Limits      limitsCmd   `cmd:"" help:"Show and change the limits of the whole fleet: this broker's share of each, the amounts lent, borrowed and used, their age, and the largest possible excess."`
+	Verdict     verdictCmd  `cmd:"" help:"Show the fleet's verdict on each store with its reasons, and give an operator's order on a store."`
+	Lease       leaseCmd    `cmd:"" help:"Manage the leases of the whole fleet: scheduled tasks, and commands that run under a lease."`
+	Guard       guardCmd    `cmd:"" hidden:"" help:"Run a command that must not outlive a deadline; started by brokers."`
+	Rehearse    rehearseCmd `cmd:"" help:"Play a scenario of failures against emulated stores and check the brokers' behaviour."`
 	Version     versionCmd  `cmd:"" help:"Print the version."`
 }
 
 type checkCmd struct {
-	Features string `help:"Check this document of features too." type:"path"`
+	Features string `help:"Also check this features document." type:"path"`
 }
 
 type versionCmd struct{}
@@ -53,14 +54,14 @@
 	}
 }
 
-// helped ends a command line that only asked for help.
-type helped struct{}
+// helpRequested is the panic value that ends a command line which only requested help.
+type helpRequested struct{}
 
-// run carries out one command line.
+// run runs one command line.
 func run(args []string, out io.Writer) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			if _, asked := r.(helped); !asked {
+			if _, asked := r.(helpRequested); !asked {
 				panic(r)
 			}
 			err = nil
@@ -68,12 +69,12 @@
 	}()
 	var c commands
 	parser, err := kong.New(&c, kong.Name("gullstair"), kong.Description("An aggregator that serves a scan from many shards."),
-		kong.UsageOnError(), kong.Writers(out, os.Stderr), kong.Exit(func(int) { panic(helped{}) }),
+		kong.UsageOnError(), kong.Writers(out, os.Stderr), kong.Exit(func(int) { panic(helpRequested{}) }),
 		kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
 		return err
 	}
-	ctx, err := parser.Parse(oldStyle(args, flagsOf(parser.Model.Node)))
+	ctx, err := parser.Parse(normalizeArgs(args, flagsOf(parser.Model.Node)))
 	if err != nil {
 		if first := slices.IndexFunc(args, func(a string) bool { return !strings.HasPrefix(a, "-") }); first == 0 && !slices.ContainsFunc(
 			parser.Model.Children, func(n *kong.Node) bool { return n.Name == args[0] }) {
@@ -83,7 +84,7 @@
 	}
 	for do, order := range map[tasks.Do]*leaseOrderCmd{tasks.Release: &c.Lease.Release, tasks.Pause: &c.Lease.Pause, tasks.Resume: &c.Lease.Resume,
 		tasks.Trigger: &c.Lease.Trigger} {
-		order.do = do
+		order.action = do
 	}
 	ctx.BindTo(out, (*io.Writer)(nil))
 	return ctx.Run()
@@ -100,12 +101,12 @@
 	return names
 }
 
-// oldStyle lets long flags be written with one dash, as they were before, and help be asked for by its name.
-func oldStyle(args, names []string) []string {
+// normalizeArgs accepts long flags written with a single dash, as earlier releases did, and "help" in place of --help.
+func normalizeArgs(args, names []string) []string {
 	args = slices.Clone(args)
 	for i, a := range args {
 		if a == "--" {
-			break // what follows is another program's
+			break // the arguments of another program follow
 		}
 		name, _, _ := strings.Cut(strings.TrimPrefix(a, "-"), "=")
 		if len(name) > 1 && strings.HasPrefix(a, "-") && !strings.HasPrefix(a, "--") && slices.Contains(names, name) {
@@ -119,13 +120,13 @@
 }
 
 func (c *checkCmd) Run(out io.Writer) error {
-	told, err := config.Read(os.Getenv)
+	cfg, err := config.Read(os.Getenv)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "%s: listens on %s, discovery at %s, %d nodes known, %d table types, %d MB, %d sockets\n",
-		told.Name, told.Listen, told.Discovery, len(told.Known.Hosts), len(told.Site.Types), told.MemoryMB, told.Sockets)
-	f, err := readFeatures(c.Features, told.Name)
+		cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.Known.Hosts), len(cfg.Site.Types), cfg.MemoryMB, cfg.Sockets)
+	f, err := readFeatures(c.Features, cfg.Name)
 	if err != nil || f == nil {
 		return err
 	}
@@ -159,7 +160,7 @@
 	return nil
 }
 
-// logger writes JSON lines on standard error.
+// logger returns a logger that writes JSON lines to standard error.
 func logger(level string) (zerolog.Logger, error) {
 	lv, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -169,8 +170,8 @@
 	return zerolog.New(os.Stderr).Level(lv).With().Timestamp().Logger(), nil
 }
 
-// ago words a span in ms.
-func ago(ms float64) string {
+// formatDuration formats a duration in ms.
+func formatDuration(ms float64) string {
 	if ms < -1e12 || ms > 1e12 {
 		return "-"
 	}
--- a/cmd/gullstair/main_test.go
+++ b/cmd/gullstair/main_test.go
@@ -32,7 +32,7 @@
 	return ln
 }
 
-// store is a node that answers every part, until it is told to die at the next one.
+// store is a node that answers every part, until it is set to die on the next one.
 type store struct {
 	ln    net.Listener
 	parts atomic.Int64
@@ -82,7 +82,7 @@
 	}
 }
 
-// startFile writes a start file for a broker with these two stores, one a cell, and a third beside the first.
+// startFile writes a start file for a broker over these two stores, one per cell, and a third next to the first.
 func startFile(t *testing.T, at string, stores ...*store) string {
 	text, err := os.ReadFile("../../internal/config/testdata/start.json")
 	require.NoError(t, err)
@@ -94,7 +94,7 @@
 			"class": "std", "block": i % 2, "health": "SERVING", "share": 1, "born_ms": 0})
 	}
 	tree["known"] = map[string]any{"seq": 41, "whole": true, "hosts": hosts}
-	tree["listen"], tree["discovery"] = at, listen(t).Addr().String() // an agent that says nothing
+	tree["listen"], tree["discovery"] = at, listen(t).Addr().String() // an agent that never answers
 	text, err = json.Marshal(tree)
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "start.json")
@@ -102,7 +102,8 @@
 	return path
 }
 
-// asker does not wait for ever: a scan that was never answered once kept a test, and all behind it, for as long as tests may take.
+// asker has a timeout: a scan that was never answered once blocked this test and all later ones up to the limit of the
+// test binary.
 var asker = &http.Client{Timeout: 2 * patience}
 
 func ask(at, path string, shards ...int) (int, string, error) {
@@ -119,7 +120,7 @@
 		return 0, "", err
 	}
 	req.Header.Set("X-Correlation-Id", id)
-	req.Header.Set("Idempotency-Key", "k1") // sent again once where the broker closed a connection between requests
+	req.Header.Set("Idempotency-Key", "k1") // lets the client resend a request once if the broker closed the connection between requests
 	req.Header.Set("X-Time-Left-Ms", "3000")
 	res, err := asker.Do(req)
 	if err != nil {
@@ -130,7 +131,7 @@
 	return res.StatusCode, string(body), err
 }
 
-// start runs serve over these stores until it is ready; ended brings how it ended.
+// start runs serve over these stores until it is ready; ended receives its result.
 func start(t *testing.T, stores ...*store) (at string, ended chan error) {
 	ln := listen(t)
 	at = ln.Addr().String()
@@ -149,8 +150,8 @@
 	return at, ended
 }
 
-// Clients at work while SIGTERM comes: for a while they are served on, each request is answered whole, and those
-// that come too late find a 503 or nobody.
+// TestStopAtWork sends SIGTERM while clients send requests: they are served for a while longer, each admitted request
+// gets a complete answer, and later ones get a 503 or a refused connection.
 func TestStopAtWork(t *testing.T) {
 	at, ended := start(t, startStore(t), startStore(t))
 	var answered, late atomic.Int64
@@ -160,7 +161,7 @@
 			for range 100000 {
 				status, _, err := askAs(fmt.Sprint("q", i), at, "/board", 0, 1)
 				op, dialled := errors.AsType[*net.OpError](err)
-				nobody := dialled && op.Op == "dial" // refused, or reset in the queue of a listener that closes
+				nobody := dialled && op.Op == "dial" // refused, or reset in the queue of a closing listener
 				if nobody || !assert.NoError(t, err) || status == http.StatusServiceUnavailable {
 					late.Add(1)
 					return
@@ -175,19 +176,19 @@
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
 	begun := time.Now()
 	clients.Wait()
-	assert.Greater(t, time.Since(begun), 2*time.Second, "the start file's timeouts leave so long at least")
+	assert.Greater(t, time.Since(begun), 2*time.Second, "the timeouts of the start file leave at least this long")
 	assert.EqualValues(t, 8, late.Load())
 	http.DefaultClient.CloseIdleConnections()
 	select {
 	case err := <-ended:
 		assert.NoError(t, err)
 	case <-time.After(patience):
-		assert.Fail(t, "did not end")
+		assert.Fail(t, "serve did not end")
 	}
 }
 
-// SIGHUP under load: a faulty file changes nothing, a good one moves the watch to the discovery that the file names,
-// though a variable held over the file at the start, and no client notices.
+// TestRenew sends SIGHUP under load: a faulty file changes nothing; a valid one moves the watch to the discovery that
+// the file names, although an environment variable overrode the file at the start, and no client notices.
 func TestRenew(t *testing.T) {
 	old, fresh := listen(t), listen(t)
 	t.Setenv("GW_DISCOVERY", old.Addr().String())
@@ -219,16 +220,16 @@
 	case call := <-asked:
 		assert.Equal(t, "GET /v1/servers HTTP/1.1\r\n", call, "the whole list")
 	case <-time.After(patience):
-		assert.Fail(t, "the new discovery was not asked")
+		assert.Fail(t, "the new discovery was not queried")
 	}
 	http.DefaultClient.CloseIdleConnections()
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
-	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP), "one during the end changes nothing")
+	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP), "a SIGHUP during the shutdown changes nothing")
 	assert.NoError(t, <-ended)
 }
 
-// The whole program: it starts, serves scans of one and of two steps, loses a node in the middle of one, and on
-// SIGTERM answers what it has taken and ends.
+// TestServe runs the whole program: it starts, serves scans of one and of two steps, loses a node during one, and on
+// SIGTERM answers all admitted scans and ends.
 func TestServe(t *testing.T) {
 	a, b, c := startStore(t), startStore(t), startStore(t)
 	at, ended := start(t, a, b, c)
@@ -245,7 +246,7 @@
 		"the two shards that scored highest")
 
 	a.dying.Store(true)
-	for range 8 { // chance sends one of them to the store that dies on it: the other of its cell answers
+	for range 8 { // at random one of them reaches the store that dies on it; the other store of its cell answers
 		status, body, err = ask(at, "/board", 0, 2)
 		require.NoError(t, err)
 		assert.Equal(t, 200, status)
@@ -257,15 +258,15 @@
 	require.NoError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM), "a second signal changes nothing")
 	status, _, err = ask(at, "/board", 1)
 	require.NoError(t, err)
-	assert.Equal(t, 200, status, "what still arrives is served")
+	assert.Equal(t, 200, status, "requests that still arrive are served")
 	select {
 	case err := <-ended:
 		assert.NoError(t, err)
 	case <-time.After(patience):
-		assert.Fail(t, "did not end")
+		assert.Fail(t, "serve did not end")
 	}
 	_, _, err = ask(at, "/board", 1)
-	assert.Error(t, err, "nobody listens any more")
+	assert.Error(t, err, "the port is closed")
 }
 
 func TestCommands(t *testing.T) {
@@ -277,10 +278,10 @@
 	}{
 		"help":                 {[]string{"-h"}, "", "check-config", ""},
 		"version":              {[]string{"version"}, "", "gullstair", ""},
-		"a sound start file":   {[]string{"check-config"}, good, "1 nodes known, 3 table types", ""},
+		"a valid start file":   {[]string{"check-config"}, good, "1 nodes known, 3 table types", ""},
 		"no start file":        {[]string{"check-config"}, "", "", "GW_CONFIG"},
 		"serve without one":    {[]string{"serve"}, "nowhere.json", "", "GW_CONFIG"},
-		"a level that is none": {[]string{"serve", "-log", "loud"}, good, "", "-log"},
+		"an unknown log level": {[]string{"serve", "-log", "loud"}, good, "", "-log"},
 		"unknown":              {[]string{"dance"}, good, "", "unknown command"},
 	} {
 		t.Setenv("GW_CONFIG", c.path)
--- a/cmd/gullstair/measure_test.go
+++ b/cmd/gullstair/measure_test.go
@@ -15,10 +15,10 @@
 	"gullstair/internal/sharer"
 )
 
-var measure = flag.Bool("measure", false, "take the measurements of docs/results.md that need processes, for minutes")
+var measure = flag.Bool("measure", false, "run the measurements of docs/results.md that start processes; takes minutes")
 
-// took is a process's CPU seconds and resident MB.
-func took(pid int) (cpu, mb float64) {
+// processUsage returns the CPU seconds and the resident MB of a process.
+func processUsage(pid int) (cpu, mb float64) {
 	text, _ := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	_, rest, _ := strings.Cut(string(text), ") ")
 	f := strings.Fields(rest)
@@ -32,7 +32,7 @@
 	return (u + s) / 100, rss * float64(os.Getpagesize()) / (1 << 20)
 }
 
-func measuring(t *testing.T, members int, doc func(m *rig.Member) string) *rig.Fleet {
+func startMeasurement(t *testing.T, members int, doc func(m *rig.Member) string) *rig.Fleet {
 	if !*measure {
 		t.Skip("only with -measure")
 	}
@@ -46,8 +46,8 @@
 	return f
 }
 
-// held counts the leases that are held, by what each member says of itself.
-func held(f *rig.Fleet) (n int) {
+// countHeldLeases counts the leases that the members report as held by themselves.
+func countHeldLeases(f *rig.Fleet) (n int) {
 	for _, m := range f.Members {
 		var s sharer.State
 		if m.Running() && m.Ask("sharing", &s) == nil {
@@ -61,25 +61,25 @@
 	return n
 }
 
-// Five brokers with a hundred tasks, of which none falls due: what holding them costs.
+// TestMeasureTasks measures the cost of holding a hundred tasks, none of which falls due, on five brokers.
 func TestMeasureTasks(t *testing.T) {
 	for _, tasks := range []int{0, 100} {
-		f := measuring(t, 5, func(m *rig.Member) string {
+		f := startMeasurement(t, 5, func(m *rig.Member) string {
 			doc := fmt.Sprintf("lease {\n  dir = %q\n}\n", m.Path("votes"))
 			for i := range tasks {
 				doc += fmt.Sprintf("task \"t%d\" {\n  every = \"1h\"\n  run = [\"/bin/true\"]\n}\n", i)
 			}
 			return doc
 		})
-		require.NoError(t, rig.Until(2*time.Minute, func() bool { return held(f) == tasks }))
+		require.NoError(t, rig.Until(2*time.Minute, func() bool { return countHeldLeases(f) == tasks }))
 		before, begun := make([]float64, 5), guard.Now()
 		for i, m := range f.Members {
-			before[i], _ = took(m.Pid())
+			before[i], _ = processUsage(m.Pid())
 		}
-		time.Sleep(30 * time.Second) // the brokers' own time: it is what is measured
+		time.Sleep(30 * time.Second) // the measured interval, without any traffic from the test
 		cpu, most := 0.0, 0.0
 		for i, m := range f.Members {
-			now, mb := took(m.Pid())
+			now, mb := processUsage(m.Pid())
 			cpu, most = cpu+now-before[i], max(most, mb)
 		}
 		t.Logf("%d tasks at 5 brokers: %.2f%% of a core and %.0f MB at most each", tasks, 100*cpu/5/(float64(guard.Now()-begun)/1e9), most)
@@ -87,7 +87,8 @@
 	}
 }
 
-// Twenty brokers in earnest and sixty that see little, with sharing off and on: a store fails all its parts for a while and does well again. What is judged reached the stores.
+// TestMeasureVerdicts runs twenty busy brokers and sixty with few scans, with sharing off and on: a store fails all
+// its parts for a while and then recovers. The parts that reached the store are counted.
 func TestMeasureVerdicts(t *testing.T) {
 	if !*measure {
 		t.Skip("only with -measure")
@@ -105,24 +106,24 @@
 					all[i] = 1
 				}
 			}
-			f.askAll(all...)
-			f.let(5 * time.Second)
+			f.setDemand(all...)
+			f.sleep(5 * time.Second)
 			s := f.stores[0]
 			begun := time.Now()
 			s.fails.Store(-1)
-			f.let(5 * time.Second)
+			f.sleep(5 * time.Second)
 			early := s.since(begun)
 			middle := time.Now()
-			f.let(15 * time.Second)
+			f.sleep(15 * time.Second)
 			late := s.since(middle)
 			s.fails.Store(0)
 			well := time.Now()
-			f.let(3 * time.Second)
+			f.sleep(3 * time.Second)
 			back := s.since(well)
-			f.let(3 * time.Second)
+			f.sleep(3 * time.Second)
 			cpu, mb := 0.0, 0.0
 			for _, m := range f.Members {
-				x, y := took(m.Pid())
+				x, y := processUsage(m.Pid())
 				cpu, mb = cpu+x, max(mb, y)
 			}
 			t.Logf("%d brokers, %.1f scans a second each, sharing %s: parts to the failing store %d in its first 5 s and %.1f a second after; %d in 3 s once it does well, %.1f a second after; %.0f MB at most",
@@ -132,7 +133,8 @@
 	}
 }
 
-// A limit at five and sixty brokers: the share of it that is used where demand is spread badly, moves, and is split; and whether it was ever passed.
+// TestMeasureLimits measures a limit at five and sixty brokers: the share that is used while demand is uneven, moves,
+// and is partitioned, and whether the limit was ever exceeded.
 func TestMeasureLimits(t *testing.T) {
 	if !*measure {
 		t.Skip("only with -measure")
@@ -151,21 +153,21 @@
 			}
 		}
 		used := func(what string, span time.Duration) {
-			all, by := f.let(span)
+			all, by := f.measureRate(span)
 			t.Logf("%d brokers, %s: %.3f of the limit used, %.1f a second at the one", n, what, all/80, by[0])
 		}
 		one(0, 0, 160)
-		f.let(4 * time.Second)
+		f.measureRate(4 * time.Second)
 		used("all of it at one", 6*time.Second)
 		one(0, 1, 150)
-		f.let(3 * time.Second)
+		f.measureRate(3 * time.Second)
 		used("nine tenths at one", 6*time.Second)
 		for k := range 4 {
 			one((k%2)*(n/2), 1, 150)
 			used("it moves every 3 s", 3*time.Second)
 		}
 		one(-1, max(8, 160/int64(n)), 0)
-		f.let(4 * time.Second)
+		f.measureRate(4 * time.Second)
 		used("spread over twenty, or all five", 6*time.Second)
 		var left, right []int
 		for i := range n {
@@ -176,15 +178,15 @@
 			}
 		}
 		f.Switch.Split(left, right)
-		f.let(3 * time.Second)
+		f.measureRate(3 * time.Second)
 		used("a split of three fifths and two", 6*time.Second)
 		f.Switch.Heal()
 		f.mu.Lock()
-		t.Logf("%d brokers: largest excess over all windows %.1f, of %d scans", n, judge(f.got, 80, 60), len(f.got))
+		t.Logf("%d brokers: largest excess over all windows %.1f, of %d scans", n, excess(f.got, 80, 60), len(f.got))
 		f.mu.Unlock()
 		cpu, mb := 0.0, 0.0
 		for _, m := range f.Members {
-			x, y := took(m.Pid())
+			x, y := processUsage(m.Pid())
 			cpu, mb = cpu+x, max(mb, y)
 		}
 		t.Logf("%d brokers: %.1f s of CPU in all, %.0f MB at most each, %d datagrams passed", n, cpu, mb, f.Switch.Passed())
@@ -192,28 +194,29 @@
 	}
 }
 
-// Sixty brokers with a task each are started again one after the other: how many of the leases are held meanwhile.
+// TestMeasureRolling restarts sixty brokers with one task each, one after the other, and counts the leases that are
+// held meanwhile.
 func TestMeasureRolling(t *testing.T) {
 	const n = 60
-	f := measuring(t, n, func(m *rig.Member) string {
+	f := startMeasurement(t, n, func(m *rig.Member) string {
 		doc := fmt.Sprintf("lease {\n  dir = %q\n}\n", m.Path("votes"))
 		for i := range n {
 			doc += fmt.Sprintf("task \"t%d\" {\n  every = \"1h\"\n  term = \"3s\"\n  run = [\"/bin/true\"]\n  prefer = [\"n%d\"]\n}\n", i, i)
 		}
 		return doc
 	})
-	require.NoError(t, rig.Until(3*time.Minute, func() bool { return held(f) == n }))
+	require.NoError(t, rig.Until(3*time.Minute, func() bool { return countHeldLeases(f) == n }))
 	sum, looks, least := 0, 0, n
 	begun := time.Now()
 	for _, m := range f.Members {
 		m.Kill()
 		require.NoError(t, m.Launch())
-		h := held(f)
+		h := countHeldLeases(f)
 		sum, looks, least = sum+h, looks+1, min(least, h)
 	}
 	took := time.Since(begun)
 	again := time.Now()
-	require.NoError(t, rig.Until(3*time.Minute, func() bool { return held(f) == n }))
+	require.NoError(t, rig.Until(3*time.Minute, func() bool { return countHeldLeases(f) == n }))
 	t.Logf("60 brokers killed and started again one by one in %.1f s: %.1f of 60 leases held in the mean, %d at least; all again %.1f s later", took.Seconds(),
 		float64(sum)/float64(looks), least, time.Since(again).Seconds())
 }
--- a/cmd/gullstair/ready_test.go
+++ b/cmd/gullstair/ready_test.go
@@ -12,10 +12,10 @@
 	"gullstair/internal/rig"
 )
 
-// Many brokers that start at once on the same cores are ready soon, also when discovery says nothing: they serve by the
-// list that they were started with. Nine in ten have to be within ten seconds.
+// TestManyAreReadySoon starts many brokers at once on the same cores, with a discovery that never answers (so
+// they serve by the list of the start file). Nine in ten must be ready within ten seconds.
 func TestManyAreReadySoon(t *testing.T) {
-	takesRoom(t, 1)
+	acquireFleetSlots(t, 1)
 	const brokers, soon = 20, 10 * time.Second
 	f, err := rig.New(rig.Plan{Dir: t.TempDir(), Members: brokers, Program: []string{os.Args[0], "serve", "--log", "error"},
 		Env: []string{"GULLSTAIR_TEST_CHILD=1"}, Start: startTree(t), Seed: 1, Features: func(*rig.Member) (string, string) {
--- a/cmd/gullstair/rehearse.go
+++ b/cmd/gullstair/rehearse.go
@@ -21,40 +21,40 @@
 )
 
 type rehearseCmd struct {
-	Scenario string        `arg:"" optional:"" help:"A scenario's file, or the name of one that comes with the program (see --list). Without one, first-look is played on loopback."`
-	Seed     uint64        `default:"1" help:"For chance. In virtual time the same seed gives the same run."`
+	Scenario string        `arg:"" optional:"" help:"A scenario file, or the name of a scenario that comes with the program (see --list). Default: first-look on loopback."`
+	Seed     uint64        `default:"1" help:"Random seed. In virtual time the same seed gives the same run."`
 	Virtual  bool          `xor:"drive" help:"Play in virtual time (the default where a scenario is named)."`
-	Loopback bool          `xor:"drive" help:"Play in real time, with brokers that are processes and everything else on loopback sockets."`
-	Policy   string        `default:"gullstair" enum:"gullstair,random,least" help:"Who decides in virtual time: the broker, or a plain rule to compare it with (random holder, fewest outstanding)."`
-	Share    time.Duration `help:"On loopback, let the brokers share the probing of all stores, each once in this period."`
+	Loopback bool          `xor:"drive" help:"Play in real time, with broker processes and emulated stores on loopback sockets."`
+	Policy   string        `default:"gullstair" enum:"gullstair,random,least" help:"Policy that selects nodes in virtual time: the broker's, or a baseline (random holder, fewest outstanding requests)."`
+	Share    time.Duration `help:"On loopback, divide the probing of all stores among the brokers, with one probe per store and period."`
 	JSON     string        `name:"json" help:"Write the report to this file; - for standard output." placeholder:"FILE"`
 	List     bool          `help:"List the scenarios that come with the program."`
 }
 
-const firstLook = "first-look"
+const defaultScenario = "first-look"
 
-var errRehearsal = errors.New("the rehearsal failed")
+var errRehearsalFailed = errors.New("the rehearsal failed")
 
 func (c *rehearseCmd) Run(out io.Writer) error {
 	if c.List {
 		return listScenarios(out)
 	}
 	if c.Scenario == "" {
-		c.Scenario, c.Loopback = firstLook, !c.Virtual
+		c.Scenario, c.Loopback = defaultScenario, !c.Virtual
 	}
 	s, err := findScenario(c.Scenario)
 	if err != nil {
 		return err
 	}
 	if c.Loopback && c.Policy != "gullstair" {
-		return errors.New("rehearse: on loopback the brokers are real ones: --policy is for virtual time")
+		return errors.New("rehearse: --policy requires virtual time, since loopback runs real brokers")
 	}
 	f, notes, err := c.play(s)
 	if err != nil {
 		return err
 	}
 	if c.JSON == "-" {
-		if err := encoded(out, f); err != nil {
+		if err := writeJSON(out, f); err != nil {
 			return err
 		}
 	} else {
@@ -65,25 +65,25 @@
 				return err
 			}
 			if err := os.WriteFile(c.JSON, append(b, '\n'), 0o644); err != nil {
-				return fmt.Errorf("the report: %w", err)
+				return fmt.Errorf("write the report: %w", err)
 			}
 		}
 	}
 	if len(f.Breaches) > 0 || len(f.ExpectFaults) > 0 {
-		return errRehearsal
+		return errRehearsalFailed
 	}
 	return nil
 }
 
-// play plays a scenario; an interrupt ends it with a report of what was played.
+// play plays a scenario; an interrupt ends it with a report of the part that was played.
 func (c *rehearseCmd) play(s *scenario.Scenario) (f emulator.Figures, notes []string, err error) {
-	mk := emulator.Gullstair
+	makePolicy := emulator.Gullstair
 	if c.Loopback {
-		mk = nil
+		makePolicy = nil
 	} else if c.Policy != "gullstair" {
-		mk = emulator.Plain(c.Policy == "least")
+		makePolicy = emulator.Plain(c.Policy == "least")
 	}
-	w := emulator.New(&s.Fleet, c.Seed, mk)
+	w := emulator.New(&s.Fleet, c.Seed, makePolicy)
 	w.Share = c.Share
 	for _, x := range s.Faults {
 		if err := w.Plan(x); err != nil {
@@ -102,7 +102,7 @@
 		}
 		if ctx.Err() != nil {
 			f.Interrupted = true
-			return f, w.Notes, nil // of half a run nothing is expected
+			return f, w.Notes, nil // expectations hold for complete runs only
 		}
 	} else if f, err = w.Run(s.Length); err != nil {
 		return f, nil, err
@@ -111,7 +111,7 @@
 	return f, w.Notes, nil
 }
 
-// findScenario reads a file, or a scenario that comes with the program.
+// findScenario reads a scenario from a file, or one that comes with the program.
 func findScenario(name string) (*scenario.Scenario, error) {
 	if _, err := os.Stat(name); err == nil || strings.ContainsRune(name, os.PathSeparator) {
 		return scenario.Read(name)
@@ -119,7 +119,7 @@
 	file := strings.TrimSuffix(name, ".hcl") + ".hcl"
 	text, err := scenarios.Files.ReadFile(file)
 	if err != nil {
-		return nil, fmt.Errorf("no scenario %q: it is no file, and none of that name comes with the program (see --list)", name)
+		return nil, fmt.Errorf("no scenario %q: neither a file nor a scenario that comes with the program (see --list)", name)
 	}
 	return scenario.Parse(text, file)
 }
--- a/cmd/gullstair/rehearse_test.go
+++ b/cmd/gullstair/rehearse_test.go
@@ -16,7 +16,7 @@
 	"gullstair/internal/emulator"
 )
 
-// shortScenario is a small fleet for some seconds, with a fault.
+// shortScenario writes a scenario of a small fleet that lasts some seconds, with a fault.
 func shortScenario(t *testing.T, fault string) string {
 	text, err := os.ReadFile("../../scenarios/first-look.hcl")
 	require.NoError(t, err)
@@ -31,7 +31,8 @@
 	return path
 }
 
-// Real brokers on loopback: a store falls silent, a broker is killed and comes back; every rule is kept.
+// TestRehearseOnLoopback plays a scenario with real brokers on loopback: a store stops answering, a broker is killed
+// and restarted, and no rule is broken.
 func TestRehearseOnLoopback(t *testing.T) {
 	t.Setenv("GULLSTAIR_TEST_CHILD", "1")
 	path := shortScenario(t, `fault "mute" {
@@ -58,7 +59,8 @@
 	assert.Contains(t, out.String(), "broker_kill begins")
 }
 
-// An interrupt ends a run with a report of what was played, and no process is left.
+// TestRehearseInterrupted checks that an interrupt ends a run with a report of the part that was played, and leaves no
+// process.
 func TestRehearseInterrupted(t *testing.T) {
 	t.Setenv("GULLSTAIR_TEST_CHILD", "1")
 	time.AfterFunc(1500*time.Millisecond, func() { syscall.Kill(os.Getpid(), syscall.SIGINT) })
@@ -79,6 +81,6 @@
 	require.NoError(t, run([]string{"rehearse", shortScenario(t, ""), "--json", "-"}, &out))
 	assert.Contains(t, out.String(), `"service"`)
 	assert.ErrorContains(t, run([]string{"rehearse", "nowhere"}, &out), `no scenario "nowhere"`)
-	assert.ErrorIs(t, run([]string{"rehearse", shortScenario(t, "expect \"service\" {\n  least = 1.1\n}\n")}, &out), errRehearsal)
+	assert.ErrorIs(t, run([]string{"rehearse", shortScenario(t, "expect \"service\" {\n  least = 1.1\n}\n")}, &out), errRehearsalFailed)
 	assert.ErrorContains(t, run([]string{"rehearse", "calm", "--loopback", "--policy", "least"}, &out), "virtual time")
 }
--- a/cmd/gullstair/serve.go
+++ b/cmd/gullstair/serve.go
@@ -13,15 +13,15 @@
 )
 
 type serveCmd struct {
-	Log      string        `default:"info" help:"Least level of the log: debug, info, warn or error."`
-	Patience time.Duration `default:"-1ns" help:"After SIGTERM, how long open scans may take; below 0: what a planned restart leaves."`
-	Features string        `help:"A document of features beyond the platform, such as deploy/features.hcl; none are on without it." type:"path"`
+	Log      string        `default:"info" help:"Minimum log level: debug, info, warn or error."`
+	Patience time.Duration `default:"-1ns" help:"How long open scans may take after SIGTERM; below 0: the time that a planned restart leaves."`
+	Features string        `help:"Features document, such as deploy/features.hcl; without it all optional features are off." type:"path"`
 }
 
-// clocks are the machine's.
+// clocks returns the machine's clocks; tests replace it.
 var clocks = broker.MachineClocks
 
-// readFeatures reads the document at a path; none where there is no path.
+// readFeatures reads the features document at path; it returns nil if path is empty.
 func readFeatures(path, self string) (*features.Document, error) {
 	if path == "" {
 		return nil, nil
@@ -34,15 +34,16 @@
 	if err != nil {
 		return err
 	}
-	signals := takeSignals(4, syscall.SIGTERM, os.Interrupt)
-	// Before anything is read: a SIGHUP that nobody takes ends the process, and with it all that is open. Several
-	// in a row may become one, since each reads the file as it is then; during a stop they change nothing.
-	renewals := takeSignals(1, syscall.SIGHUP)
-	told, err := config.Read(os.Getenv)
+	signals := catchSignals(4, syscall.SIGTERM, os.Interrupt)
+	// Signals are caught before anything is read: a SIGHUP that nobody catches ends the process and all open requests with
+	// it. Several SIGHUPs in a row may merge into one, since each reads the file as it is at that time; during a shutdown
+	// they change nothing.
+	reloads := catchSignals(1, syscall.SIGHUP)
+	cfg, err := config.Read(os.Getenv)
 	if err != nil {
 		return err
 	}
-	f, err := readFeatures(c.Features, told.Name)
+	f, err := readFeatures(c.Features, cfg.Name)
 	if err != nil {
 		return err
 	}
@@ -51,16 +52,16 @@
 			return err
 		}
 	}
-	end, over := make(chan struct{}), make(chan struct{})
-	defer close(over)
+	end, finished := make(chan struct{}), make(chan struct{})
+	defer close(finished)
 	go func() {
 		select {
-		case <-signals: // further ones change nothing
+		case <-signals: // further signals change nothing
 			close(end)
-		case <-over:
+		case <-finished:
 		}
 	}()
-	b, err := broker.StartBy(clocks(), end, told, f, log)
+	b, err := broker.StartBy(clocks(), end, cfg, f, log)
 	if errors.Is(err, broker.ErrAbandoned) {
 		log.Info().Msg(err.Error())
 		return nil
@@ -72,22 +73,22 @@
 		select {
 		case err := <-b.Fatal():
 			return err
-		case <-renewals:
-			// Both are read before either is taken up: whole or not at all.
-			fresh, err := config.Reread(os.Getenv)
+		case <-reloads:
+			// Both files are read before either is applied, so that a faulty start file prevents both.
+			newConfig, err := config.Reread(os.Getenv)
 			if err != nil {
 				log.Error().Err(err).Msg("the new start file was not taken up")
 				continue
 			}
-			f, err := readFeatures(c.Features, told.Name)
+			f, err := readFeatures(c.Features, cfg.Name)
 			if err != nil {
-				log.Error().Err(err).Msg("the new features were not taken up")
+				log.Error().Err(err).Msg("the new features document was not applied")
 				continue
 			}
-			b.Renew(fresh)
+			b.Renew(newConfig)
 			if f != nil {
 				if err := b.RenewFeatures(f); err != nil {
-					log.Error().Err(err).Msg("the new features were not taken up")
+					log.Error().Err(err).Msg("the new features document was not applied")
 				}
 			}
 		case <-end:
--- a/cmd/gullstair/sharing.go
+++ b/cmd/gullstair/sharing.go
@@ -10,21 +10,23 @@
 	"gullstair/internal/sharer"
 )
 
-// asking is what the commands to a running broker have in common.
-type asking struct {
-	Socket string `required:"" help:"The broker's control socket, as its features document names it." type:"path"`
+// socketFlags holds the flags that all commands to a running broker share.
+type socketFlags struct {
+	Socket string `required:"" help:"The broker's control socket, as given in its features document." type:"path"`
 	JSON   bool   `name:"json" help:"Write JSON."`
 }
 
-func (a asking) state() (s sharer.State, err error) { return s, control.Get(a.Socket, "sharing", &s) }
+func (a socketFlags) state() (s sharer.State, err error) {
+	return s, control.Get(a.Socket, "sharing", &s)
+}
 
-func encoded(out io.Writer, v any) error {
+func writeJSON(out io.Writer, v any) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
 }
 
-type membersCmd struct{ asking }
+type membersCmd struct{ socketFlags }
 
 func (c *membersCmd) Run(out io.Writer) error {
 	s, err := c.state()
@@ -32,13 +34,13 @@
 		return err
 	}
 	if c.JSON {
-		return encoded(out, map[string]any{"self": s.Self, "health": s.Health, "members": s.Members, "counts": s.Counts,
+		return writeJSON(out, map[string]any{"self": s.Self, "health": s.Health, "members": s.Members, "counts": s.Counts,
 			"carrier": s.Carrier, "crowded": s.Crowded})
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tSTATE\tADDRESS\tINCARNATION\tWEIGHT\tSINCE\tHEARD\tBY")
 	for _, m := range s.Members {
-		since, heard := ago(s.Now-m.Since), ago(s.Now-m.Heard)
+		since, heard := formatDuration(s.Now-m.Since), formatDuration(s.Now-m.Heard)
 		if m.Name == s.Self.Name {
 			since, heard = "this one", "this one"
 		}
@@ -55,7 +57,7 @@
 }
 
 type dutiesCmd struct {
-	asking
+	socketFlags
 	Items bool `help:"List every item."`
 }
 
@@ -65,7 +67,7 @@
 		return err
 	}
 	if c.JSON {
-		return encoded(out, map[string]any{"now": s.Now, "duties": s.Duties, "leases": s.Leases, "counts": s.Done, "fenced": s.Fenced})
+		return writeJSON(out, map[string]any{"now": s.Now, "duties": s.Duties, "leases": s.Leases, "counts": s.Done, "fenced": s.Fenced})
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "DUTY\tPERIOD\tITEMS\tMINE\tSIDE\tOLDEST\tOVERDUE")
@@ -83,20 +85,20 @@
 		if d.Roster > 0 {
 			side = fmt.Sprintf("%d of %d", d.Side, d.Roster)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\t%d\n", d.Duty.Name, ago(d.Duty.Period), len(d.Items), d.Mine, side, ago(oldest), overdue)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%s\t%s\t%d\n", d.Duty.Name, formatDuration(d.Duty.Period), len(d.Items), d.Mine, side, formatDuration(oldest), overdue)
 	}
 	if c.Items {
 		fmt.Fprintln(w, "\nITEM\tOWNER\tLAST DONE\tBY\tDUE IN\t\t")
 		for _, d := range s.Duties {
 			for _, it := range d.Items {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t\t\n", it.Name, it.Owner, ago(s.Now-it.Last), it.By, ago(it.Due-s.Now))
+				fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t\t\n", it.Name, it.Owner, formatDuration(s.Now-it.Last), it.By, formatDuration(it.Due-s.Now))
 			}
 		}
 	}
 	if len(s.Leases) > 0 {
 		fmt.Fprintln(w, "\nLEASE\tHOLDER\tFENCE\tFOR\tVOTERS")
 		for _, l := range s.Leases {
-			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d of %d\n", l.Lease, l.Holder, l.Epoch, ago(l.Until-s.Now), l.Majority, l.Voters)
+			fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d of %d\n", l.Lease, l.Holder, l.Epoch, formatDuration(l.Until-s.Now), l.Majority, l.Voters)
 		}
 	}
 	return w.Flush()
--- a/cmd/gullstair/sharing_test.go
+++ b/cmd/gullstair/sharing_test.go
@@ -23,14 +23,14 @@
 	"gullstair/internal/sharer"
 )
 
-// TestMain lets the test binary be the broker itself, so that one can be killed as the platform kills it.
+// TestMain lets the test binary run as the broker itself, so that tests can kill it as the platform does.
 func TestMain(m *testing.M) {
 	if os.Getenv("GULLSTAIR_TEST_CHILD") != "" {
 		if len(os.Args) > 1 && os.Args[1] == "witness" {
 			os.Exit(rig.Act(os.Args[2:]))
 		}
 		if path := os.Getenv("RIG_CLOCK"); path != "" {
-			clocks = func() broker.Clocks { return bent(path) }
+			clocks = func() broker.Clocks { return skewedClocks(path) }
 		}
 		main()
 		os.Exit(0)
@@ -38,30 +38,33 @@
 	os.Exit(m.Run())
 }
 
-// fleets is how many fleets of processes run at once: each is idle most of the time, and all together must leave a machine of four cores enough to keep time.
-var fleets = make(chan struct{}, 3)
+// fleetSlots limits how many process fleets run at once. Each is idle most of the time; together they must
+// leave a machine of four cores enough CPU to meet their timers.
+var fleetSlots = make(chan struct{}, 3)
 
-// besideOthers lets a test with a fleet of its own run beside others, as far as there is room.
-func besideOthers(t *testing.T) { takesRoom(t, 1) }
+// runParallel lets a test with one fleet run in parallel with others, as fleetSlots permits.
+func runParallel(t *testing.T) { acquireFleetSlots(t, 1) }
 
-// takesRoom is for a test that asks as much of the machine as so many fleets; of those that ask for more than one there may be no two, or they wait for each other.
-func takesRoom(t *testing.T, of int) {
+// acquireFleetSlots is for a test that uses as much CPU as this many fleets. At most one test may request more than
+// one slot, or two of them deadlock.
+func acquireFleetSlots(t *testing.T, of int) {
 	t.Parallel()
 	for range of {
-		fleets <- struct{}{}
-		t.Cleanup(func() { <-fleets })
+		fleetSlots <- struct{}{}
+		t.Cleanup(func() { <-fleetSlots })
 	}
 }
 
-// probed is a stand-in store that answers probes for load and counts them. A mute one takes connections and says nothing.
-type probed struct {
+// probedStore is a test store that answers load probes and counts them. A mute one accepts connections and never
+// answers.
+type probedStore struct {
 	ln    net.Listener
 	mute  bool
 	mu    sync.Mutex
 	times []time.Time
 }
 
-func (p *probed) serve() {
+func (p *probedStore) serve() {
 	for {
 		conn, err := p.ln.Accept()
 		if err != nil {
@@ -93,17 +96,17 @@
 	}
 }
 
-func (p *probed) seen() []time.Time {
+func (p *probedStore) probeTimes() []time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]time.Time(nil), p.times...)
 }
 
-// fleet is some brokers, processes of their own, that share the probing of some stores.
+// fleet is a set of broker processes that share the probing of some stores.
 type fleet struct {
 	*rig.Fleet
 	t      *testing.T
-	stores []*probed
+	stores []*probedStore
 }
 
 const sharedPeriod = 2 * time.Second
@@ -112,7 +115,7 @@
 	f := &fleet{t: t}
 	var hosts []any
 	for i := range stores {
-		p := &probed{ln: listen(t), mute: i < mute}
+		p := &probedStore{ln: listen(t), mute: i < mute}
 		f.stores = append(f.stores, p)
 		go p.serve()
 		hosts = append(hosts, map[string]any{"host": fmt.Sprint("s-", i), "dial": p.ln.Addr().String(), "site": "west",
@@ -132,7 +135,7 @@
 	return f
 }
 
-// startTree is a start file's content.
+// startTree returns the content of a start file.
 func startTree(t *testing.T) (tree map[string]any) {
 	text, err := os.ReadFile("../../internal/config/testdata/start.json")
 	require.NoError(t, err)
@@ -148,8 +151,8 @@
 	return s, err
 }
 
-// together waits until each of some brokers sees so many living.
-func (f *fleet) together(living int, who ...int) {
+// awaitLiving waits until each of the given brokers sees this many live members.
+func (f *fleet) awaitLiving(living int, who ...int) {
 	f.t.Helper()
 	require.Eventually(f.t, func() bool {
 		for _, i := range who {
@@ -168,58 +171,61 @@
 	}, 20*time.Second, 50*time.Millisecond)
 }
 
-// judge looks at the stores: none waited longer than that since a moment, none was probed three times in a period.
-func (f *fleet) judge(since time.Time, longest time.Duration) {
+// checkProbing checks that no store went unprobed for longer than the given time, and that none was probed three times
+// in a period.
+func (f *fleet) checkProbing(since time.Time, longest time.Duration) {
 	f.t.Helper()
 	for i, s := range f.stores {
 		last := since
-		times := s.seen()
+		times := s.probeTimes()
 		for j, at := range times {
 			if at.After(since) {
 				assert.Less(f.t, at.Sub(last), longest, "store %d", i)
 				last = at
 			}
-			// A little less than a period: what is sent a period apart may arrive a little closer.
+			// A little less than a period: probes sent a period apart may arrive slightly closer together.
 			if j >= 2 {
-				assert.Greater(f.t, at.Sub(times[j-2]), sharedPeriod*9/10, "store %d: three in a period", i)
+				assert.Greater(f.t, at.Sub(times[j-2]), sharedPeriod*9/10, "store %d: three probes in a period", i)
 			}
 		}
 		assert.Less(f.t, time.Since(last), longest, "store %d at the end", i)
 	}
 }
 
-// Four brokers share the probing of twelve stores, two of which never answer. One is killed in mid-cycle: every store is
-// probed within one extra period, and none more than twice in any period.
+// TestSharedProbing lets four brokers share the probing of twelve stores, two of which never answer. One broker is
+// killed in the middle of a cycle: every store must be probed within one extra period, and none more than twice in any
+// period.
 func TestSharedProbing(t *testing.T) {
 	f := startFleet(t, 4, 12, 2)
-	f.together(4, 0, 1, 2, 3)
-	time.Sleep(2 * sharedPeriod) // the members' own time: nothing that the test could wait for
+	f.awaitLiving(4, 0, 1, 2, 3)
+	time.Sleep(2 * sharedPeriod) // lets the members probe undisturbed; the test has no event to wait for
 	from := time.Now()
 	f.Members[2].Kill()
-	f.together(3, 0, 1, 3)
+	f.awaitLiving(3, 0, 1, 3)
 	time.Sleep(3 * sharedPeriod)
-	f.judge(from.Add(-sharedPeriod), 2*sharedPeriod)
+	f.checkProbing(from.Add(-sharedPeriod), 2*sharedPeriod)
 	shown := command(t, f.Members[0], "duties", "--items")
 	assert.Contains(t, shown, "probing")
 	assert.Contains(t, shown, "3 of 4")
 	assert.Contains(t, shown, "s-11")
 	assert.Regexp(t, `n2 +dead`, command(t, f.Members[0], "members"))
 	require.NoError(t, f.Members[2].Launch())
-	f.together(4, 0, 1, 2, 3)
+	f.awaitLiving(4, 0, 1, 2, 3)
 	res, err := http.Get("http://" + f.Members[2].Listen + "/healthz")
 	require.NoError(t, err)
 	res.Body.Close()
 	assert.Equal(t, 200, res.StatusCode)
 	time.Sleep(sharedPeriod)
-	f.judge(from.Add(-sharedPeriod), 2*sharedPeriod)
-	f.Members[1].Signal(syscall.SIGTERM) // it leaves with a word: the others know at once
-	f.together(3, 0, 2, 3)
+	f.checkProbing(from.Add(-sharedPeriod), 2*sharedPeriod)
+	f.Members[1].Signal(syscall.SIGTERM) // it announces its departure, so the others know at once
+	f.awaitLiving(3, 0, 2, 3)
 }
 
-// The keys change in service: both are known everywhere, then the new one seals, then the old one goes.
+// TestKeysChangeInService rotates the keys of running brokers: all learn the new key, then it signs, then the old one
+// is removed.
 func TestKeysChangeInService(t *testing.T) {
 	f := startFleet(t, 2, 1, 0)
-	f.together(2, 0, 1)
+	f.awaitLiving(2, 0, 1)
 	older, newer := strings.Repeat("5e", 32), strings.Repeat("a7", 32)
 	block := func(n int, secret string) string {
 		return fmt.Sprintf("  key \"%d\" {\n    secret = %q\n  }\n", n, secret)
@@ -240,7 +246,7 @@
 			return err == nil && s.Carrier.Received > before.Carrier.Received+20
 		}, patience, 20*time.Millisecond)
 	}
-	f.together(2, 0, 1)
+	f.awaitLiving(2, 0, 1)
 	s, err := f.state(0)
 	require.NoError(t, err)
 	assert.Zero(t, s.Carrier.Forged)
--- a/cmd/gullstair/signals.go
+++ b/cmd/gullstair/signals.go
@@ -5,10 +5,10 @@
 	"os/signal"
 )
 
-// takeSignals takes some signals from now on until the process is gone, and passes on as many at once as the channel holds.
-// They are never given back: one that came while the process exits would end it with an error.
-func takeSignals(held int, which ...os.Signal) <-chan os.Signal {
-	taken := make(chan os.Signal, held)
-	signal.Notify(taken, which...)
-	return taken
+// catchSignals catches the given signals until the process is gone; the channel buffers up to size of them. They are
+// never reset to their defaults: one that arrives while the process exits would end it with an error.
+func catchSignals(size int, which ...os.Signal) <-chan os.Signal {
+	signals := make(chan os.Signal, size)
+	signal.Notify(signals, which...)
+	return signals
 }
--- a/cmd/gullstair/soak_clients_test.go
+++ b/cmd/gullstair/soak_clients_test.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// begins notes that a request runs, and checks that it may.
-func (s *soak) begins(id string, i *soakInstanceProcess, version int64, drained time.Time, takes time.Duration) {
+// requestStarted records a running request, and checks that it may run on the instance.
+func (s *soak) requestStarted(id string, i *soakInstanceProcess, version int64, drained time.Time, takes time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q, now := s.requests[id], time.Now()
 	var faults []string
 	if q == nil {
-		s.faults = append(s.faults, "a request that nobody sent runs: "+id)
+		s.faults = append(s.faults, "a request that no client sent runs: "+id)
 		return
 	}
 	q.runs++
@@ -26,10 +26,10 @@
 	if q.kind != "chat" && q.runs > 1 {
 		faults = append(faults, "runs twice")
 	}
-	if q.promise {
-		faults = append(faults, "runs after a promise that it never will")
+	if q.neverRuns {
+		faults = append(faults, "runs after the answer that it never will")
 	}
-	calm := q.broker.unhurt(now)
+	calm := q.broker.undisturbed(now)
 	if !drained.IsZero() && now.Sub(drained) > soakDrain && calm {
 		faults = append(faults, fmt.Sprintf("reaches %s %v after its drain was acknowledged", i.id, now.Sub(drained)))
 	}
@@ -43,8 +43,8 @@
 	}
 }
 
-// client sends requests on one connection until it is closed, and then on the next, to a broker that is ready. Every second
-// client is stubborn: it goes on until the connection is gone, whatever answers ask for.
+// client sends requests to a ready broker on one connection until it is closed, and then on the next. Every second
+// client is stubborn: it ignores requests to close and uses the connection until it is gone.
 func (s *soak) client(number int) {
 	var conn net.Conn
 	var reader *bufio.Reader
@@ -72,7 +72,7 @@
 	}
 }
 
-// ready draws a broker that says it is ready.
+// ready picks a random broker that reports ready.
 func (s *soak) ready() *soakBroker {
 	for range 5 {
 		b := s.any()
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// ask sends one request and reads its answer. closing: the answer asks for the connection to be closed.
+// ask sends one request and reads its answer. closing: the answer requests that the connection be closed.
 func (s *soak) ask(b *soakBroker, conn net.Conn, reader *bufio.Reader, kind string) (whole, closing bool) {
 	s.mu.Lock()
 	s.serial++
@@ -107,8 +107,8 @@
 	}
 	_ = conn.SetDeadline(time.Now().Add(soakAnswer + time.Second))
 	closing = s.converse(q, id, request, conn, reader)
-	s.judge(id, q)
-	return q.whole, closing
+	s.check(id, q)
+	return q.complete, closing
 }
 
 func (s *soak) converse(q *soakRequest, id string, request *http.Request, conn net.Conn, reader *bufio.Reader) (closing bool) {
@@ -122,17 +122,17 @@
 	}
 	text, err := io.ReadAll(response.Body)
 	s.mu.Lock()
-	q.status, q.whole = response.StatusCode, err == nil
-	q.promise = response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests
+	q.status, q.complete = response.StatusCode, err == nil
+	q.neverRuns = response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests
 	s.mu.Unlock()
 	if response.StatusCode == http.StatusOK && err == nil {
-		s.judgeBody(id, q.kind, response, string(text))
+		s.checkBody(id, q.kind, response, string(text))
 	}
 	return response.Close
 }
 
-// judgeBody checks a success.
-func (s *soak) judgeBody(id, kind string, response *http.Response, text string) {
+// checkBody checks a successful answer.
+func (s *soak) checkBody(id, kind string, response *http.Response, text string) {
 	want := "done " + id
 	if kind != "post" {
 		want = ""
@@ -145,22 +145,22 @@
 	}
 }
 
-// judge checks how a request ended. A broker that was neither killed nor stopped answers whatever it passed on, unless the
-// instance breaks off, or is to be at work still when the broker's time to end is almost over.
-func (s *soak) judge(id string, q *soakRequest) {
-	unhurt := q.broker.unhurt(q.sent)
+// check verifies how a request ended. A broker that was neither killed nor paused answers every request it forwarded,
+// unless the instance aborts, or the instance's run lasts until the broker's time to shut down is almost over.
+func (s *soak) check(id string, q *soakRequest) {
+	undisturbed := q.broker.undisturbed(q.sent)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	what := strconv.Itoa(q.status)
-	if !q.whole {
+	if !q.complete {
 		what = "cut"
 	}
 	s.counts[what]++
 	switch {
-	case q.promise && q.runs > 0:
-		s.faults = append(s.faults, fmt.Sprintf("%s %s (%s) got %d and had run", q.ended.Format("05.000"), id, q.kind, q.status))
-	case !q.whole && q.runs > 0 && unhurt && !q.broken && !q.broker.late(q.sent, q.until):
-		s.faults = append(s.faults, fmt.Sprintf("%s %s (%s at %s) was passed on and cut after %v, at a broker that was neither killed nor stopped",
+	case q.neverRuns && q.runs > 0:
+		s.faults = append(s.faults, fmt.Sprintf("%s %s (%s) got %d although it had run", q.ended.Format("05.000"), id, q.kind, q.status))
+	case !q.complete && q.runs > 0 && undisturbed && !q.aborted && !q.broker.late(q.sent, q.until):
+		s.faults = append(s.faults, fmt.Sprintf("%s %s (%s at %s) was forwarded and cut after %v, at a broker that was neither killed nor paused",
 			q.ended.Format("05.000"), id, q.kind, q.broker.ip, q.ended.Sub(q.sent)))
 	}
 }
--- a/cmd/gullstair/soak_instances_test.go
+++ b/cmd/gullstair/soak_instances_test.go
@@ -29,11 +29,11 @@
 	fence    uint64
 	sequence uint64
 	state    string
-	ackedAt  time.Time       // that it drains
-	running  map[string]bool // requests
+	ackedAt  time.Time       // when its draining was acknowledged
+	running  map[string]bool // requests in progress
 }
 
-// startInstance begins one with a version of the weights.
+// startInstance starts an instance with a version of the weights.
 func (s *soak) startInstance(service string, version int64) *soakInstanceProcess {
 	listener, err := net.Listen("tcp4", s.net+".250.1:0")
 	require.NoError(s.t, err)
@@ -50,8 +50,8 @@
 	return i
 }
 
-// tell sends one heartbeat or the end to some broker; false: it was not acknowledged.
-func (i *soakInstanceProcess) tell(what string) bool {
+// send sends one heartbeat or a deregistration to some broker; it reports whether the broker acknowledged it.
+func (i *soakInstanceProcess) send(what string) bool {
 	i.mu.Lock()
 	i.sequence++
 	body, _ := json.Marshal(map[string]any{"service": i.service, "address": i.address, "zone": "z", "slots": 16, "state": i.state, "sequence": i.sequence,
@@ -63,7 +63,7 @@
 
 func (i *soakInstanceProcess) beat() {
 	for {
-		for try := 0; try < 20 && !i.tell("heartbeat"); try++ {
+		for try := 0; try < 20 && !i.send("heartbeat"); try++ {
 			select {
 			case <-i.stopped:
 				return
@@ -80,7 +80,7 @@
 	}
 }
 
-// take draws an instance that is to end, and takes it out.
+// takeInstance picks a random instance that is to end, and removes it from the list.
 func (s *soak) takeInstance() *soakInstanceProcess {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,7 +90,7 @@
 	return i
 }
 
-// crashInstance has one end without a word and come back under another id, with the weights that it had.
+// crashInstance ends an instance without notice and restarts it under another ID with the same weights.
 func (s *soak) crashInstance() {
 	old := s.takeInstance()
 	close(old.stopped)
@@ -100,7 +100,7 @@
 	old.mu.Unlock()
 	s.mu.Lock()
 	for _, id := range running {
-		s.requests[id].broken = true
+		s.requests[id].aborted = true
 	}
 	s.mu.Unlock()
 	old.server.Close()
@@ -109,7 +109,8 @@
 	s.startInstance(old.service, version)
 }
 
-// replaceInstance starts a successor, drains one, and ends it when the fleet has acknowledged that for long enough.
+// replaceInstance starts a successor, drains an instance, and ends it once the fleet acknowledged the draining long
+// enough ago.
 func (s *soak) replaceInstance() {
 	old := s.takeInstance()
 	s.mu.Lock()
@@ -120,7 +121,7 @@
 	old.mu.Lock()
 	old.state = "draining"
 	old.mu.Unlock()
-	for !old.tell("heartbeat") {
+	for !old.send("heartbeat") {
 		if !s.pause(50 * time.Millisecond) {
 			return
 		}
@@ -129,8 +130,8 @@
 	old.ackedAt = time.Now()
 	old.mu.Unlock()
 	if s.pause(soakDrain + time.Second) {
-		old.tell("deregister")
-		s.pause(soakAnswer) // what it has begun
+		old.send("deregister")
+		s.pause(soakAnswer) // lets the requests that it has begun finish
 		old.server.Close()
 	}
 	s.count("instances replaced")
@@ -158,7 +159,7 @@
 	case "/v1/kv-list":
 		_, _ = io.WriteString(w, `{"epoch":1,"next_page_token":0,"held":[]}`)
 	default:
-		i.work(w, r)
+		i.serveRequest(w, r)
 	}
 }
 
@@ -186,8 +187,8 @@
 	}
 }
 
-// work runs a request of a client, after a while in a queue.
-func (i *soakInstanceProcess) work(w http.ResponseWriter, r *http.Request) {
+// serveRequest runs a client's request after some time in a queue.
+func (i *soakInstanceProcess) serveRequest(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Request-Id")
 	w.Header().Set("X-Request-Id", id)
 	_, _ = io.Copy(io.Discard, r.Body)
@@ -206,9 +207,9 @@
 		return
 	}
 	pauses := i.s.pauses(i.service)
-	i.s.begins(id, i, version, drained, sum(pauses))
-	i.runs(id, true)
-	defer i.runs(id, false)
+	i.s.requestStarted(id, i, version, drained, sum(pauses))
+	i.setRunning(id, true)
+	defer i.setRunning(id, false)
 	w.Header().Set("X-Server-Stamp", i.id+"."+id)
 	if i.service == "plain" {
 		time.Sleep(pauses[0])
@@ -226,8 +227,8 @@
 	}
 }
 
-// pauses draws how long a run takes from one event to the next. Some streams go on for longer than a broker that ends says
-// that it is not ready.
+// pauses draws the pauses between the events of a run. Some streams last longer than a broker reports not ready during
+// its shutdown.
 func (s *soak) pauses(service string) []time.Duration {
 	most := 60
 	if service == "llm" && s.draw(6) == 0 {
@@ -240,8 +241,8 @@
 	return pauses
 }
 
-// runs notes that a request runs, or that it does no longer.
-func (i *soakInstanceProcess) runs(id string, runs bool) {
+// setRunning records that a request runs or has ended.
+func (i *soakInstanceProcess) setRunning(id string, runs bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if !runs {
--- a/cmd/gullstair/soak_operators_test.go
+++ b/cmd/gullstair/soak_operators_test.go
@@ -8,31 +8,31 @@
 	"time"
 )
 
-// order sends a configuration to brokers until one gives a clear answer, or the run has ended for long.
-func (s *soak) order(base, version int) (status int) {
+// replaceConfiguration sends a configuration to brokers until one gives a definite answer, or the run ended long ago.
+func (s *soak) replaceConfiguration(base, version int) (status int) {
 	for begun := time.Now(); time.Since(begun) < 30*time.Second; time.Sleep(20 * time.Millisecond) {
 		status, _ = s.any().call(2*time.Second, http.MethodPost, "/v1/config/replace", strconv.Itoa(base), soakConfiguration(version))
 		if status != 0 && status < http.StatusInternalServerError {
 			return status
 		}
 	}
-	s.fault("configuration %d got no clear answer", version)
+	s.fault("configuration %d got no definite answer", version)
 	return 0
 }
 
-// operate changes the configuration, at times by two operators at once.
+// operate changes the configuration, sometimes by two operators at once.
 func (s *soak) operate() {
 	base := s.acked
 	if s.draw(4) > 0 {
-		if status := s.order(base, base+1); status != http.StatusOK {
+		if status := s.replaceConfiguration(base, base+1); status != http.StatusOK {
 			s.fault("configuration %d on %d got %d", base+1, base, status)
 		}
 		s.confirm(base + 1)
 		return
 	}
 	first, second := make(chan int, 1), make(chan int, 1)
-	go func() { first <- s.order(base, base+1) }()
-	go func() { second <- s.order(base, base+2) }()
+	go func() { first <- s.replaceConfiguration(base, base+1) }()
+	go func() { second <- s.replaceConfiguration(base, base+2) }()
 	a, b := <-first, <-second
 	switch {
 	case a == http.StatusOK && b == http.StatusPreconditionFailed:
@@ -51,7 +51,7 @@
 	s.counts["configurations"]++
 }
 
-// read checks that no broker hands out an older configuration than was acknowledged before it was asked.
+// read checks that no broker returns an older configuration than the newest one acknowledged before the request.
 func (s *soak) read() {
 	s.mu.Lock()
 	least := s.acked
@@ -59,7 +59,7 @@
 	b := s.any()
 	if status, text := b.read(); status == http.StatusOK {
 		if got := versionIn(text); got < least {
-			s.fault("%s hands out configuration %d after %d was acknowledged", b.ip, got, least)
+			s.fault("%s returns configuration %d after %d was acknowledged", b.ip, got, least)
 		}
 		s.count("reads")
 	}
@@ -71,7 +71,7 @@
 	return c.Version
 }
 
-// nameWeights names the next version.
+// nameWeights names the next version of the weights.
 func (s *soak) nameWeights() {
 	s.mu.Lock()
 	next := s.version + 1
@@ -87,5 +87,5 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	s.fault("version %d was not taken", next)
+	s.fault("version %d was not accepted", next)
 }
--- a/cmd/gullstair/soak_signals_test.go
+++ b/cmd/gullstair/soak_signals_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// take gives a broker that nothing is being done to; nil: none was found.
-func (s *soak) take(mayBeCore bool) *soakBroker {
+// reserve reserves a broker without a disturbance in progress; it returns nil if it finds none.
+func (s *soak) reserve(mayBeCore bool) *soakBroker {
 	for range 20 {
 		number := s.draw(len(s.brokers))
 		if number < soakCore && !mayBeCore {
@@ -28,8 +28,9 @@
 	return nil
 }
 
-// takeCore says whether a machine of the core may be lost now; if so it counts as lost until then and its catching up.
-func (s *soak) takeCore() bool {
+// reserveCore reports whether a core machine may be lost now; if so it counts as lost until it is released and through its
+// catch-up.
+func (s *soak) reserveCore() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if time.Now().Before(s.catchingUp) {
@@ -39,7 +40,7 @@
 	return true
 }
 
-func (s *soak) giveCore() {
+func (s *soak) releaseCore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.catchingUp = time.Now().Add(soakCatchUp)
@@ -51,10 +52,10 @@
 	b.busy = false
 }
 
-// hurts notes that a broker is being killed or stopped, and, at the end, that it was until now.
-func (s *soak) hurts(b *soakBroker, until time.Time) {
+// markDisturbed records that a broker is being killed or paused, and, at the end, until when it was.
+func (s *soak) markDisturbed(b *soakBroker, until time.Time) {
 	b.mu.Lock()
-	b.hurt = until
+	b.disturbedUntil = until
 	b.mu.Unlock()
 	if b.disk {
 		s.mu.Lock()
@@ -63,10 +64,10 @@
 	}
 }
 
-// disturb does something to a broker that nothing is being done to.
+// disturb disturbs one broker without a disturbance in progress.
 func (s *soak) disturb() {
-	core := s.takeCore()
-	b := s.take(core)
+	core := s.reserveCore()
+	b := s.reserve(core)
 	if core && (b == nil || !b.disk) {
 		s.mu.Lock()
 		s.catchingUp = time.Time{}
@@ -76,7 +77,7 @@
 		return
 	}
 	if b.disk {
-		defer s.giveCore()
+		defer s.releaseCore()
 	}
 	defer b.release()
 	what := []string{"term", "term", "kill", "stop", "hang up", "wipe"}[s.draw(6)]
@@ -85,20 +86,20 @@
 	case "term":
 		s.terminate(b)
 	case "kill", "wipe":
-		s.hurts(b, time.Now().Add(time.Hour))
+		s.markDisturbed(b, time.Now().Add(time.Hour))
 		b.process.Kill()
 		s.pause(s.between(0, 2*time.Second))
 		if what == "wipe" && b.disk {
 			require.NoError(s.t, os.RemoveAll(filepath.Join(b.folder, "data")))
 		}
 		b.start()
-		s.hurts(b, time.Now())
+		s.markDisturbed(b, time.Now())
 	case "stop":
-		s.hurts(b, time.Now().Add(time.Hour))
+		s.markDisturbed(b, time.Now().Add(time.Hour))
 		b.process.Signal(syscall.SIGSTOP)
 		s.pause(s.between(10*time.Millisecond, 3*time.Second))
 		b.process.Signal(syscall.SIGCONT)
-		s.hurts(b, time.Now())
+		s.markDisturbed(b, time.Now())
 	case "hang up":
 		b.awaitSignals()
 		for range 1 + s.draw(4) {
@@ -108,7 +109,7 @@
 	}
 }
 
-// terminate ends a broker by plan, with signals while it ends, and starts it again.
+// terminate shuts a broker down by plan, sends further signals meanwhile, and starts it again.
 func (s *soak) terminate(b *soakBroker) {
 	if b.disk {
 		s.mu.Lock()
@@ -118,15 +119,15 @@
 	b.awaitSignals()
 	begun := time.Now()
 	b.mu.Lock()
-	b.ends = begun
+	b.terminatedAt = begun
 	b.mu.Unlock()
 	b.process.Signal(syscall.SIGTERM)
 	for range s.draw(3) {
 		s.pause(s.between(0, time.Second))
 		b.process.Signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[s.draw(2)])
 	}
-	if s.draw(2) == 0 { // and on, while the process exits too
-		for b.process.Running() && time.Since(begun) < soakGrace+soakEnds {
+	if s.draw(2) == 0 { // keeps sending signals while the process exits
+		for b.process.Running() && time.Since(begun) < soakGrace+soakExit {
 			b.process.Signal([]syscall.Signal{syscall.SIGHUP, syscall.SIGTERM}[s.draw(2)])
 			time.Sleep(s.between(0, 20*time.Millisecond))
 		}
@@ -136,25 +137,25 @@
 		if code := b.process.Code(); code != 0 {
 			s.fault("%s ended with %d after SIGTERM", b.ip, code)
 		}
-	case <-time.After(time.Until(begun.Add(soakGrace + soakEnds))):
+	case <-time.After(time.Until(begun.Add(soakGrace + soakExit))):
 		if s.stalledSince(begun) {
 			<-b.process.Ended()
 			break
 		}
-		s.fault("%s is there %v after SIGTERM", b.ip, soakGrace+soakEnds)
+		s.fault("%s still runs %v after SIGTERM", b.ip, soakGrace+soakExit)
 		b.process.Kill()
 	}
 	s.pause(s.between(0, time.Second))
 	b.start()
-	if s.draw(3) == 0 { // a series
+	if s.draw(3) == 0 { // a SIGHUP right after the restart
 		b.awaitSignals()
 		s.pause(s.between(0, 30*time.Millisecond))
 		b.process.Signal(syscall.SIGHUP)
 	}
 }
 
-// herd kills all brokers at once; their disks are kept.
-func (s *soak) herd() {
+// killAll kills all brokers at once; their disks are kept.
+func (s *soak) killAll() {
 	for _, b := range s.brokers {
 		b.mu.Lock()
 		for b.busy {
@@ -166,7 +167,7 @@
 		b.mu.Unlock()
 	}
 	for _, b := range s.brokers {
-		s.hurts(b, time.Now().Add(time.Hour))
+		s.markDisturbed(b, time.Now().Add(time.Hour))
 	}
 	for _, b := range s.brokers {
 		b.process.Signal(syscall.SIGKILL)
@@ -176,7 +177,7 @@
 		b.start()
 	}
 	for _, b := range s.brokers {
-		s.hurts(b, time.Now())
+		s.markDisturbed(b, time.Now())
 		b.release()
 	}
 	s.count("herd")
--- a/cmd/gullstair/soak_test.go
+++ b/cmd/gullstair/soak_test.go
@@ -14,74 +14,75 @@
 	"time"
 )
 
-// A soak: brokers as processes, clients that use a connection until it is closed or its process is gone, instances that come
-// and go, operators that change the configuration and name weights, and signals, restarts and losses that come in series and
-// overlap, all drawn from a seed. What must hold is checked in the clients, instances and operators.
+// The soak test runs brokers as processes, clients that use a connection until it is closed or its process is gone,
+// instances that join and leave, operators that change the configuration and name weights, and signals, restarts and
+// losses that overlap and come in series, all drawn from a seed. The clients, instances and operators check the
+// invariants.
 
 var (
-	soakSeed    = flag.Uint64("soak.seed", 1, "what a soak's events are drawn from")
-	soakFor     = flag.Duration("soak.for", time.Minute, "how long a soak has events")
-	soakBrokers = flag.Int("soak.brokers", 7, "a soak's brokers, the first five with a disk")
-	soakOther   = flag.String("soak.other", "", "the test program of another release, from which brokers are started in turn with this one's")
-	soakClients = flag.Int("soak.clients", 16, "a soak's clients")
+	soakSeed    = flag.Uint64("soak.seed", 1, "seed of a soak's events")
+	soakFor     = flag.Duration("soak.for", time.Minute, "how long a soak lasts")
+	soakBrokers = flag.Int("soak.brokers", 7, "number of brokers, of which the first five have a disk")
+	soakOther   = flag.String("soak.other", "", "the test binary of another release; brokers are started from it and from this binary in turn")
+	soakClients = flag.Int("soak.clients", 16, "number of clients")
 )
 
 const (
-	soakGrace    = 4 * time.Second
-	soakContact  = 3 * time.Second
-	soakCatchUp  = 4 * time.Second
-	soakVersion  = 6 * time.Second // bound on old weights
-	soakDrain    = 2 * time.Second
-	soakTaken    = 3 * time.Second // after it was told to end, a broker may still take what it will not finish
-	soakCore     = 5               // brokers with a disk; all vote, since they are odd in number
-	soakFewer    = 3               // voters, as long as a disk is a broker's of the release that had no more than the losses need
-	soakEnds     = 2 * time.Second // for a process beyond its grace
-	soakAnswer   = 8 * time.Second
-	soakInstance = 6
-	soakWatch    = 20 * time.Millisecond  // between two looks whether the machine stands still,
-	soakStall    = 500 * time.Millisecond // which it does when one comes so late
-	soakModel    = "m"
+	soakGrace         = 4 * time.Second
+	soakContact       = 3 * time.Second
+	soakCatchUp       = 4 * time.Second
+	soakVersion       = 6 * time.Second // bound on the age of old weights
+	soakDrain         = 2 * time.Second
+	soakLateAccept    = 3 * time.Second // after SIGTERM a broker may still accept requests that it will not finish
+	soakCore          = 5               // brokers with a disk; all vote, since their number is odd
+	soakFewerVoters   = 3               // voters as long as one disk belongs to a broker of the release that used no more voters than the tolerated losses need
+	soakExit          = 2 * time.Second // time to exit beyond the grace period
+	soakAnswer        = 8 * time.Second
+	soakInstance      = 6
+	soakWatchInterval = 20 * time.Millisecond  // interval between two checks for a stall of the machine
+	soakStall         = 500 * time.Millisecond // delay of a check that counts as a stall
+	soakModel         = "m"
 )
 
-// soakBroker is a broker's process with what was done to it.
+// soakBroker is a broker's process with its disturbances.
 type soakBroker struct {
 	*controlProcess
-	mu   sync.Mutex
-	busy bool      // something is being done to it
-	hurt time.Time // until when it was killed or stopped, or had just started after that
-	ends time.Time // when it was last told to end
+	mu             sync.Mutex
+	busy           bool      // a disturbance is in progress
+	disturbedUntil time.Time // until when it was killed or paused, or had just started after that
+	terminatedAt   time.Time // when it last got SIGTERM
 }
 
-// late says whether a run that goes on until a moment does so in the last sixth of the time that a broker has to end in, and
-// its request did not come long after that time began: such a one is not to be taken.
+// late reports whether a run ends within the last sixth of the broker's time to shut down, and its request arrived not
+// long after the shutdown began: the broker must not accept such a request.
 func (b *soakBroker) late(sent, until time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.ends.IsZero() && until.After(b.ends.Add(soakGrace*5/6)) && !sent.After(b.ends.Add(soakTaken))
+	return !b.terminatedAt.IsZero() && until.After(b.terminatedAt.Add(soakGrace*5/6)) && !sent.After(b.terminatedAt.Add(soakLateAccept))
 }
 
-// unhurt says whether nothing but planned work was done to a broker between two moments, nor right before.
-func (b *soakBroker) unhurt(from time.Time) bool {
+// undisturbed reports whether a broker had only planned shutdowns since a moment and right before it.
+func (b *soakBroker) undisturbed(from time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.hurt.Before(from.Add(-soakContact))
+	return b.disturbedUntil.Before(from.Add(-soakContact))
 }
 
-// soakRequest is one try of a client.
+// soakRequest is one attempt of a client.
 type soakRequest struct {
-	kind    string
-	broker  *soakBroker
-	sent    time.Time
-	ended   time.Time
-	runs    int
-	until   time.Time // when its last run is to be over
-	broken  bool      // an instance broke off
-	status  int       // of the answer; 0: none
-	whole   bool      // the answer is
-	promise bool      // it never runs: 503 or 429
+	kind      string
+	broker    *soakBroker
+	sent      time.Time
+	ended     time.Time
+	runs      int
+	until     time.Time // when its last run should end
+	aborted   bool      // an instance aborted the answer
+	status    int       // of the answer; 0: none
+	complete  bool      // the answer is complete
+	neverRuns bool      // the request never runs: 503 or 429
 }
 
-// soak is one run.
+// soak is the state of one run.
 type soak struct {
 	t       *testing.T
 	seed    uint64
@@ -98,10 +99,10 @@
 	counts     map[string]int
 	instances  []*soakInstanceProcess
 	named      map[int64]time.Time
-	version    int64 // of the weights, newest acknowledged
-	acked      int   // version of the configuration, newest acknowledged
+	version    int64 // newest acknowledged version of the weights
+	acked      int   // newest acknowledged version of the configuration
 	coreHurt   time.Time
-	stalled    time.Time // until when the whole machine stood still last
+	stalled    time.Time // until when the whole machine last stalled
 	catchingUp time.Time // until when a disk counts as lost
 }
 
@@ -111,19 +112,20 @@
 	s.faults = append(s.faults, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// watchMachine notes when the machine stands still: this process, too, gets no turn then, and every broker counts as stopped.
+// watchMachine records when the machine stalls: this process is not scheduled then either, and every broker counts as
+// paused.
 func (s *soak) watchMachine() {
-	for at := time.Now(); s.pause(soakWatch); at = time.Now() {
+	for at := time.Now(); s.pause(soakWatchInterval); at = time.Now() {
 		if gap := time.Since(at); gap > soakStall {
 			s.mu.Lock()
 			s.stalled = time.Now()
 			s.coreHurt = s.stalled
-			s.counts["machine stood still, ms"] += int(gap / time.Millisecond)
+			s.counts["machine stalled, ms"] += int(gap / time.Millisecond)
 			s.mu.Unlock()
 			for _, b := range s.brokers {
 				b.mu.Lock()
-				if b.hurt.Before(time.Now()) {
-					b.hurt = time.Now()
+				if b.disturbedUntil.Before(time.Now()) {
+					b.disturbedUntil = time.Now()
 				}
 				b.mu.Unlock()
 			}
@@ -131,7 +133,7 @@
 	}
 }
 
-// stalledSince says whether the machine stood still after a moment.
+// stalledSince reports whether the machine stalled after a moment.
 func (s *soak) stalledSince(from time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,7 +156,7 @@
 	return least + time.Duration(s.draw(int(most-least)))
 }
 
-// pause waits; false: the run ends.
+// pause sleeps; it returns false if the run ends.
 func (s *soak) pause(d time.Duration) bool {
 	select {
 	case <-s.stop:
@@ -164,7 +166,7 @@
 	}
 }
 
-// repeat does something again and again, with pauses drawn between two bounds, until the run ends.
+// repeat calls do again and again, with random pauses between two bounds, until the run ends.
 func (s *soak) repeat(least, most time.Duration, do func()) {
 	s.wait.Go(func() {
 		for s.pause(s.between(least, most)) {
@@ -205,10 +207,10 @@
 	return fmt.Sprintf("%s.%d.%d", s.net, 1+number/200, 1+number%200)
 }
 
-// any is one of the brokers.
+// any returns a random broker.
 func (s *soak) any() *soakBroker { return s.brokers[s.draw(len(s.brokers))] }
 
-// soakConfiguration is a configuration whose routes serve, with one that names its version.
+// soakConfiguration returns a configuration whose routes serve, with one route that carries its version.
 func soakConfiguration(version int) string {
 	return fmt.Sprintf(`{"version":%d,"routes":[
 {"name":"chat","host":"h","path_prefix":"/chat/","kind":"streaming","timeout_ms":9000,"target_latency_ms":600,"service":"llm","max_attempts":2,"sticky":true,"resumable":true,"gap_aim_ms":300},
@@ -219,14 +221,14 @@
 		version, version)
 }
 
-// settle ends the events and checks that the fleet is whole again.
+// settle ends the events and checks that the fleet has fully recovered.
 func (s *soak) settle() {
 	close(s.stop)
 	s.wait.Wait()
 	time.Sleep(soakCatchUp)
 	for number, b := range s.brokers {
 		if !b.process.Running() {
-			s.fault("%s has ended by itself", b.ip)
+			s.fault("%s exited unexpectedly", b.ip)
 			continue
 		}
 		status, text := b.read()
@@ -237,14 +239,14 @@
 		if got := versionIn(text); status != http.StatusOK || got != s.acked {
 			s.fault("at the end %s answers a read with %d, version %d of %d", b.ip, status, got, s.acked)
 		}
-		if number < soakCore { // of a few: hundreds of brokers end slowly
-			s.look(b)
+		if number < soakCore { // a few only, since hundreds of brokers end slowly
+			s.checkStatus(b)
 		}
 	}
 }
 
-// look checks what a broker says of itself at the end.
-func (s *soak) look(b *soakBroker) {
+// checkStatus checks a broker's status report at the end.
+func (s *soak) checkStatus(b *soakBroker) {
 	status := struct {
 		Voters  []string         `json:"register_voters"`
 		Weights map[string]int64 `json:"weights"`
@@ -252,7 +254,7 @@
 	}{}
 	_, text := b.call(2*time.Second, http.MethodGet, "/v1/status", "", "")
 	err := json.Unmarshal([]byte(text), &status)
-	votes := len(status.Voters) == soakCore || *soakOther != "" && len(status.Voters) == soakFewer
+	votes := len(status.Voters) == soakCore || *soakOther != "" && len(status.Voters) == soakFewerVoters
 	if err != nil || !votes || !status.Ready || s.version > 1 && status.Weights[soakModel] != s.version {
 		s.fault("at the end %s has %d voters, ready %t, weights %v of %d (%v)", b.ip, len(status.Voters), status.Ready, status.Weights, s.version, err)
 	}
@@ -260,8 +262,8 @@
 
 // play runs one soak.
 func (s *soak) play(span time.Duration, clients int) {
-	if status := s.order(0, 1); status != http.StatusOK {
-		s.t.Fatalf("the first configuration got %d", status)
+	if status := s.replaceConfiguration(0, 1); status != http.StatusOK {
+		s.t.Fatalf("the first configuration got status %d", status)
 	}
 	s.acked = 1
 	s.wait.Go(s.watchMachine)
@@ -274,16 +276,16 @@
 	s.repeat(time.Second, 6*time.Second, s.nameWeights)
 	s.repeat(time.Second, 4*time.Second, s.replaceInstance)
 	s.repeat(time.Second, 4*time.Second, s.crashInstance)
-	for range max(3, len(s.brokers)/10) { // so many may overlap
+	for range max(3, len(s.brokers)/10) { // this many disturbances may overlap
 		s.repeat(100*time.Millisecond, 2*time.Second, s.disturb)
 	}
 	time.Sleep(span / 2)
-	s.herd()
+	s.killAll()
 	time.Sleep(span / 2)
 	s.settle()
 }
 
-// TestSoak plays one soak, of the flags' seed and size.
+// TestSoak runs one soak with the seed and size of the flags.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("takes a minute")
@@ -305,7 +307,7 @@
 	}
 }
 
-// keepLogs copies what the brokers wrote to where GULLSTAIR_SOAK_LOGS says.
+// keepLogs copies the brokers' logs to the folder of $GULLSTAIR_SOAK_LOGS.
 func (s *soak) keepLogs() {
 	folder := os.Getenv("GULLSTAIR_SOAK_LOGS")
 	if folder == "" {
--- a/cmd/gullstair/starved_test.go
+++ b/cmd/gullstair/starved_test.go
@@ -21,15 +21,15 @@
 	"gullstair/internal/sharer"
 )
 
-// What a machine with much other work does to processes: they stand still, one or several of them, for as long as others run.
+// These helpers emulate a machine under heavy load, on which one or several processes are not scheduled for some time.
 
-// standStillByTurns has one member after the other stand still, for off, and all run for on between, until it is stopped.
-func standStillByTurns(members []*rig.Member, on, off time.Duration) (stop func()) {
-	return standStill(members, on, off, math.MaxInt)
+// pauseByTurns pauses one member after the other for off, with all running for on in between, until it is stopped.
+func pauseByTurns(members []*rig.Member, on, off time.Duration) (stop func()) {
+	return pauseTurns(members, on, off, math.MaxInt)
 }
 
-// standStill is the same for so many turns at most.
-func standStill(members []*rig.Member, on, off time.Duration, turns int) (stop func()) {
+// pauseTurns does the same for at most this many turns.
+func pauseTurns(members []*rig.Member, on, off time.Duration, turns int) (stop func()) {
 	over := make(chan struct{})
 	var turning sync.WaitGroup
 	turning.Go(func() {
@@ -49,7 +49,7 @@
 	})
 }
 
-// pause waits, and says whether it was ended meanwhile.
+// pause sleeps, and reports whether it was interrupted meanwhile.
 func pause(over <-chan struct{}, span time.Duration) bool {
 	select {
 	case <-over:
@@ -59,7 +59,7 @@
 	}
 }
 
-// busy keeps so many processes at work until the test ends.
+// busy runs this many CPU-bound processes until the test ends.
 func busy(t *testing.T, processes int) {
 	for range processes {
 		cmd := exec.Command("sh", "-c", "while :; do :; done")
@@ -72,30 +72,30 @@
 	}
 }
 
-// excuse is how long something may have stood still that a test goes by, before what it did counts against the program.
-const excuse = 500 * time.Millisecond
+// stallTolerance is the minimum pause of a member or of the test itself that excuses a failed attempt.
+const stallTolerance = 500 * time.Millisecond
 
-// still is how long members, and the test itself, had stood still up to a moment.
-type still struct {
+// stallMeter holds the total time that members, and the test itself, had been stalled at some moment.
+type stallMeter struct {
 	members []*rig.Member
 	their   []rig.Still
 	own     rig.Still
 }
 
-func stillOf(members ...*rig.Member) still {
-	s := still{members: members, own: rig.OwnStill()}
+func newStallMeter(members ...*rig.Member) stallMeter {
+	s := stallMeter{members: members, own: rig.OwnStill()}
 	for _, m := range members {
 		s.their = append(s.their, m.Still())
 	}
 	return s
 }
 
-// stood is the most that one of them stood still since then. The kernel adds a wait when it is over, so members are waited for that do
-// not answer.
-func (s still) stood() (most time.Duration) {
+// longest returns the longest stall of any of them since then. The kernel adds a delay only when it is over, so this
+// waits for members that do not answer.
+func (s stallMeter) longest() (most time.Duration) {
 	most = rig.OwnStoodStill(s.own)
 	for i, m := range s.members {
-		_ = rig.Until(takeoverIn, func() bool { return !m.Running() || m.Ask("sharing", &sharer.State{}) == nil })
+		_ = rig.Until(takeoverTimeout, func() bool { return !m.Running() || m.Ask("sharing", &sharer.State{}) == nil })
 		if m.Running() {
 			most = max(most, m.StoodStill(s.their[i]))
 		}
@@ -103,26 +103,27 @@
 	return most
 }
 
-// unlessStill does something until it succeeds. A failure is let pass only where a member, or the test itself, stood still meanwhile.
-func unlessStill(t *testing.T, what string, members []*rig.Member, do func(attempt int) error) {
+// retryAfterStall repeats an attempt until it succeeds. A failure is excused only if a member, or the test itself,
+// stalled meanwhile.
+func retryAfterStall(t *testing.T, what string, members []*rig.Member, do func(attempt int) error) {
 	t.Helper()
 	for attempt, begun := 0, time.Now(); ; attempt++ {
-		before := stillOf(members...)
+		before := newStallMeter(members...)
 		err := do(attempt)
 		if err == nil {
 			return
 		}
-		stood := before.stood()
-		require.GreaterOrEqual(t, stood, excuse, "%s: %v, and nothing stood still", what, err)
-		require.Less(t, time.Since(begun), 2*takeoverIn, "%s: %v", what, err)
-		t.Logf("%s: %v, after something stood still for %v", what, err, stood)
+		stall := before.longest()
+		require.GreaterOrEqual(t, stall, stallTolerance, "%s: %v, although nothing stalled", what, err)
+		require.Less(t, time.Since(begun), 2*takeoverTimeout, "%s: %v", what, err)
+		t.Logf("%s: %v, after a stall of %v", what, err, stall)
 	}
 }
 
-// command gives a command of the program to a member's control socket and returns what it writes.
+// command runs a command of the program on a member's control socket and returns its output.
 func command(t *testing.T, m *rig.Member, args ...string) (text string) {
 	t.Helper()
-	unlessStill(t, args[0]+" at "+m.Name, []*rig.Member{m}, func(int) error {
+	retryAfterStall(t, args[0]+" at "+m.Name, []*rig.Member{m}, func(int) error {
 		var out bytes.Buffer
 		err := run(append(args, "--socket", m.Socket()), &out)
 		text = out.String()
@@ -131,14 +132,14 @@
 	return text
 }
 
-// refusal gives a command that is refused, and returns why.
+// refusal runs a command that must be refused, and returns the reason.
 func refusal(t *testing.T, m *rig.Member, args ...string) (why string) {
 	t.Helper()
-	unlessStill(t, args[0]+" at "+m.Name, []*rig.Member{m}, func(int) error {
+	retryAfterStall(t, args[0]+" at "+m.Name, []*rig.Member{m}, func(int) error {
 		err := run(append(args, "--socket", m.Socket()), io.Discard)
 		var late interface{ Timeout() bool }
 		if err == nil || errors.As(err, &late) && late.Timeout() {
-			return fmt.Errorf("it is not refused: %w", cmp.Or(err, errTaken))
+			return fmt.Errorf("the command is not refused: %w", cmp.Or(err, errAccepted))
 		}
 		why = err.Error()
 		return nil
@@ -146,15 +147,15 @@
 	return why
 }
 
-var errTaken = errors.New("it was taken")
+var errAccepted = errors.New("it was accepted")
 
-// askSockets asks each member for its pages again and again and returns what the answers took, in order.
-func askSockets(t *testing.T, f *rig.Fleet, rounds int) []time.Duration {
+// queryControlSockets queries each member's pages repeatedly and returns the sorted latencies.
+func queryControlSockets(t *testing.T, f *rig.Fleet, rounds int) []time.Duration {
 	var all []time.Duration
 	for range rounds {
 		for _, m := range f.Members {
 			for page, into := range map[string]any{"limits": &broker.LimitsSeen{}, "sharing": &sharer.State{}} {
-				unlessStill(t, page+" at "+m.Name, []*rig.Member{m}, func(int) error {
+				retryAfterStall(t, page+" at "+m.Name, []*rig.Member{m}, func(int) error {
 					begun := time.Now()
 					err := m.Ask(page, into)
 					all = append(all, time.Since(begun))
@@ -169,19 +170,19 @@
 
 const fleetLimit = "limit \"all\" {\n  for = \"fleet\"\n  scans_per_s = 80\n  burst = 16\n}\n"
 
-// TestControlSocketBesideTraffic: a control socket answers within its limit while clients ask for more than the broker may take,
-// with as many busy processes beside the fleet as there are cores.
+// TestControlSocketBesideTraffic checks that a control socket answers within its limit while clients send more than
+// the broker may admit, with one CPU-bound process per core next to the fleet.
 func TestControlSocketBesideTraffic(t *testing.T) {
-	besideOthers(t)
+	runParallel(t)
 	f := startLimits(t, 5, fleetLimit)
-	f.near("in service", 0.85, 100, 100, 100, 100, 100)
+	f.awaitUse("in service", 0.85, 100, 100, 100, 100, 100)
 	busy(t, 8)
-	took := askSockets(t, f.Fleet, 40)
+	took := queryControlSockets(t, f.Fleet, 40)
 	require.Less(t, took[len(took)*9/10], 500*time.Millisecond, "nine of ten answers")
 	t.Logf("%d answers: half within %v, 99 in 100 within %v, all within %v", len(took), took[len(took)/2], took[len(took)*99/100], took[len(took)-1])
 }
 
-// What a control socket takes beside traffic and busy processes.
+// TestMeasureControlSocket measures the latency of a control socket under traffic and next to CPU-bound processes.
 func TestMeasureControlSocket(t *testing.T) {
 	if !*measure {
 		t.Skip("only with -measure")
@@ -189,9 +190,9 @@
 	for _, processes := range []int{1, 10, 30, 60} {
 		t.Run("", func(t *testing.T) {
 			f := startLimits(t, 5, fleetLimit)
-			f.near("in service", 0.85, 100, 100, 100, 100, 100)
+			f.awaitUse("in service", 0.85, 100, 100, 100, 100, 100)
 			busy(t, processes)
-			took := askSockets(t, f.Fleet, 200)
+			took := queryControlSockets(t, f.Fleet, 200)
 			t.Logf("%d busy processes: %d answers, half within %v, 99 in 100 within %v, all within %v", processes, len(took),
 				took[len(took)/2], took[len(took)*99/100], took[len(took)-1])
 		})
