--- a/cmd/gullstair/verdicts_test.go
+++ b/cmd/gullstair/verdicts_test.go
@@ -26,18 +26,18 @@
 	"gullstair/internal/verdicts"
 )
 
-// judgedStore is a store that writes down which broker's parts reached it, and when; some it fails.
-type judgedStore struct {
-	ln    net.Listener
-	fails atomic.Int64 // a bit for each broker
-	mute  atomic.Bool  // it takes parts and answers none
-	slow  atomic.Int64 // so many ms longer a part
-	mu    sync.Mutex
-	came  [][]time.Time // by broker
+// recordingStore is a store that records which broker's parts reached it and when; it fails some of them.
+type recordingStore struct {
+	ln       net.Listener
+	fails    atomic.Int64 // one bit per broker
+	mute     atomic.Bool  // accepts parts and answers none
+	slow     atomic.Int64 // additional ms per part
+	mu       sync.Mutex
+	arrivals [][]time.Time // by broker
 }
 
-func startJudged(t *testing.T, brokers int) *judgedStore {
-	s := &judgedStore{ln: listen(t), came: make([][]time.Time, brokers)}
+func startRecordingStore(t *testing.T, brokers int) *recordingStore {
+	s := &recordingStore{ln: listen(t), arrivals: make([][]time.Time, brokers)}
 	go func() {
 		for {
 			conn, err := s.ln.Accept()
@@ -50,7 +50,7 @@
 	return s
 }
 
-func (s *judgedStore) serve(conn net.Conn) {
+func (s *recordingStore) serve(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
@@ -69,7 +69,7 @@
 			fmt.Sscan(string(line), &id, &shard, &list, &length)
 			fmt.Sscanf(id, "q%d-", &broker)
 			s.mu.Lock()
-			s.came[broker] = append(s.came[broker], time.Now())
+			s.arrivals[broker] = append(s.arrivals[broker], time.Now())
 			s.mu.Unlock()
 			time.Sleep(serviceTime + time.Duration(s.slow.Load())*time.Millisecond)
 			answer := fmt.Sprintf("Y%s OK %d -\nvalue of %s, %s", id, shard, id, tail[:length])
@@ -86,14 +86,15 @@
 	}
 }
 
-// serviceTime is what a part takes at a store, one after the other on a connection: so long that scans which come together find nodes at work.
+// serviceTime is the time a store takes for a part, one after the other on a connection: long enough that concurrent
+// scans find nodes busy.
 const serviceTime = 2 * time.Millisecond
 
-// since counts the parts that came from some brokers after a moment; of none named: from all.
-func (s *judgedStore) since(at time.Time, who ...int) (n int) {
+// since counts the parts that came from the given brokers after a moment, or from all if none is given.
+func (s *recordingStore) since(at time.Time, who ...int) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for b, all := range s.came {
+	for b, all := range s.arrivals {
 		for _, x := range all {
 			if x.After(at) && (len(who) == 0 || slices.Contains(who, b)) {
 				n++
@@ -106,28 +107,28 @@
 // verdictFleet is five brokers over six stores, three of each set, and clients.
 type verdictFleet struct {
 	*rig.Fleet
-	t      *testing.T
-	stores []*judgedStore
-	demand []atomic.Int64
-	owed   []atomic.Int64 // scans that come at once
-	stop   chan struct{}
-	asking sync.WaitGroup
-	// stopAll ends it before the test does.
+	t       *testing.T
+	stores  []*recordingStore
+	demand  []atomic.Int64
+	burst   []atomic.Int64 // scans to send at once
+	stop    chan struct{}
+	clients sync.WaitGroup
+	// stopAll stops the clients before the test ends.
 	stopAll func()
 }
 
-// let lets time pass.
-func (f *verdictFleet) let(span time.Duration) { <-time.After(span) }
+// sleep lets time pass.
+func (f *verdictFleet) sleep(span time.Duration) { <-time.After(span) }
 
 func startVerdicts(t *testing.T) *verdictFleet { return startSharing(t, 5, true, true) }
 
-// startSharing starts so many brokers, which see each other, and share notes and verdicts or do not.
+// startSharing starts brokers that see each other, and that share notes and verdicts or do not.
 func startSharing(t *testing.T, brokers int, notes, share bool) *verdictFleet {
-	f := &verdictFleet{t: t, demand: make([]atomic.Int64, brokers), owed: make([]atomic.Int64, brokers), stop: make(chan struct{})}
+	f := &verdictFleet{t: t, demand: make([]atomic.Int64, brokers), burst: make([]atomic.Int64, brokers), stop: make(chan struct{})}
 	tree := startTree(t)
 	var hosts []any
 	for i := range 6 {
-		s := startJudged(t, brokers)
+		s := startRecordingStore(t, brokers)
 		f.stores = append(f.stores, s)
 		hosts = append(hosts, map[string]any{"host": fmt.Sprint("s-", i), "dial": s.ln.Addr().String(), "site": "west", "class": "std", "block": i % 2, "health": "SERVING",
 			"share": 1, "born_ms": 0})
@@ -137,7 +138,7 @@
 	f.Fleet, err = rig.New(rig.Plan{Dir: t.TempDir(), Members: brokers, Program: []string{os.Args[0], "serve", "--log", "error"}, Env: []string{"GULLSTAIR_TEST_CHILD=1"},
 		Start: tree, Seed: 1, Features: func(m *rig.Member) (string, string) {
 			dir := ""
-			if m.N == 3 { // one of them remembers operators' orders
+			if m.N == 3 { // one of them stores operators' orders
 				dir = fmt.Sprintf("    dir = %q\n", m.Path("orders"))
 			}
 			sharing := fmt.Sprintf("  pace = 0.1\n  clock_drift = 0.02\n  notes = %v\n  key \"1\" {\n    secret = %q\n  }\n", notes, strings.Repeat("5e", 32))
@@ -150,7 +151,7 @@
 	client := &http.Client{Timeout: 4 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 32}}
 	f.stopAll = sync.OnceFunc(func() {
 		close(f.stop)
-		f.asking.Wait()
+		f.clients.Wait()
 		f.Close()
 		client.CloseIdleConnections()
 	})
@@ -160,10 +161,10 @@
 	}
 	require.NoError(t, f.LaunchAll())
 	for i := range f.Members {
-		f.asking.Go(func() { f.ask(client, i) })
+		f.clients.Go(func() { f.ask(client, i) })
 	}
 	for i := range f.Members {
-		f.until("members see each other", func() bool {
+		f.eventually("members see each other", func() bool {
 			s := f.state(i)
 			living := 0
 			for _, m := range s.Members {
@@ -177,41 +178,43 @@
 	return f
 }
 
-// used waits until each of some brokers has sent a store so many parts since a moment. Where all nodes idle the one with the best outcomes gets everything, whoever
-// may be used: so scans come many at once, and go to whatever store does not rest.
-func (f *verdictFleet) used(what string, store int, since time.Time, more int, who ...int) {
+// awaitParts waits until each of the given brokers has sent a store this many parts since a moment. While all nodes
+// are idle, the one with the best outcomes gets every part; so scans come in bursts, which spread over all stores that
+// are not resting.
+func (f *verdictFleet) awaitParts(what string, store int, since time.Time, more int, who ...int) {
 	f.t.Helper()
-	f.until(what, func() bool {
+	f.eventually(what, func() bool {
 		done := true
 		for _, i := range who {
 			if f.stores[store].since(since, i) <= more {
-				f.owed[i].Store(30)
+				f.burst[i].Store(30)
 				done = false
 			}
 		}
 		if !done {
-			f.let(100 * time.Millisecond)
+			f.sleep(100 * time.Millisecond)
 		}
 		return done
 	})
 }
 
-// held waits until a broker holds a store for something that some brokers see, who get scans many at once meanwhile. Where nodes
-// idle, a store that one broker saw failing, and told the others of, gets nothing more from anybody, and one observer makes no
-// verdict. (Symptom: "it fails" did not come in 30 s, parts to the store by broker 0 0 6 0 0, 78 verdicts "of too few observers".
-// The same at will: the store fails while n2 alone sends anything, then all send one scan at a time.)
-func (f *verdictFleet) held(what string, store int, kind string, by int, seers ...int) {
+// awaitVerdict waits until a broker holds a verdict on a store that the given brokers observe; these get scans in
+// bursts meanwhile. With idle nodes, a store that one broker saw failing and reported gets nothing more from any
+// broker, and one observer makes no verdict. (Seen: no verdict "fails" in 30 s, parts to the store by broker 0 0 6 0
+// 0, 78 verdicts "of too few observers". To reproduce: the store fails while only n2 sends anything, then all send one
+// scan at a time.)
+func (f *verdictFleet) awaitVerdict(what string, store int, kind string, by int, observers ...int) {
 	f.t.Helper()
-	f.until(what, func() bool {
-		for _, i := range seers {
-			f.owed[i].Store(30)
+	f.eventually(what, func() bool {
+		for _, i := range observers {
+			f.burst[i].Store(30)
 		}
-		f.let(100 * time.Millisecond)
+		f.sleep(100 * time.Millisecond)
 		return f.seen(by, store).Kind == kind
 	})
 }
 
-// ask asks one broker for both shards, at the pace that is set.
+// ask sends scans for both shards to one broker at the set rate.
 func (f *verdictFleet) ask(client *http.Client, i int) {
 	tick := time.NewTicker(5 * time.Millisecond)
 	defer tick.Stop()
@@ -220,13 +223,13 @@
 		case <-f.stop:
 			return
 		case now := <-tick.C:
-			owed = min(owed+now.Sub(last).Seconds()*float64(f.demand[i].Load()), 20) + float64(f.owed[i].Swap(0))
+			owed = min(owed+now.Sub(last).Seconds()*float64(f.demand[i].Load()), 20) + float64(f.burst[i].Swap(0))
 			last = now
 		}
 		for ; owed >= 1; owed-- {
 			n++
 			id := fmt.Sprint("q", i, "-", n)
-			f.asking.Go(func() {
+			f.clients.Go(func() {
 				req, _ := http.NewRequest("POST", "http://"+f.Members[i].Listen+"/board", strings.NewReader(`{"segments":[{"segment":0,"boost":0.5},{"segment":1,"boost":0.5}],"text":"t"}`))
 				req.Header.Set("X-Correlation-Id", id)
 				req.Header.Set("X-Time-Left-Ms", "2000")
@@ -239,7 +242,7 @@
 	}
 }
 
-func (f *verdictFleet) askAll(perSecond ...int64) {
+func (f *verdictFleet) setDemand(perSecond ...int64) {
 	for i, n := range perSecond {
 		f.demand[i].Store(n)
 	}
@@ -250,7 +253,7 @@
 	return s
 }
 
-// seen is what a broker holds of a store.
+// seen returns a broker's verdict on a store.
 func (f *verdictFleet) seen(i, store int) (v verdicts.Seen) {
 	for _, x := range f.state(i).Verdicts {
 		if x.Store == fmt.Sprint("s-", store) {
@@ -260,11 +263,11 @@
 	return v
 }
 
-func (f *verdictFleet) until(what string, holds func() bool) {
+func (f *verdictFleet) eventually(what string, holds func() bool) {
 	f.t.Helper()
 	begun := time.Now()
 	if err := rig.Until(30*time.Second, holds); err != nil {
-		// What the stores saw meanwhile and what the brokers make of it, or nobody could say why.
+		// On a timeout, logs what the stores saw and what the brokers concluded.
 		for i, s := range f.stores {
 			var by []int
 			for b := range f.Members {
@@ -286,30 +289,30 @@
 	command(f.t, f.Members[i], "verdict", "set", "--for", span, "--reason", "a test", fmt.Sprint("s-", store), do)
 }
 
-// Five processes over stores that write down what reaches them: whose word counts, how fast it goes and comes back, what operators order, and what becomes of it in splits, through
-// restarts and when processes stand still.
+// TestVerdictFaults runs five processes over stores that record the parts that reach them. It covers which observers
+// count, how fast verdicts come and end, operators' orders, partitions, restarts and paused processes.
 func TestVerdictFaults(t *testing.T) {
-	besideOthers(t)
+	runParallel(t)
 	f := startVerdicts(t)
 	s := f.stores
-	f.askAll(30, 30, 30, 30, 0)
+	f.setDemand(30, 30, 30, 30, 0)
 
-	// A store fails for all. A broker that has sent it nothing knows, and sends it nothing.
+	// A store fails for all. A broker that has sent it nothing learns it, and sends it nothing.
 	s[0].fails.Store(0x1f)
-	f.held("a broker that has sent it nothing holds it for failing", 0, "fails", 4, 0, 1, 2, 3)
+	f.awaitVerdict("a broker that has sent it nothing has the verdict fails", 0, "fails", 4, 0, 1, 2, 3)
 	from := time.Now()
-	f.askAll(30, 30, 30, 30, 30)
-	f.until("it has sent others parts", func() bool { return s[2].since(from, 4)+s[4].since(from, 4) > 40 })
-	assert.LessOrEqual(t, s[0].since(from, 4), 3+int(time.Since(from)/time.Second), "of its share of twenty; a trial each rest is its own")
+	f.setDemand(30, 30, 30, 30, 30)
+	f.eventually("it has sent parts to other stores", func() bool { return s[2].since(from, 4)+s[4].since(from, 4) > 40 })
+	assert.LessOrEqual(t, s[0].since(from, 4), 3+int(time.Since(from)/time.Second), "of its share of twenty; one trial after each rest is allowed")
 	why := command(t, f.Members[4], "verdict", "why", "s-0")
 	assert.Contains(t, why, "s-0 is held for fails: observers agree")
-	// Who has seen what is drawn by the choice of nodes; two at least have.
+	// The random choice of nodes decides who observed what; at least two brokers did.
 	assert.GreaterOrEqual(t, len(regexp.MustCompile(`(?m)^n[0-3] +0 +fails +[1-9]`).FindAllString(why, -1)), 2, why)
 
-	// It does well again: so it is for all, within seconds.
+	// The store recovers: all brokers use it again within seconds.
 	s[0].fails.Store(0)
 	from = time.Now()
-	f.until("it is well everywhere", func() bool {
+	f.eventually("it has recovered everywhere", func() bool {
 		for i := range f.Members {
 			if f.seen(i, 0).Kind == "fails" {
 				return false
@@ -317,80 +320,81 @@
 		}
 		return true
 	})
-	f.used("parts flow to it", 0, from, 3, 4)
-	t.Logf("well everywhere after %v", time.Since(from).Round(time.Millisecond))
+	f.awaitParts("all send it parts again", 0, from, 3, 4)
+	t.Logf("recovered everywhere after %v", time.Since(from).Round(time.Millisecond))
 
-	// One that takes parts and answers none is held for silent, also by who has sent it nothing.
-	f.askAll(30, 30, 30, 30, 0)
+	// A store that accepts parts and answers none gets the verdict silent, also at a broker that has sent it nothing.
+	f.setDemand(30, 30, 30, 30, 0)
 	s[5].mute.Store(true)
-	f.held("who has sent it nothing holds it for silent", 5, "silent", 4, 0, 1, 2, 3)
+	f.awaitVerdict("a broker that has sent it nothing has the verdict silent", 5, "silent", 4, 0, 1, 2, 3)
 	s[5].mute.Store(false)
-	f.until("it is well", func() bool { return f.seen(4, 5).Kind != "silent" && f.seen(0, 5).Kind != "silent" })
+	f.eventually("it has recovered", func() bool { return f.seen(4, 5).Kind != "silent" && f.seen(0, 5).Kind != "silent" })
 
-	// One that is slow is held for slow by who has sent it nothing too. It rests nowhere.
-	// How slow that is hangs on the others: what takes far longer than them is given up on and held for silent. So it
-	// becomes slower by steps until it is slow and not yet silent.
+	// A slow store gets the verdict slow, also at a broker that has sent it nothing, and rests nowhere. Slow is relative
+	// to the other stores, and a part that takes far longer is abandoned and counts as silent. So the delay grows in steps
+	// until the store is slow and not yet silent.
 	steps := []int64{5, 10, 20, 40, 70, 100}
 	from = time.Now()
-	f.until("who has sent it nothing holds it for slow", func() bool {
+	f.eventually("a broker that has sent it nothing has the verdict slow", func() bool {
 		step := min(int(time.Since(from)/(5*time.Second)), len(steps)-1)
 		s[3].slow.Store(steps[step])
 		for i := range 4 {
-			f.owed[i].Store(20)
+			f.burst[i].Store(20)
 		}
-		f.let(300 * time.Millisecond)
+		f.sleep(300 * time.Millisecond)
 		return f.seen(4, 3).Kind == "slow"
 	})
 	t.Logf("slow at %d ms", s[3].slow.Load())
 	s[3].slow.Store(0)
 	from = time.Now()
-	f.until("it is no more", func() bool { return f.seen(4, 3).Kind != "slow" })
-	f.askAll(30, 30, 30, 30, 30)
-	f.used("parts flow to it", 3, from, 3, 0, 1, 2, 3, 4)
+	f.eventually("it is no longer slow", func() bool { return f.seen(4, 3).Kind != "slow" })
+	f.setDemand(30, 30, 30, 30, 30)
+	f.awaitParts("all send it parts again", 3, from, 3, 0, 1, 2, 3, 4)
 
-	// One broker's trouble stays its own.
+	// Trouble of a single broker affects no other.
 	s[1].fails.Store(1 << 2)
-	f.until("it says so", func() bool { return len(f.seen(0, 1).Words) > 0 })
+	f.eventually("the observer reports it", func() bool { return len(f.seen(0, 1).Words) > 0 })
 	from = time.Now()
-	f.used("the others go on", 1, from, 10, 0, 4)
+	f.awaitParts("the others continue to send it parts", 1, from, 10, 0, 4)
 	for i := range f.Members {
 		assert.NotEqual(t, "fails", f.seen(i, 1).Kind)
 	}
 	s[1].fails.Store(0)
 
-	// Drained by an operator while one is cut off: nothing new from who can be reached once half a second has passed; of the other it is unknown, until it is back.
+	// An operator drains a store while one broker is cut off: reachable brokers send it nothing new after half a second;
+	// the state of the other is unknown until it is back.
 	f.Switch.Split([]int{0, 1, 2, 4}, []int{3})
 	f.order(1, 2, "drain", "60s")
 	<-time.After(500 * time.Millisecond)
 	from = time.Now()
-	f.used("the cut off one goes on", 2, from, 10, 3)
-	assert.Zero(t, s[2].since(from, 0, 1, 2, 4), "nothing new")
+	f.awaitParts("the broker that is cut off continues to send it parts", 2, from, 10, 3)
+	assert.Zero(t, s[2].since(from, 0, 1, 2, 4), "reachable brokers sent parts to a drained store")
 	v := f.seen(1, 2)
 	require.NotNil(t, v.Order)
 	assert.Equal(t, "drained", v.Kind)
-	assert.Positive(t, v.Not, "of who is cut off it is not known; it is never shown as done")
+	assert.Positive(t, v.Not, "the order is shown as known by the broker that is cut off")
 	f.Switch.Heal()
-	f.until("it hears of it", func() bool { return f.seen(3, 2).Kind == "drained" })
+	f.eventually("the broker receives the order", func() bool { return f.seen(3, 2).Kind == "drained" })
 	from = time.Now()
-	f.until("all know", func() bool { return f.seen(1, 2).Not == 0 })
+	f.eventually("all members are known to have the order", func() bool { return f.seen(1, 2).Not == 0 })
 
-	// All are restarted one after the other meanwhile: the others keep the order.
+	// All brokers restart one after the other meanwhile: the running ones keep the order.
 	for i, m := range f.Members {
 		m.Kill()
 		require.NoError(t, m.Launch())
-		f.until("it knows of the drain again", func() bool { return f.seen(i, 2).Kind == "drained" })
+		f.eventually("the restarted broker has the order again", func() bool { return f.seen(i, 2).Kind == "drained" })
 	}
 	from = time.Now()
-	f.used("parts flow", 0, from, 10, 0, 1, 2, 3, 4)
-	f.used("parts flow", 4, from, 10, 0, 1, 2, 3, 4)
+	f.awaitParts("all send parts to other stores", 0, from, 10, 0, 1, 2, 3, 4)
+	f.awaitParts("all send parts to other stores", 4, from, 10, 0, 1, 2, 3, 4)
 	assert.Zero(t, s[2].since(from))
 
-	// All at once: who keeps orders on a disk tells the others.
+	// All restart at once: the broker that stores orders on disk passes them on.
 	for _, m := range f.Members {
 		m.Kill()
 	}
 	require.NoError(t, f.LaunchAll())
-	f.until("all know of the drain again", func() bool {
+	f.eventually("all have the order again", func() bool {
 		for i := range f.Members {
 			if f.seen(i, 2).Kind != "drained" {
 				return false
@@ -399,15 +403,15 @@
 		return true
 	})
 
-	// Contrary orders on two sides of a split: one holds for all when it heals.
+	// Contradictory orders on both sides of a partition: one of them holds for all when it heals.
 	f.Switch.Split([]int{0, 1, 2}, []int{3, 4})
 	f.order(0, 2, "clear", "60s")
 	f.order(4, 2, "drain", "60s")
-	f.until("each side goes by its own", func() bool { return f.seen(2, 2).Kind == "well" && f.seen(3, 2).Kind == "drained" })
+	f.eventually("each side applies its own order", func() bool { return f.seen(2, 2).Kind == "well" && f.seen(3, 2).Kind == "drained" })
 	f.Switch.Heal()
 	f.Switch.All(func(l *rig.Link) { l.Duplicate, l.Jitter, l.Flip, l.Loss = 0.3, 20, 0.02, 0.1 })
 	f.Switch.Replay()
-	f.until("one holds for all", func() bool {
+	f.eventually("one order holds for all", func() bool {
 		for i := range f.Members {
 			if a, b := f.seen(0, 2).Order, f.seen(i, 2).Order; a == nil || b == nil || a.Version != b.Version || a.By != b.By {
 				return false
@@ -417,20 +421,20 @@
 	})
 	f.Switch.Heal()
 	f.order(2, 2, "clear", "1s")
-	f.until("it is over by itself", func() bool { return f.seen(0, 2).Order == nil && f.seen(4, 2).Order == nil })
+	f.eventually("the order ends by itself", func() bool { return f.seen(0, 2).Order == nil && f.seen(4, 2).Order == nil })
 
-	// One stands still while a store fails and does well again: what it wakes with is old, and moves nobody.
+	// A broker is paused while a store fails and recovers: what it reports when it resumes is outdated and has no effect.
 	s[4].fails.Store(0x1f)
-	f.held("it fails", 4, "fails", 0, 0, 1, 2, 3, 4)
+	f.awaitVerdict("it fails", 4, "fails", 0, 0, 1, 2, 3, 4)
 	f.Members[2].Signal(syscall.SIGSTOP)
 	s[4].fails.Store(0)
-	f.until("it is well", func() bool {
+	f.eventually("it has recovered", func() bool {
 		return f.seen(0, 4).Kind != "fails" && f.seen(1, 4).Kind != "fails" && f.seen(3, 4).Kind != "fails"
 	})
 	<-time.After(time.Second)
 	f.Members[2].Signal(syscall.SIGCONT)
 	from = time.Now()
-	f.used("all send it parts, who has woken too", 4, from, 5, 2, 0, 3)
+	f.awaitParts("all send it parts, the resumed broker too", 4, from, 5, 2, 0, 3)
 	for i := range f.Members {
 		assert.NotEqual(t, "fails", f.seen(i, 4).Kind)
 	}
