--- a/internal/membership/leaving.go
+++ b/internal/membership/leaving.go
@@ -4,8 +4,8 @@
 	"slices"
 )
 
-// rejoin tries an address where somebody should be and nobody living is: a seed, or one that was held for dead. After
-// a split nothing else would bring the sides together.
+// rejoin starts an exchange with an address that should have a live member and has none: a seed, or the address of a
+// dead member. After a network partition heals, nothing else would merge the two sides.
 func (c *Core) rejoin() {
 	at := map[string]bool{}
 	for _, k := range c.members {
@@ -29,29 +29,30 @@
 	}
 	tries := 1
 	if len(c.members) == 0 {
-		tries = 3 // nobody to hear from yet
+		tries = 3 // no member is known yet
 	}
-	c.rnd.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
+	c.rng.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
 	for _, a := range missing[:min(tries, len(missing))] {
 		c.Counts.Rejoined++
 		c.exchange(Exchange, a, "")
 	}
 }
 
-// forget releases those that have been gone for long.
-func (c *Core) forget() {
+// reapMembers removes members that have been dead or left for longer than Timing.Forget.
+func (c *Core) reapMembers() {
 	for name, k := range c.members {
-		if !k.Living() && c.now-k.since > c.t.Forget {
+		if !k.Living() && c.now-k.stateSince > c.timing.Forget {
 			delete(c.members, name)
-			delete(c.news, name)
+			delete(c.updates, name)
 			c.sorted = nil
 			c.version++
 		}
 	}
-	c.round = slices.DeleteFunc(c.round, func(name string) bool { return c.members[name] == nil })
-	c.next = min(c.next, len(c.round))
+	c.probeRound = slices.DeleteFunc(c.probeRound, func(name string) bool { return c.members[name] == nil })
+	c.probeNext = min(c.probeNext, len(c.probeRound))
 }
 
+// leave marks this member as Left and starts announcing it.
 func (c *Core) leave() {
 	if c.left {
 		return
@@ -59,18 +60,18 @@
 	c.left = true
 	c.version++
 	c.self.State, c.self.By = Left, c.self.Name
-	c.leaveAt, c.gossipAt = c.now+c.t.Linger, c.now
+	c.leaveAt, c.gossipAt = c.now+c.timing.Linger, c.now
 	c.probe, c.relays = nil, map[uint32]*relay{}
 }
 
-// linger tells the others of the end, until the time for it is over.
-func (c *Core) linger() {
+// announceLeave gossips that this member leaves, until Timing.Linger has passed.
+func (c *Core) announceLeave() {
 	if c.leaveAt == 0 {
 		return
 	}
 	if c.now >= c.gossipAt {
-		c.gossipAt = c.now + c.t.Gossip
-		for _, k := range c.pick(c.t.Fanout*2, func(k *known) bool { return k.Living() }) {
+		c.gossipAt = c.now + c.timing.Gossip
+		for _, k := range c.sample(c.timing.Fanout*2, func(k *memberEntry) bool { return k.Living() }) {
 			c.send(k.Addr, Message{Kind: Gossip, To: k.Name, News: []Member{c.self}})
 		}
 	}
@@ -79,5 +80,5 @@
 	}
 }
 
-// Gone says that this member has left and told so for long enough.
+// Gone reports whether this member has left and has announced it for Timing.Linger.
 func (c *Core) Gone() bool { return c.left && c.leaveAt == 0 }
--- a/internal/membership/main_test.go
+++ b/internal/membership/main_test.go
@@ -6,5 +6,5 @@
 	"gullstair/internal/drawn"
 )
 
-// Histories are drawn from one seed; -rapid.seed draws others.
+// TestMain runs the property tests with a fixed seed; -rapid.seed sets another.
 func TestMain(m *testing.M) { drawn.Main(m) }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,10 +1,12 @@
-// Package membership decides who of a set of brokers is alive, as this one sees it. It has no I/O, no clock and no
-// goroutine: messages and the time go in, messages and changes come out, and the same input gives the same output.
+// Package membership is a failure detector: it maintains one broker's view of which brokers are alive. It performs no
+// I/O, reads no clock and starts no goroutine. The caller passes in messages and the time, and gets back messages to
+// send and state changes. The same input always gives the same output.
 //
-// It follows SWIM (Das, Gupta, Motivala 2002): each probes one member at a time in a shuffled round, through others
-// where no answer comes, and news travels on the probes. From Lifeguard (Dadgar, Phillips, Currey 2018) come the
-// suspicion that shortens with every further accuser, the health that this broker ascribes to itself, the refusals
-// of relays, and that a suspect hears of it with the next probe. docs/duties.md says what was changed and why.
+// It follows SWIM (Das, Gupta, Motivala 2002): each member probes one other at a time in a shuffled round, probes
+// indirectly through others when no answer arrives, and piggybacks membership updates on the probes. From Lifeguard
+// (Dadgar, Phillips, Currey 2018) it takes the suspicion timeout that shortens with every further accuser, the local
+// health score, the negative acknowledgements of relays, and informing a suspect of the suspicion with the next
+// probe. docs/duties.md lists the differences and their reasons.
 package membership
 
 import (
@@ -14,122 +16,126 @@
 	"slices"
 )
 
-type known struct {
+// known is the local record of another member.
+type memberEntry struct {
 	Member
-	since    float64             // when its state changed
-	heard    float64             // when it was last heard itself
-	accusers map[string]struct{} // of a suspect
-	need     int                 // further accusers that make the suspicion as short as it gets
-	begun    float64             // of the suspicion
-	least    float64
-	most     float64
+	stateSince     float64             // when its state changed
+	heardAt        float64             // when its last message arrived
+	accusers       map[string]struct{} // members that suspect it
+	accusersNeeded int                 // further accusers that shorten the suspicion timeout to its minimum
+	suspectedAt    float64             // when the suspicion started
+	minTimeout     float64             // minimum suspicion timeout
+	maxTimeout     float64             // maximum suspicion timeout
 }
 
-// deadline is when a suspect is held for dead.
-func (k *known) deadline() float64 {
-	if k.need < 1 {
-		return k.begun + k.least
+// deadline returns the time at which a suspect is declared dead.
+func (k *memberEntry) deadline() float64 {
+	if k.accusersNeeded < 1 {
+		return k.suspectedAt + k.minTimeout
 	}
-	share := math.Log(float64(len(k.accusers))) / math.Log(float64(k.need)+1)
-	return k.begun + max(k.least, k.most-(k.most-k.least)*share)
+	share := math.Log(float64(len(k.accusers))) / math.Log(float64(k.accusersNeeded)+1)
+	return k.suspectedAt + max(k.minTimeout, k.maxTimeout-(k.maxTimeout-k.minTimeout)*share)
 }
 
+// probe is the probe in progress.
 type probe struct {
-	name        string
-	seq         uint32
-	begun       float64
-	replyBy     float64
-	endBy       float64
-	asked       int
-	nacks       int
-	relaysAsked bool
+	name            string
+	seq             uint32
+	startedAt       float64
+	replyBy         float64
+	endBy           float64
+	relaysRequested int
+	nacks           int
+	indirect        bool
 }
 
+// relay is an indirect probe made on behalf of another member.
 type relay struct {
-	addr   string // who asked
-	to     string
-	seq    uint32
-	target string
-	nackAt float64
-	nacked bool
-	endBy  float64
+	requesterAddr string // the requester's address
+	requester     string
+	requesterSeq  uint32
+	target        string
+	nackAt        float64
+	nacked        bool
+	endBy         float64
 }
 
-// Core is one member's view. Only one goroutine may call it.
+// Core is one member's view of the cluster. It is not safe for concurrent use.
 type Core struct {
 	Counts Counts
 
-	t       Timing
-	self    Member
-	rnd     *rand.Rand
-	cargo   Cargo
-	now     float64
-	out     []Output
-	members map[string]*known // without this one
-	round   []string          // probed in turn
-	next    int
-	seq     uint32
-	probe   *probe
-	relays  map[uint32]*relay
-	seeds   []string
-	news    queue
-	health  int      // 0: this member does well
-	sorted  []string // names of members, in order; nil: to be made anew
-	doubted map[string]*known
-	version int // of what is seen: it grows with each change
+	timing     Timing
+	self       Member
+	rng        *rand.Rand
+	cargo      Cargo
+	now        float64
+	out        []Output
+	members    map[string]*memberEntry // all but this member
+	probeRound []string                // probe order of the current round
+	probeNext  int
+	seq        uint32
+	probe      *probe
+	relays     map[uint32]*relay
+	seeds      []string
+	updates    updateQueue
+	health     int      // local health score; 0 is healthy
+	sorted     []string // cache of the sorted member names; nil when stale
+	suspects   map[string]*memberEntry
+	version    int // incremented with each change of the view
 
 	probeAt, gossipAt, exchangeAt, rejoinAt, forgetAt, leaveAt float64
-	begun, left                                                bool
+	started, left                                              bool
 }
 
-// New makes the view of a member that knows nobody. Its incarnation must be above those of its earlier processes,
-// such as the wall clock's; where it is not, the others' memory raises it. Cargo may be nil.
-func New(self Member, t Timing, seed uint64, cargo Cargo) *Core {
+// New returns the view of a member that knows no other. Its incarnation must exceed those of its earlier processes, so
+// callers take it from the wall clock; if it does not, updates from the other members raise it. Cargo may be nil.
+func New(self Member, timing Timing, seed uint64, cargo Cargo) *Core {
 	self.State, self.Weight = Alive, cmp.Or(max(self.Weight, 0), 1)
 	std := Standard()
-	for _, f := range [][2]*float64{{&t.Probe, &std.Probe}, {&t.Reply, &std.Reply}, {&t.Gossip, &std.Gossip},
-		{&t.Exchange, &std.Exchange}, {&t.Rejoin, &std.Rejoin}, {&t.Forget, &std.Forget}, {&t.Linger, &std.Linger},
-		{&t.Suspicion, &std.Suspicion}, {&t.Patience, &std.Patience}} {
+	for _, f := range [][2]*float64{{&timing.Probe, &std.Probe}, {&timing.Reply, &std.Reply}, {&timing.Gossip, &std.Gossip},
+		{&timing.Exchange, &std.Exchange}, {&timing.Rejoin, &std.Rejoin}, {&timing.Forget, &std.Forget}, {&timing.Linger, &std.Linger},
+		{&timing.Suspicion, &std.Suspicion}, {&timing.Patience, &std.Patience}} {
 		*f[0] = cmp.Or(*f[0], *f[1])
 	}
-	for _, f := range [][2]*int{{&t.Relays, &std.Relays}, {&t.Fanout, &std.Fanout}, {&t.Retell, &std.Retell},
-		{&t.Room, &std.Room}, {&t.Most, &std.Most}} {
+	for _, f := range [][2]*int{{&timing.Relays, &std.Relays}, {&timing.Fanout, &std.Fanout}, {&timing.Retell, &std.Retell},
+		{&timing.Room, &std.Room}, {&timing.Most, &std.Most}} {
 		*f[0] = cmp.Or(*f[0], *f[1])
 	}
-	return &Core{t: t, self: self, rnd: rand.New(rand.NewPCG(seed, self.Boot)), cargo: cargo,
-		members: map[string]*known{}, relays: map[uint32]*relay{}, news: queue{}, doubted: map[string]*known{}}
+	return &Core{timing: timing, self: self, rng: rand.New(rand.NewPCG(seed, self.Boot)), cargo: cargo,
+		members: map[string]*memberEntry{}, relays: map[uint32]*relay{}, updates: updateQueue{}, suspects: map[string]*memberEntry{}}
 }
 
-// Version grows with each change of what Members lists, but for the moments at which members were heard.
+// Version returns a counter that grows with each change of the result of Members, except changes of Seen.Heard.
 func (c *Core) Version() int { return c.version }
 
-// Self is this member as it tells others of itself.
+// Self returns this member as it announces itself.
 func (c *Core) Self() Member { return c.self }
 
-// Health is 0 when this member does well, and more the more it has reason to doubt itself; 8 at most.
+// Health returns the local health score: 0 is healthy, 8 is the worst.
 func (c *Core) Health() int { return c.health }
 
-// Seen is a member with what this one knows of it.
+// Seen is a member and the local times of its last changes.
 type Seen struct {
 	Member
-	Since float64 `json:"since"` // when its state changed, by this one's clock
-	Heard float64 `json:"heard"` // when it was last heard itself
+	Since float64 `json:"since"` // when its state changed, by the local clock
+	Heard float64 `json:"heard"` // when its last message arrived
 }
 
-// Members lists all that are known, this one among them, by name.
+// Members returns all known members including this one, sorted by name.
 func (c *Core) Members() []Seen {
 	all := []Seen{{Member: c.self, Heard: c.now}}
 	for _, k := range c.members {
-		all = append(all, Seen{Member: k.Member, Since: k.since, Heard: k.heard})
+		all = append(all, Seen{Member: k.Member, Since: k.stateSince, Heard: k.heardAt})
 	}
 	slices.SortFunc(all, func(a, b Seen) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
-// Held counts what is kept: members, news that waits, relays. It is bounded by Timing.Most and by what is said of each.
-func (c *Core) Held() int { return len(c.members) + len(c.news) + len(c.relays) }
+// Held returns the number of entries in memory: members, queued updates and relays. Timing.Most and the updates kept per
+// member bound it.
+func (c *Core) Held() int { return len(c.members) + len(c.updates) + len(c.relays) }
 
-// Living counts the members that are alive or suspect, this one among them.
+// Living returns the number of members that are alive or suspect, including this one.
 func (c *Core) Living() int {
 	n := 0
 	for _, k := range c.members {
@@ -143,9 +149,9 @@
 	return n
 }
 
-// Due is when Step is wanted next though nothing comes in.
+// Due returns the time at which Step must be called next if no input arrives.
 func (c *Core) Due() float64 {
-	if !c.begun {
+	if !c.started {
 		return math.Inf(-1)
 	}
 	if c.left {
@@ -155,17 +161,17 @@
 		return math.Inf(1)
 	}
 	at := min(c.exchangeAt, c.rejoinAt, c.forgetAt)
-	if len(c.news) > 0 || c.cargo != nil && c.cargo.Urgent() {
+	if len(c.updates) > 0 || c.cargo != nil && c.cargo.Urgent() {
 		at = min(at, c.gossipAt)
 	}
 	if p := c.probe; p == nil {
 		at = min(at, c.probeAt)
-	} else if p.relaysAsked {
+	} else if p.indirect {
 		at = min(at, p.endBy)
 	} else {
 		at = min(at, p.replyBy)
 	}
-	for _, k := range c.doubted {
+	for _, k := range c.suspects {
 		at = min(at, k.deadline())
 	}
 	for _, r := range c.relays {
@@ -178,12 +184,12 @@
 	return at
 }
 
-// Step takes what came in by now and does what is due.
+// Step processes the inputs received by now and the timers that have expired, and returns the outputs.
 func (c *Core) Step(now float64, in []Input) []Output {
 	c.out = nil
-	c.stall(now)
+	c.detectStall(now)
 	c.now = max(c.now, now)
-	if !c.begun {
+	if !c.started {
 		c.begin()
 	}
 	for _, x := range in {
@@ -204,30 +210,30 @@
 		}
 	}
 	if c.left {
-		c.linger()
+		c.announceLeave()
 		return c.out
 	}
-	c.turnRelays()
-	c.turnProbe()
-	c.turnSuspects()
+	c.advanceRelays()
+	c.advanceProbe()
+	c.expireSuspects()
 	if c.now >= c.exchangeAt {
-		c.exchangeAt = c.now + c.t.Exchange
-		if k := c.pick(1, func(k *known) bool { return k.Living() }); len(k) == 1 {
+		c.exchangeAt = c.now + c.timing.Exchange
+		if k := c.sample(1, func(k *memberEntry) bool { return k.Living() }); len(k) == 1 {
 			c.exchange(Exchange, k[0].Addr, k[0].Name)
 		}
 	}
 	if c.now >= c.rejoinAt {
-		c.rejoinAt = c.now + c.t.Rejoin
+		c.rejoinAt = c.now + c.timing.Rejoin
 		c.rejoin()
 	}
 	if c.now >= c.forgetAt {
-		c.forgetAt = c.now + c.t.Forget/4
-		c.forget()
+		c.forgetAt = c.now + c.timing.Forget/4
+		c.reapMembers()
 	}
 	if c.now >= c.gossipAt {
-		c.gossipAt = c.now + c.t.Gossip
-		if len(c.news) > 0 || c.cargo != nil && c.cargo.Urgent() {
-			for _, k := range c.pick(c.t.Fanout, func(k *known) bool { return k.Living() }) {
+		c.gossipAt = c.now + c.timing.Gossip
+		if len(c.updates) > 0 || c.cargo != nil && c.cargo.Urgent() {
+			for _, k := range c.sample(c.timing.Fanout, func(k *memberEntry) bool { return k.Living() }) {
 				c.send(k.Addr, Message{Kind: Gossip, To: k.Name})
 			}
 		}
@@ -235,56 +241,56 @@
 	return c.out
 }
 
-// begin spreads the first moments, so that members that start together don't act together.
+// begin randomizes the first timers, so that members that start together do not act in step.
 func (c *Core) begin() {
-	c.begun = true
-	c.probeAt = c.now + c.rnd.Float64()*c.t.Probe
-	c.gossipAt = c.now + c.rnd.Float64()*c.t.Gossip
-	c.exchangeAt = c.now + (0.5+c.rnd.Float64())*c.t.Exchange
+	c.started = true
+	c.probeAt = c.now + c.rng.Float64()*c.timing.Probe
+	c.gossipAt = c.now + c.rng.Float64()*c.timing.Gossip
+	c.exchangeAt = c.now + (0.5+c.rng.Float64())*c.timing.Exchange
 	c.rejoinAt = c.now
-	c.forgetAt = c.now + c.t.Forget/4
+	c.forgetAt = c.now + c.timing.Forget/4
 }
 
-// stall notices that this member stood still: it was due long ago and nothing happened here. What it waited for may
-// have come and gone, and what others did meanwhile it could not see. So nobody is blamed for that time: whatever
-// runs against others is put off by it.
-func (c *Core) stall(now float64) {
-	if !c.begun || c.left {
+// detectStall detects that this process was paused: a timer expired long ago and Step was not called. Answers may have
+// arrived unread in that time, so it must not count against the other members: detectStall extends the deadlines of
+// the current probe and of all suspicions by the length of the pause.
+func (c *Core) detectStall(now float64) {
+	if !c.started || c.left {
 		return
 	}
 	late := now - max(c.Due(), c.now)
-	if late <= c.t.Reply {
+	if late <= c.timing.Reply {
 		return
 	}
 	c.Counts.Stalls++
-	c.worse(1)
+	c.adjustHealth(1)
 	if p := c.probe; p != nil {
 		p.replyBy, p.endBy = p.replyBy+late, p.endBy+late
 	}
-	for _, k := range c.doubted {
-		k.begun += late
+	for _, k := range c.suspects {
+		k.suspectedAt += late
 	}
 }
 
-// receive takes one message.
+// receive processes one message.
 func (c *Core) receive(r Received) {
 	m := r.Message
 	if m.From == c.self.Name || m.To != "" && m.To != c.self.Name {
 		if m.From == c.self.Name {
 			c.Counts.Conflicts++
 		}
-		return // an old address of somebody else, or somebody under this member's name
+		return // sent to a former user of this address, or by another process with this member's name
 	}
 	if k := c.members[m.From]; k != nil {
-		k.heard = c.now
+		k.heardAt = c.now
 	}
 	fromExchange := m.Kind == Exchange || m.Kind == ExchangeReply
 	for _, u := range m.News {
 		if k := c.members[u.Name]; fromExchange && u.State == Dead && k != nil && k.Living() {
-			// What one side of a split knew: it may be long past. Whoever is meant gets a chance to say so.
+			// This may be outdated state from one side of a partition. The member gets the chance to refute it.
 			u.State, u.By = Suspect, m.From
 		}
-		c.learn(u)
+		c.merge(u)
 	}
 	if c.left {
 		return
@@ -298,28 +304,29 @@
 	case Ack:
 		c.acked(m)
 	case Nack:
-		if p := c.probe; p != nil && p.seq == m.Seq && p.nacks < p.asked {
+		if p := c.probe; p != nil && p.seq == m.Seq && p.nacks < p.relaysRequested {
 			p.nacks++
 		}
 	case Relay:
-		if len(c.relays) >= relaysMost {
+		if len(c.relays) >= maxRelays {
 			c.Counts.Dropped++
 			return
 		}
 		c.seq++
 		c.Counts.Relayed++
-		c.relays[c.seq] = &relay{addr: r.Addr, to: m.From, seq: m.Seq, target: m.Target.Name,
-			nackAt: c.now + nackAfter*c.t.Reply, endBy: c.now + c.t.Probe}
+		c.relays[c.seq] = &relay{requesterAddr: r.Addr, requester: m.From, requesterSeq: m.Seq, target: m.Target.Name,
+			nackAt: c.now + nackTimeoutRatio*c.timing.Reply, endBy: c.now + c.timing.Probe}
 		c.send(m.Target.Addr, Message{Kind: Ping, Seq: c.seq, To: m.Target.Name})
 	case Exchange:
 		c.exchange(ExchangeReply, r.Addr, m.From)
 	}
 }
 
+// acked completes the relay or the probe that an Ack answers.
 func (c *Core) acked(m Message) {
 	if r := c.relays[m.Seq]; r != nil && r.target == m.From {
 		delete(c.relays, m.Seq)
-		c.send(r.addr, Message{Kind: Ack, Seq: r.seq, To: r.to, Target: Member{Name: r.target}})
+		c.send(r.requesterAddr, Message{Kind: Ack, Seq: r.requesterSeq, To: r.requester, Target: Member{Name: r.target}})
 		return
 	}
 	p := c.probe
@@ -327,11 +334,11 @@
 		return
 	}
 	if k := c.members[p.name]; k != nil {
-		k.heard = c.now
+		k.heardAt = c.now
 	}
 	c.probe = nil
-	c.worse(-1)
+	c.adjustHealth(-1)
 }
 
-// worse changes what this member thinks of its own health; its waits grow with it.
-func (c *Core) worse(by int) { c.health = min(max(c.health+by, 0), healthMost) }
+// adjustHealth changes the local health score; probe timeouts scale with it.
+func (c *Core) adjustHealth(by int) { c.health = min(max(c.health+by, 0), maxHealth) }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -10,11 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-func one(name string) *Core {
+// newCore returns a core that knows no other member.
+func newCore(name string) *Core {
 	return New(Member{Name: name, Addr: name + ":1", Boot: 1, Incarnation: 10}, Timing{}, 1, nil)
 }
 
-func say(c *Core, now float64, m Message) (sent []Message) {
+// deliver passes one message to the core and returns the messages that it sends.
+func deliver(c *Core, now float64, m Message) (sent []Message) {
 	for _, o := range c.Step(now, []Input{Received{Addr: m.From + ":1", Message: m}}) {
 		if s, is := o.(Send); is {
 			sent = append(sent, s.Message)
@@ -23,8 +25,9 @@
 	return sent
 }
 
-func news(c *Core, now float64, list ...Member) {
-	say(c, now, Message{Kind: Gossip, From: "x", News: list})
+// deliverNews passes updates to the core in a gossip message.
+func deliverNews(c *Core, now float64, list ...Member) {
+	deliver(c, now, Message{Kind: Gossip, From: "x", News: list})
 }
 
 func member(name string, inc uint64, s State) Member {
@@ -41,7 +44,7 @@
 	return 0
 }
 
-// What is told of a member in whatever order ends alike: the highest incarnation holds, in it the gravest state.
+// Updates of a member merge to the same result in any order: the highest incarnation wins, then the highest state.
 func TestNewsMergesAlikeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := []Member{member("m", 0, Alive)}
@@ -51,10 +54,10 @@
 			list = append(list, m)
 		}
 		result := func(order []int) string {
-			c := one("a")
-			news(c, 1000, list[0])
+			c := newCore("a")
+			deliverNews(c, 1000, list[0])
 			for _, i := range order {
-				news(c, 1000, list[1+i])
+				deliverNews(c, 1000, list[1+i])
 			}
 			m := c.Members()[1]
 			return fmt.Sprint(m.Incarnation, m.State)
@@ -78,37 +81,38 @@
 	}{
 		{"a suspicion", member("a", 10, Suspect), 11},
 		{"its own death", member("a", 12, Dead), 13},
-		{"what is old", member("a", 9, Dead), 10},
-		{"what it says itself", member("a", 10, Alive), 10},
-		{"an earlier process's memory", Member{Name: "a", Addr: "old:1", Boot: 9, Incarnation: 20}, 21},
+		{"an outdated incarnation", member("a", 9, Dead), 10},
+		{"its own state", member("a", 10, Alive), 10},
+		{"an update of an earlier process", Member{Name: "a", Addr: "old:1", Boot: 9, Incarnation: 20}, 21},
 	} {
-		k := one("a")
+		k := newCore("a")
 		k.Step(1000, nil)
-		news(k, 1000, c.said)
+		deliverNews(k, 1000, c.said)
 		assert.Equal(t, c.inc, k.Self().Incarnation, c.name)
 		assert.Equal(t, Alive, k.Self().State, c.name)
 	}
 }
 
-// A suspicion becomes a death late with one accuser (and this member itself), sooner with more; the suspect's own word ends it.
+// A suspect is declared dead after the maximum timeout with one accuser (and this member itself), sooner with more. Its
+// own refutation ends the suspicion.
 func TestSuspicion(t *testing.T) {
 	std := Standard()
 	longest := std.Suspicion * std.Probe * std.Patience
 	for _, c := range []struct {
 		accusers int
-		dead     float64 // at the latest
-		alive    float64 // at the earliest
+		dead     float64 // must be dead by then
+		alive    float64 // must still be suspect then
 	}{{1, longest + 50, 0.6 * longest}, {4, std.Suspicion*std.Probe + 50, std.Suspicion*std.Probe - 50}} {
-		k := one("a")
+		k := newCore("a")
 		var all []Member
 		for i := range 6 {
 			all = append(all, member(fmt.Sprint("m", i), 5, Alive))
 		}
-		news(k, 1000, all...)
+		deliverNews(k, 1000, all...)
 		for i := range c.accusers {
 			m := member("m0", 5, Suspect)
 			m.By = fmt.Sprint("m", i+1)
-			news(k, 1000, m)
+			deliverNews(k, 1000, m)
 		}
 		assert.Equal(t, Suspect, stateOf(t, k, "m0"))
 		now := 1000.0
@@ -121,53 +125,53 @@
 		assert.Equal(t, Suspect, stateOf(t, k, "m0"), "%d accusers", c.accusers)
 		step(c.dead)
 		assert.Equal(t, Dead, stateOf(t, k, "m0"), "%d accusers", c.accusers)
-		news(k, now, member("m0", 6, Alive))
-		assert.Equal(t, Alive, stateOf(t, k, "m0"), "its own word")
+		deliverNews(k, now, member("m0", 6, Alive))
+		assert.Equal(t, Alive, stateOf(t, k, "m0"), "refuted by the member itself")
 	}
 }
 
 func TestBadNews(t *testing.T) {
-	k := one("a")
+	k := newCore("a")
 	bad := []Member{{}, {Name: "m", State: 9}, {Name: "m", Weight: -1}, {Name: "m", Weight: 1e9}}
-	news(k, 1000, bad...)
+	deliverNews(k, 1000, bad...)
 	assert.Len(t, k.Members(), 1)
 	assert.Equal(t, len(bad), k.Counts.Dropped)
-	news(k, 1000, member("gone", 5, Dead), member("left", 5, Left))
-	assert.Len(t, k.Members(), 1, "one that is not known needs no grave")
+	deliverNews(k, 1000, member("gone", 5, Dead), member("left", 5, Left))
+	assert.Len(t, k.Members(), 1, "no tombstones for unknown members")
 	var many []Member
 	for i := range 3000 {
 		many = append(many, member(fmt.Sprint("m", i), 5, Alive))
 	}
-	news(k, 1000, many...)
+	deliverNews(k, 1000, many...)
 	assert.Len(t, k.Members(), 1024, "bounded")
-	assert.Empty(t, say(k, 1001, Message{Kind: Ping, From: "a"}), "somebody under this name")
-	assert.Empty(t, say(k, 1001, Message{Kind: Ping, From: "b", To: "c"}), "meant for somebody else")
+	assert.Empty(t, deliver(k, 1001, Message{Kind: Ping, From: "a"}), "another process with this name")
+	assert.Empty(t, deliver(k, 1001, Message{Kind: Ping, From: "b", To: "c"}), "addressed to another member")
 	for i := range 1000 {
-		say(k, 1001, Message{Kind: Relay, From: "m1", Seq: uint32(i), Target: member("m2", 5, Alive)})
+		deliver(k, 1001, Message{Kind: Relay, From: "m1", Seq: uint32(i), Target: member("m2", 5, Alive)})
 	}
-	assert.LessOrEqual(t, len(k.relays), relaysMost)
+	assert.LessOrEqual(t, len(k.relays), maxRelays)
 	k.Step(5000, nil)
 	assert.Empty(t, k.relays, "released")
-	few := one("a")
-	news(few, 1000, many[:20]...)
+	few := newCore("a")
+	deliverNews(few, 1000, many[:20]...)
 	for now := 1000.0; now < 1e6; now = max(now+1, few.Due()) {
 		few.Step(now, nil)
 	}
-	assert.Equal(t, 0, few.Held(), "the dead are forgotten")
+	assert.Equal(t, 0, few.Held(), "dead members are removed")
 }
 
-// A relay passes the answer on, or says that it is there itself.
+// A relay forwards the Ack, or sends a Nack when the target does not answer.
 func TestRelay(t *testing.T) {
-	k := one("a")
-	news(k, 1000, member("b", 5, Alive), member("c", 5, Alive))
-	sent := say(k, 1000, Message{Kind: Relay, From: "b", Seq: 7, Target: member("c", 5, Alive)})
+	k := newCore("a")
+	deliverNews(k, 1000, member("b", 5, Alive), member("c", 5, Alive))
+	sent := deliver(k, 1000, Message{Kind: Relay, From: "b", Seq: 7, Target: member("c", 5, Alive)})
 	require.NotEmpty(t, sent)
 	ping := sent[0]
 	assert.Equal(t, [2]any{Ping, "c"}, [2]any{ping.Kind, ping.To})
-	sent = say(k, 1010, Message{Kind: Ack, From: "c", Seq: ping.Seq})
+	sent = deliver(k, 1010, Message{Kind: Ack, From: "c", Seq: ping.Seq})
 	require.NotEmpty(t, sent)
 	assert.Equal(t, [3]any{Ack, "b", uint32(7)}, [3]any{sent[0].Kind, sent[0].To, sent[0].Seq})
-	say(k, 1020, Message{Kind: Relay, From: "b", Seq: 8, Target: member("c", 5, Alive)})
+	deliver(k, 1020, Message{Kind: Relay, From: "b", Seq: 8, Target: member("c", 5, Alive)})
 	var nack bool
 	for _, o := range k.Step(1500, nil) {
 		if s, is := o.(Send); is && s.Message.Kind == Nack {
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -1,39 +1,40 @@
 package membership
 
-// State is how a member stands. At one incarnation the later one holds, so that news merges alike in any order.
+// State is the state of a member. Within one incarnation the higher state wins, so the result of merging updates does
+// not depend on their order.
 type State uint8
 
 const (
 	Alive   State = iota
-	Suspect       // it has not answered; it may refute that
-	Dead          // it has not answered and not refuted that in time
-	Left          // it said that it ends
+	Suspect       // a probe failed; the member may refute the suspicion
+	Dead          // the suspicion expired without a refutation
+	Left          // it announced its shutdown
 )
 
 func (s State) String() string {
-	if int(s) < len(stateWords) {
-		return stateWords[s]
+	if int(s) < len(stateNames) {
+		return stateNames[s]
 	}
 	return "unknown"
 }
 
-var stateWords = [...]string{"alive", "suspect", "dead", "left"}
+var stateNames = [...]string{"alive", "suspect", "dead", "left"}
 
-// Member is what is told of a member.
+// Member is a member as it appears in messages.
 type Member struct {
 	Name        string  `json:"name"`
-	Addr        string  `json:"addr"`        // where its messages are received
-	Boot        uint64  `json:"boot"`        // its process: another number at each start
-	Incarnation uint64  `json:"incarnation"` // raised by the member itself, to refute what is said of it
+	Addr        string  `json:"addr"`        // address at which it receives messages
+	Boot        uint64  `json:"boot"`        // number of its process; differs at each start
+	Incarnation uint64  `json:"incarnation"` // raised by the member itself to refute a suspicion
 	State       State   `json:"state"`       //
-	Weight      float64 `json:"weight"`      // its share of what is divided, against others'
-	By          string  `json:"by"`          // who suspects it, or holds it for dead
+	Weight      float64 `json:"weight"`      // its relative share of divided work
+	By          string  `json:"by"`          // member that suspects it or declared it dead
 }
 
-// Living says whether work may be given to it: a suspect still counts.
+// Living reports whether the member may get work; a suspect still may.
 func (m Member) Living() bool { return m.State <= Suspect }
 
-// supersedes says whether a is later news than b of the same member.
+// supersedes reports whether update a overrides update b of the same member.
 func supersedes(a, b Member) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -44,65 +45,65 @@
 	return a.State > b.State
 }
 
-// Kind is a message's.
+// Kind is the type of a message.
 type Kind uint8
 
 const (
-	Ping          Kind = iota + 1 // answer me
-	Ack                           // the answer
-	Relay                         // ping Target for me
-	Nack                          // a relay had no answer from the target, but is there itself
-	Gossip                        // news alone
-	Exchange                      // a page of all that the sender knows; answered alike
-	ExchangeReply                 // that answer, and every further page of either
+	Ping          Kind = iota + 1 // direct probe; the receiver answers with Ack
+	Ack                           // answer to a Ping
+	Relay                         // request to ping Target on behalf of the sender
+	Nack                          // the relay is reachable but has no answer from the target
+	Gossip                        // updates only
+	Exchange                      // first page of the sender's full state; the receiver answers with its own
+	ExchangeReply                 // the answer, and every further page in both directions
 )
 
-// Message goes from one member to another. The carrier vouches for From.
+// Message is sent from one member to another. The transport authenticates From.
 type Message struct {
 	Kind   Kind
 	Seq    uint32
 	From   string
-	To     string // whom it is meant for; "" where only the address is known
-	Target Member // of a Relay
+	To     string // name of the receiver; "" if only the address is known
+	Target Member // member to probe, in a Relay
 	News   []Member
-	Cargo  []byte // what the layers above send along
+	Cargo  []byte // data of the layers above, piggybacked
 }
 
-// Cargo is what the layers above have to send along with messages.
+// Cargo supplies and receives data of the layers above that is piggybacked on messages.
 type Cargo interface {
-	// Load returns at most room bytes for a message to a member; nil when there is nothing.
+	// Load returns at most room bytes for a message to a member, or nil if there is nothing to send.
 	Load(to string, room int) []byte
-	// Urgent says whether messages should be sent for its sake alone.
+	// Urgent reports whether to send messages even if there are no membership updates.
 	Urgent() bool
-	// Unload takes what came from a member.
+	// Unload processes data received from a member.
 	Unload(from string, data []byte)
 }
 
-// Timing holds the times in ms and the bounds. Standard gives all of them; a field at 0 is taken from there.
+// Timing holds the intervals and timeouts, in ms, and the limits. A field that is 0 takes its value from Standard.
 type Timing struct {
-	Probe     float64 // one member is probed each so long
-	Reply     float64 // a direct answer is awaited for so long, before others are asked to try
-	Gossip    float64 // news that waits is sent each so long
-	Exchange  float64 // everything is exchanged with one member each so long
-	Rejoin    float64 // addresses that should be members' and are not are tried each so long
-	Forget    float64 // the dead and those that left are remembered for so long
-	Linger    float64 // one that leaves says so for so long
-	Relays    int     // members asked to try when no direct answer comes
-	Fanout    int     // members that get waiting news each time
-	Retell    int     // times the decimal logarithm of the members: how often a piece of news is sent
-	Suspicion float64 // times that logarithm and Probe: the least time of a suspicion
-	Patience  float64 // times that: the longest, when nobody else suspects
-	Room      int     // bytes of a message, as Size counts them
-	Most      int     // members that are known at most
+	Probe     float64 // interval between probes
+	Reply     float64 // timeout of a direct probe, after which relays are requested
+	Gossip    float64 // interval between gossip messages while updates are queued
+	Exchange  float64 // interval between full state exchanges
+	Rejoin    float64 // interval between attempts to rejoin addresses without a live member
+	Forget    float64 // how long dead members and those that left are kept
+	Linger    float64 // how long a leaving member announces it
+	Relays    int     // members that probe indirectly when a direct probe fails
+	Fanout    int     // members that receive queued updates per gossip interval
+	Retell    int     // times log10 of the member count: transmissions of each update
+	Suspicion float64 // times that logarithm and Probe: minimum suspicion timeout
+	Patience  float64 // times that minimum: maximum suspicion timeout, with a single accuser
+	Room      int     // maximum message size in bytes, as Size counts it
+	Most      int     // maximum number of known members
 }
 
-// Standard is for a local network: a death is seen by all within some seconds.
+// Standard returns the timing for a local network: all members detect a failure within seconds.
 func Standard() Timing {
 	return Timing{Probe: 1000, Reply: 300, Gossip: 200, Exchange: 15000, Rejoin: 3000, Forget: 120000, Linger: 600,
 		Relays: 3, Fanout: 3, Retell: 4, Suspicion: 3, Patience: 4, Room: 1200, Most: 1024}
 }
 
-// Scaled is Standard with all times multiplied.
+// Scaled returns t with all intervals and timeouts multiplied by a factor.
 func (t Timing) Scaled(by float64) Timing {
 	for _, at := range []*float64{&t.Probe, &t.Reply, &t.Gossip, &t.Exchange, &t.Rejoin, &t.Forget, &t.Linger} {
 		*at *= by
@@ -113,16 +114,16 @@
 // Input is a Received, Join or Leave.
 type Input any
 
-// Received is a message that came in, with the address it came from.
+// Received is a received message and the address of its sender.
 type Received struct {
 	Addr    string
 	Message Message
 }
 
-// Join names addresses where members should be found. They are tried for as long as nobody living is there.
+// Join sets the seed addresses. An address is retried as long as no live member has it.
 type Join struct{ Addrs []string }
 
-// Leave begins the end of this member: the others are told for Linger.
+// Leave starts the shutdown of this member, which it announces to the others for Timing.Linger.
 type Leave struct{}
 
 // Output is a Send or a Changed.
@@ -134,37 +135,37 @@
 	Message Message
 }
 
-// Changed says that a member is seen differently: Was is its state before, Known whether it was known.
+// Changed reports a state change of a member. Was is its previous state, Known whether it was known before.
 type Changed struct {
 	Member Member
 	Was    State
 	Known  bool
 }
 
-// Counts are kept for the operators.
+// Counts are the failure detector's metrics.
 type Counts struct {
-	// probes begun, without any answer, made for others
+	// Probes started, probes without any answer, and probes relayed for others.
 	Probes  int `json:"probes"`
 	Failed  int `json:"failed"`
 	Relayed int `json:"relayed"`
-	// suspicions begun here, refutations of this member's own
+	// Suspicions started here, and suspicions of this member that it refuted.
 	Suspected int `json:"suspected"`
 	Refuted   int `json:"refuted"`
-	Conflicts int `json:"conflicts"` // words of another process under this member's name
-	Stalls    int `json:"stalls"`    // times this member stood still for longer than a probe may take
-	Dropped   int `json:"dropped"`   // news of more members than may be known, or that is impossible
+	Conflicts int `json:"conflicts"` // messages or updates of another process with this member's name
+	Stalls    int `json:"stalls"`    // pauses of this process longer than the probe timeout
+	Dropped   int `json:"dropped"`   // invalid updates, and updates and relays over the limit
 	Sent      int `json:"sent"`
 	Received  int `json:"received"`
 	Rejoined  int `json:"rejoined"`
 }
 
 const (
-	healthMost  = 8   // of the score that says how poorly this member does itself
-	relaysMost  = 256 // relays open at once
-	nackAfter   = 0.8 // of the time that a direct answer has
-	memberBytes = 40  // of a member in a message, beside its strings
-	headBytes   = 80  // of a message, beside its strings
+	maxHealth        = 8   // worst local health score
+	maxRelays        = 256 // concurrent relays
+	nackTimeoutRatio = 0.8 // fraction of the direct probe's timeout
+	memberBytes      = 40  // encoded size of a member without its strings
+	headerBytes      = 80  // encoded size of a message header without its strings
 )
 
-// Size is an upper bound of what a member takes in a message, in bytes.
+// Size returns an upper bound of the encoded size of a member in a message, in bytes.
 func Size(m Member) int { return memberBytes + len(m.Name) + len(m.Addr) + len(m.By) }
--- a/internal/membership/queue.go
+++ b/internal/membership/queue.go
@@ -5,31 +5,34 @@
 	"slices"
 )
 
-// queue holds the news that is still to be told, one piece for each member and accuser, the newest.
-type queue map[string]*piece
+// queue holds the updates to transmit: the latest one per member and accuser.
+type updateQueue map[string]*queuedUpdate
 
-type piece struct {
-	news Member
-	at   float64
-	told int
+// piece is a queued update and the number of its transmissions.
+type queuedUpdate struct {
+	member        Member
+	queuedAt      float64
+	transmissions int
 }
 
-func (q queue) put(m Member, now float64) {
+// put queues an update. An update that is not a suspicion replaces all others of the member.
+func (q updateQueue) put(m Member, now float64) {
 	key := m.Name
-	if old := q[key]; old != nil && old.news.State == Suspect && m.State == Suspect && old.news.By != m.By {
-		key = m.Name + "\x00" + m.By // another accuser of the same suspect
+	if old := q[key]; old != nil && old.member.State == Suspect && m.State == Suspect && old.member.By != m.By {
+		key = m.Name + "\x00" + m.By // a further accuser of the same suspect
 	} else if m.State != Suspect {
 		for k, p := range q {
-			if p.news.Name == m.Name {
+			if p.member.Name == m.Name {
 				delete(q, k)
 			}
 		}
 	}
-	q[key] = &piece{news: m, at: now}
+	q[key] = &queuedUpdate{member: m, queuedAt: now}
 }
 
-// take fills a message: what has been told least goes first, of that the newest. What was told often enough is done.
-func (q queue) take(news []Member, room, times int) ([]Member, int) {
+// take appends updates that fit into room bytes: the least transmitted first, then the newest. It removes an update
+// after the given number of transmissions.
+func (q updateQueue) take(news []Member, room, times int) ([]Member, int) {
 	if len(q) == 0 {
 		return news, room
 	}
@@ -39,13 +42,13 @@
 	}
 	slices.SortFunc(keys, func(a, b string) int {
 		x, y := q[a], q[b]
-		return cmp.Or(cmp.Compare(x.told, y.told), cmp.Compare(y.at, x.at), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(x.transmissions, y.transmissions), cmp.Compare(y.queuedAt, x.queuedAt), cmp.Compare(a, b))
 	})
 	for _, k := range keys {
 		p := q[k]
-		if size := Size(p.news); size <= room {
-			news, room = append(news, p.news), room-size
-			if p.told++; p.told >= times {
+		if size := Size(p.member); size <= room {
+			news, room = append(news, p.member), room-size
+			if p.transmissions++; p.transmissions >= times {
 				delete(q, k)
 			}
 		} else if room < memberBytes {
--- a/internal/membership/spreading.go
+++ b/internal/membership/spreading.go
@@ -5,43 +5,43 @@
 	"slices"
 )
 
-// learn merges one piece of news. Whatever is new is told on.
-func (c *Core) learn(u Member) {
+// merge applies one update to the view and queues it for transmission if it is new.
+func (c *Core) merge(u Member) {
 	if u.Name == "" || u.State > Left || math.IsNaN(u.Weight) || u.Weight < 0 || u.Weight > 1e6 {
 		c.Counts.Dropped++
 		return
 	}
 	if u.Name == c.self.Name {
-		c.learnSelf(u)
+		c.mergeSelf(u)
 		return
 	}
 	k := c.members[u.Name]
 	if k == nil {
 		if u.State >= Dead {
-			return // one that is not known needs no grave
+			return // no tombstone for an unknown member
 		}
-		if len(c.members)+1 >= c.t.Most {
+		if len(c.members)+1 >= c.timing.Most {
 			c.Counts.Dropped++
 			return
 		}
-		k = &known{Member: u, since: c.now, heard: c.now}
+		k = &memberEntry{Member: u, stateSince: c.now, heardAt: c.now}
 		k.State, k.By = Alive, ""
 		c.members[u.Name], c.sorted = k, nil
 		c.version++
-		// Into the present round at a place drawn by chance: it waits no longer for its first probe than others.
-		at := c.next + c.rnd.IntN(len(c.round)-c.next+1)
-		c.round = slices.Insert(c.round, at, u.Name)
-		c.changed(k, Alive, false)
-		c.tell(k)
+		// Insert it at a random position of the current round, so its first probe comes no later than the others'.
+		at := c.probeNext + c.rng.IntN(len(c.probeRound)-c.probeNext+1)
+		c.probeRound = slices.Insert(c.probeRound, at, u.Name)
+		c.emitChange(k, Alive, false)
+		c.broadcast(k)
 		if u.State == Alive {
 			return
 		}
 	}
 	if !supersedes(u, k.Member) {
 		if u.State == Suspect && k.State == Suspect && u.Incarnation == k.Incarnation && u.By != "" {
-			if _, twice := k.accusers[u.By]; !twice && len(k.accusers) <= k.need {
+			if _, twice := k.accusers[u.By]; !twice && len(k.accusers) <= k.accusersNeeded {
 				k.accusers[u.By] = struct{}{}
-				c.news.put(u, c.now) // told on under the accuser's name, since it counts there too
+				c.updates.put(u, c.now) // transmitted per accuser, because each accuser counts at the receivers too
 			}
 		}
 		return
@@ -49,21 +49,21 @@
 	was := k.State
 	k.Member = u
 	c.version++
-	delete(c.doubted, u.Name)
+	delete(c.suspects, u.Name)
 	if k.State == Alive {
 		k.By = ""
 	}
 	if was != u.State {
-		k.since = c.now
+		k.stateSince = c.now
 	}
 	if u.State == Suspect {
 		n := c.Living()
 		scale := max(1, math.Log10(float64(max(n, 1))))
-		k.begun, k.least = c.now, c.t.Suspicion*scale*c.t.Probe
-		k.most = k.least * c.t.Patience
-		k.need = min(max(n-2, 0), 3)
+		k.suspectedAt, k.minTimeout = c.now, c.timing.Suspicion*scale*c.timing.Probe
+		k.maxTimeout = k.minTimeout * c.timing.Patience
+		k.accusersNeeded = min(max(n-2, 0), 3)
 		k.accusers = map[string]struct{}{u.By: {}}
-		c.doubted[u.Name] = k
+		c.suspects[u.Name] = k
 	} else {
 		k.accusers = nil
 	}
@@ -71,37 +71,38 @@
 		c.probe = nil
 	}
 	if was != u.State || u.State == Alive {
-		c.changed(k, was, true)
+		c.emitChange(k, was, true)
 	}
-	c.tell(k)
+	c.broadcast(k)
 }
 
-// learnSelf refutes what is said of this member, if it is not what it says itself.
-func (c *Core) learnSelf(u Member) {
+// mergeSelf refutes an update about this member that contradicts its own state.
+func (c *Core) mergeSelf(u Member) {
 	if c.left || u.Incarnation < c.self.Incarnation {
 		return
 	}
 	if u.Boot != c.self.Boot {
-		c.Counts.Conflicts++ // an earlier process of this name, or another one now
+		c.Counts.Conflicts++ // an earlier process of this name, or another one that runs now
 	} else if u.State == Alive && u.Incarnation == c.self.Incarnation {
 		return
 	} else {
 		c.Counts.Refuted++
-		c.worse(1)
+		c.adjustHealth(1)
 	}
 	c.self.Incarnation = u.Incarnation + 1
-	c.news.put(c.self, c.now)
+	c.updates.put(c.self, c.now)
 }
 
-func (c *Core) changed(k *known, was State, wasKnown bool) {
+func (c *Core) emitChange(k *memberEntry, was State, wasKnown bool) {
 	c.out = append(c.out, Changed{Member: k.Member, Was: was, Known: wasKnown})
 }
 
-func (c *Core) tell(k *known) { c.news.put(k.Member, c.now) }
+// broadcast queues a member's current state for transmission.
+func (c *Core) broadcast(k *memberEntry) { c.updates.put(k.Member, c.now) }
 
-// pick draws up to n members that qualify.
-func (c *Core) pick(n int, qualifies func(*known) bool) []*known {
-	some, seen := make([]*known, 0, n), 0
+// sample returns up to n random members that qualify.
+func (c *Core) sample(n int, qualifies func(*memberEntry) bool) []*memberEntry {
+	some, seen := make([]*memberEntry, 0, n), 0
 	for _, name := range c.names() {
 		k := c.members[name]
 		if !qualifies(k) {
@@ -109,17 +110,17 @@
 		}
 		if seen++; len(some) < n {
 			some = append(some, k)
-		} else if at := c.rnd.IntN(seen); at < n {
+		} else if at := c.rng.IntN(seen); at < n {
 			some[at] = k
 		}
 	}
 	return some
 }
 
-// send fills a message with what there is to tell and sends it.
+// send fills a message with queued updates and piggybacked data and outputs it.
 func (c *Core) send(addr string, m Message) {
 	m.From = c.self.Name
-	room := c.t.Room - headBytes - len(m.From) - len(m.To)
+	room := c.timing.Room - headerBytes - len(m.From) - len(m.To)
 	if m.Target.Name != "" {
 		room -= Size(m.Target)
 	}
@@ -128,10 +129,10 @@
 	}
 	if m.Kind != Exchange && m.Kind != ExchangeReply {
 		if k := c.members[m.To]; k != nil && k.State == Suspect && Size(k.Member) <= room {
-			m.News = append(m.News, k.Member) // it must hear of it, or it can't refute it
+			m.News = append(m.News, k.Member) // a suspect can refute only a suspicion that it receives
 			room -= Size(k.Member)
 		}
-		m.News, room = c.news.take(m.News, room, c.tellTimes())
+		m.News, room = c.updates.take(m.News, room, c.transmitLimit())
 	}
 	if c.cargo != nil && room > 16 {
 		m.Cargo = c.cargo.Load(m.To, room)
@@ -140,19 +141,20 @@
 	c.out = append(c.out, Send{Addr: addr, Message: m})
 }
 
-func (c *Core) tellTimes() int {
-	return c.t.Retell * int(math.Ceil(math.Log10(float64(len(c.members)+2))))
+// transmitLimit returns how often each update is transmitted.
+func (c *Core) transmitLimit() int {
+	return c.timing.Retell * int(math.Ceil(math.Log10(float64(len(c.members)+2))))
 }
 
-// exchange sends all that is known, in as many messages as it takes.
+// exchange sends the full view, split over as many messages as needed.
 func (c *Core) exchange(kind Kind, addr, to string) {
-	room := c.t.Room - headBytes - len(c.self.Name) - len(to)
+	room := c.timing.Room - headerBytes - len(c.self.Name) - len(to)
 	m, used := Message{Kind: kind, To: to, News: []Member{c.self}}, Size(c.self)
 	for _, name := range c.names() {
 		k := c.members[name]
 		if used+Size(k.Member) > room {
 			c.send(addr, m)
-			m, used = Message{Kind: ExchangeReply, To: to}, 0 // one message of an exchange is answered
+			m, used = Message{Kind: ExchangeReply, To: to}, 0 // only the first message of an exchange is answered
 		}
 		m.News, used = append(m.News, k.Member), used+Size(k.Member)
 	}
