--- a/internal/gossip/carrier.go
+++ b/internal/gossip/carrier.go
@@ -11,7 +11,7 @@
 	"gullstair/internal/sharing"
 )
 
-// Counts of a carrier. What is dropped is counted by cause and nothing else: anybody can send a datagram.
+// Counts are a carrier's metrics. Dropped datagrams are only counted by cause and not logged, since anybody can send one.
 type Counts struct {
 	Sent          int64 `json:"sent"`
 	Received      int64 `json:"received"`
@@ -28,7 +28,7 @@
 	BytesReceived int64 `json:"bytes_received"`
 }
 
-// Carrier sends and receives envelopes on one UDP port.
+// Carrier sends and receives sealed envelopes on a UDP port.
 type Carrier struct {
 	conn   *net.UDPConn
 	sealer *Sealer
@@ -42,11 +42,11 @@
 	addrs map[string]netip.AddrPort
 }
 
-const addrsMost = 4096 // addresses that are remembered in their parsed form
+const maxCachedAddrs = 4096 // size of the cache of parsed addresses
 
-var causes = [...]error{ErrShort, ErrVersion, ErrKey, ErrForged, ErrStale, ErrReplayed, ErrBody}
+var dropCauses = [...]error{ErrShort, ErrVersion, ErrKey, ErrForged, ErrStale, ErrReplayed, ErrBody}
 
-// Listen opens the port. Wall is the wall clock in ms.
+// Listen opens the UDP port. wall returns the wall clock in ms.
 func Listen(addr string, sealer *Sealer, wall func() float64) (*Carrier, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -59,10 +59,10 @@
 	return &Carrier{conn: conn, sealer: sealer, wall: wall, addrs: map[string]netip.AddrPort{}}, nil
 }
 
-// Addr is where the carrier receives.
+// Addr returns the address on which the carrier receives.
 func (c *Carrier) Addr() string { return c.conn.LocalAddr().String() }
 
-// Run receives until the carrier is closed. Take may not keep it waiting.
+// Run receives envelopes and passes them to take until the carrier is closed. take must not block.
 func (c *Carrier) Run(take func(addr string, e sharing.Envelope)) {
 	buf := make([]byte, Most+1)
 	for {
@@ -71,12 +71,12 @@
 			return
 		}
 		if err != nil {
-			continue // a datagram sent from here met nobody: it concerns that one alone
+			continue // an earlier datagram was undeliverable (ICMP error); receiving continues
 		}
 		c.bytesIn.Add(int64(n))
 		e, err := c.Read(buf[:n])
 		if err != nil {
-			for i, cause := range causes {
+			for i, cause := range dropCauses {
 				if errors.Is(err, cause) {
 					c.dropped[i].Add(1)
 				}
@@ -88,7 +88,7 @@
 	}
 }
 
-// Read opens one datagram.
+// Read opens and decodes one datagram.
 func (c *Carrier) Read(d []byte) (e sharing.Envelope, err error) {
 	body, err := c.sealer.Open(d, c.wall())
 	if err != nil {
@@ -100,7 +100,7 @@
 	return e, nil
 }
 
-// Send sends an envelope; what fails is counted, as a datagram may be lost anyway.
+// Send sends an envelope. It counts failures and returns none, since a datagram may be lost anyway.
 func (c *Carrier) Send(addr string, e sharing.Envelope) {
 	to, err := c.resolve(addr)
 	if err != nil {
@@ -133,7 +133,7 @@
 	}
 	to, err := netip.ParseAddrPort(addr)
 	if err == nil {
-		if len(c.addrs) >= addrsMost {
+		if len(c.addrs) >= maxCachedAddrs {
 			clear(c.addrs)
 		}
 		c.addrs[addr] = to
@@ -141,7 +141,7 @@
 	return to, err
 }
 
-// Counts so far.
+// Counts returns the current counts.
 func (c *Carrier) Counts() Counts {
 	n := func(i int) int64 { return c.dropped[i].Load() }
 	return Counts{Sent: c.sent.Load(), Received: c.received.Load(), SendFailed: c.sendFailed.Load(),
@@ -149,5 +149,5 @@
 		Body: n(6), BytesSent: c.bytesOut.Load(), BytesReceived: c.bytesIn.Load()}
 }
 
-// Close ends Run.
+// Close closes the port, which ends Run.
 func (c *Carrier) Close() error { return c.conn.Close() }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -39,23 +39,23 @@
 		wall float64
 		want error
 	}{
-		"short":       {d[:20], 5000, ErrShort},
-		"nothing":     {nil, 5000, ErrShort},
-		"long":        {make([]byte, Most+1), 5000, ErrShort},
-		"version":     {flipped(0), 5000, ErrVersion},
-		"key":         {flipped(1), 5000, ErrKey},
-		"body":        {flipped(27), 5000, ErrForged},
-		"count":       {flipped(10), 5000, ErrForged},
-		"seal":        {flipped(len(d) - 1), 5000, ErrForged},
-		"cut":         {d[:len(d)-1], 5000, ErrForged},
-		"long ago":    {d, 6001, ErrStale},
-		"from later":  {d, 3999, ErrStale},
-		"other's key": {must(sealer(t, 9, key(3)).Seal([]byte("x"), 5000)), 5000, ErrKey},
+		"too short":    {d[:20], 5000, ErrShort},
+		"empty":        {nil, 5000, ErrShort},
+		"too long":     {make([]byte, Most+1), 5000, ErrShort},
+		"version":      {flipped(0), 5000, ErrVersion},
+		"key":          {flipped(1), 5000, ErrKey},
+		"body":         {flipped(27), 5000, ErrForged},
+		"count":        {flipped(10), 5000, ErrForged},
+		"seal":         {flipped(len(d) - 1), 5000, ErrForged},
+		"truncated":    {d[:len(d)-1], 5000, ErrForged},
+		"stale":        {d, 6001, ErrStale},
+		"future clock": {d, 3999, ErrStale},
+		"unknown key":  {must(sealer(t, 9, key(3)).Seal([]byte("x"), 5000)), 5000, ErrKey},
 	} {
 		_, err := to.Open(c.d, c.wall)
 		assert.ErrorIs(t, err, c.want, name)
 	}
-	assert.Empty(t, to.senders, "nothing is kept of those")
+	assert.Empty(t, to.senders, "rejected datagrams leave no state")
 	body, err := to.Open(d, 5900)
 	require.NoError(t, err)
 	assert.Equal(t, "body", string(body))
@@ -70,11 +70,11 @@
 
 func must(d []byte, _ error) []byte { return d }
 
-// Each count is taken once, in whatever order and however far apart.
+// The replay window accepts each counter once, in any order and with gaps of any size.
 func TestWindow(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 50 {
-		var w window
+		var w replayWindow
 		taken, newest := map[uint64]bool{}, uint64(0)
 		at := uint64(1 + r.IntN(5000))
 		for range 3000 {
@@ -84,7 +84,7 @@
 			}
 			count := at - min(at, uint64(r.IntN(1500)))
 			want := count > 0 && !taken[count] && (count > newest || newest-count < windowBits)
-			require.Equal(t, want, w.take(count), "%d after %d", count, newest)
+			require.Equal(t, want, w.accept(count), "%d after %d", count, newest)
 			if want {
 				taken[count], newest = true, max(newest, count)
 			}
@@ -92,10 +92,10 @@
 	}
 }
 
-// Senders that pile up, as those of one that makes up processes would, are bounded; those gone stale make room.
+// The number of tracked senders is bounded, also if a member invents process numbers. Stale senders are evicted.
 func TestSenders(t *testing.T) {
 	to := sealer(t, 1, key(1))
-	for boot := range uint64(sendersMost) {
+	for boot := range uint64(maxSenders) {
 		_, err := to.Open(must(sealer(t, boot+10, key(1)).Seal(nil, 5000)), 5000)
 		require.NoError(t, err)
 	}
@@ -106,7 +106,7 @@
 	assert.Len(t, to.senders, 1)
 }
 
-// Whatever is sent fits what the core counts for it, so no message is lost for its size.
+// Encoded sizes stay within the sizes that the membership core accounts for, so no message exceeds a datagram.
 func TestSizes(t *testing.T) {
 	long := string(bytes.Repeat([]byte{'n'}, 100))
 	m := membership.Member{Name: long, Addr: "[2001:db8:0000:0000:0000:ff00:0042:8329]:65535", Boot: 1<<64 - 1,
@@ -121,10 +121,10 @@
 	e := sharing.Envelope{From: long, To: long, Member: &membership.Message{Seq: 1<<32 - 1, From: long, To: long}}
 	data, err = sharing.Marshal(&e)
 	require.NoError(t, err)
-	assert.LessOrEqual(t, len(data), 1400-membership.Standard().Room+80+200, "a message's head")
+	assert.LessOrEqual(t, len(data), 1400-membership.Standard().Room+80+200, "message header")
 }
 
-// What is sealed rightly but is no envelope is an error and takes no memory.
+// A correctly sealed body that is not an envelope is rejected without large allocations.
 func TestBodies(t *testing.T) {
 	from, to := sealer(t, 7, key(1)), sealer(t, 8, key(1))
 	c := &Carrier{sealer: to, wall: func() float64 { return 5000 }}
@@ -147,7 +147,7 @@
 				body[j] = byte(r.Uint32())
 			}
 		case 3:
-			// An array or a string that claims four billion elements.
+			// An array or a string with a declared length of four billion elements.
 			body = append([]byte{[]byte{0xdd, 0xdb, 0xc6, 0xdf}[r.IntN(4)], 0xff, 0xff, 0xff, 0xff}, body...)
 		}
 		_, err := c.Read(must(from.Seal(body, 5000)))
@@ -158,7 +158,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	assert.Less(t, int64(after.HeapAlloc)-int64(before.HeapAlloc), int64(1<<20))
-	assert.Less(t, (after.TotalAlloc-before.TotalAlloc)/20000, uint64(64<<10), "a datagram may not make one allocate much")
+	assert.Less(t, (after.TotalAlloc-before.TotalAlloc)/20000, uint64(64<<10), "allocations per datagram are bounded")
 }
 
 func TestCarrier(t *testing.T) {
--- a/internal/gossip/seal.go
+++ b/internal/gossip/seal.go
@@ -1,4 +1,5 @@
-// Package gossip carries members' envelopes over UDP: it seals and opens datagrams, and sends and receives them.
+// Package gossip transports the envelopes of members over UDP. A Sealer authenticates datagrams and rejects replays; a
+// Carrier does the network I/O.
 package gossip
 
 import (
@@ -10,81 +11,82 @@
 	"sync"
 )
 
-// A datagram is: version (1), key number (1), the sending process (8), its count of datagrams (8), its wall clock in
-// ms (8), the body, and 16 bytes of HMAC-SHA256 over all before them. Numbers have their most significant byte first.
+// A datagram consists of: version (1 byte), key number (1), number of the sending process (8), its datagram counter (8),
+// its wall clock in ms (8), the body, and the first 16 bytes of an HMAC-SHA256 over all of these. Numbers are big-endian.
 const (
-	version  = 1
-	headSize = 1 + 1 + 8 + 8 + 8
-	macSize  = 16
-	// Most is the size of the largest datagram that is sent or taken, in bytes; it passes a network of 1,500 whole.
+	version    = 1
+	headerSize = 1 + 1 + 8 + 8 + 8
+	macSize    = 16
+	// Most is the maximum size of a datagram in bytes. It fits an MTU of 1,500 without fragmentation.
 	Most = 1400
-	// windowBits is how far a datagram may come behind the newest of its sender and still be taken.
-	windowBits   = 1024
-	sendersMost  = 2048 // processes whose counts are remembered
-	secretLeast  = 16   // bytes
-	freshnessStd = 60000
+	// windowBits is the size of the replay window: how far a counter may lag behind the newest of its sender.
+	windowBits       = 1024
+	maxSenders       = 2048  // senders with a replay window in memory
+	minSecretBytes   = 16    // minimum secret length in bytes
+	defaultFreshness = 60000 // default clock tolerance in ms
 )
 
-// Key seals and opens datagrams. The number goes along, so that several can be in use while they are changed.
+// Key authenticates datagrams. Its number is part of the datagram, so that several keys can be in use during a rotation.
 type Key struct {
 	Number uint8
 	Secret []byte
 }
 
-// Why a datagram was not taken. They are counted; anybody who can reach the port can send such datagrams.
+// Reasons to drop a datagram. Drops are counted; anybody who can reach the port can cause them.
 var (
-	ErrShort    = errors.New("too short or too long")
-	ErrVersion  = errors.New("of another version")
-	ErrKey      = errors.New("sealed with a key that is not known here")
-	ErrForged   = errors.New("the seal does not fit")
-	ErrStale    = errors.New("sent too long ago, or by a clock that is far off")
-	ErrReplayed = errors.New("seen before, or too far behind")
-	ErrBody     = errors.New("its body could not be read")
-	ErrSender   = errors.New("from a process that cannot be remembered")
+	ErrShort    = errors.New("datagram too short or too long")
+	ErrVersion  = errors.New("unsupported datagram version")
+	ErrKey      = errors.New("sealed with an unknown key")
+	ErrForged   = errors.New("the MAC does not match")
+	ErrStale    = errors.New("sent too long ago, or the clocks differ too much")
+	ErrReplayed = errors.New("replayed, or older than the replay window")
+	ErrBody     = errors.New("the body cannot be decoded")
+	ErrSender   = errors.New("too many senders to track replays of another one")
 )
 
-// Sealer seals what one process sends and opens what it gets. It is safe for several goroutines.
+// Sealer seals the datagrams of one process and opens those that it receives. It is safe for concurrent use.
 type Sealer struct {
 	boot      uint64
 	freshness float64
 
 	mu      sync.Mutex
-	keys    []Key // the first one seals, all open
-	count   uint64
-	senders map[uint64]*window
+	keys    []Key // the first seals, all open
+	counter uint64
+	senders map[uint64]*replayWindow
 }
 
-type window struct {
-	newest uint64
-	bits   [windowBits / 64]uint64
-	used   float64 // wall clock of the last datagram taken
+// window is the replay window of one sender.
+type replayWindow struct {
+	newest   uint64
+	bits     [windowBits / 64]uint64
+	lastUsed float64 // wall clock at the last accepted datagram
 }
 
-// NewSealer makes one. Datagrams whose wall clock differs by more than freshness ms from this one's are not taken;
-// 0 is 60 s. At least one key is needed.
+// NewSealer returns a Sealer for the process with number boot. Open rejects datagrams whose wall clock differs by more
+// than freshness ms from the local one; 0 means 60 s. At least one key is required.
 func NewSealer(boot uint64, keys []Key, freshness float64) (*Sealer, error) {
 	if freshness <= 0 {
-		freshness = freshnessStd
+		freshness = defaultFreshness
 	}
-	s := &Sealer{boot: boot, freshness: freshness, senders: map[uint64]*window{}}
+	s := &Sealer{boot: boot, freshness: freshness, senders: map[uint64]*replayWindow{}}
 	return s, s.Rekey(keys)
 }
 
-// Rekey changes the keys in service: the first one seals from now on, all of them open. To change a key without losing
-// a datagram, add the new one behind the old at all members, then put it first at all, then take the old one away.
+// Rekey replaces the keys: the first one seals from now on, all of them open. To rotate a key without dropping
+// datagrams, append the new one at all members, then move it to the front at all, then remove the old one.
 func (s *Sealer) Rekey(keys []Key) error {
 	seen := map[uint8]bool{}
 	for _, k := range keys {
-		if len(k.Secret) < secretLeast {
-			return fmt.Errorf("key %d: its secret has %d bytes, at least %d are needed", k.Number, len(k.Secret), secretLeast)
+		if len(k.Secret) < minSecretBytes {
+			return fmt.Errorf("key %d: the secret has %d bytes, the minimum is %d", k.Number, len(k.Secret), minSecretBytes)
 		}
 		if seen[k.Number] {
-			return fmt.Errorf("key %d is there twice", k.Number)
+			return fmt.Errorf("duplicate key number %d", k.Number)
 		}
 		seen[k.Number] = true
 	}
 	if len(keys) == 0 {
-		return errors.New("no key")
+		return errors.New("no keys given")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,16 +94,16 @@
 	return nil
 }
 
-// Seal makes a datagram of a body at a wall-clock moment.
+// Seal returns a datagram with the given body and wall-clock time.
 func (s *Sealer) Seal(body []byte, wall float64) ([]byte, error) {
-	if headSize+len(body)+macSize > Most {
-		return nil, fmt.Errorf("a message of %d bytes does not fit a datagram: %w", len(body), ErrShort)
+	if headerSize+len(body)+macSize > Most {
+		return nil, fmt.Errorf("a message of %d bytes does not fit into a datagram: %w", len(body), ErrShort)
 	}
 	s.mu.Lock()
-	s.count++
-	count, key := s.count, s.keys[0]
+	s.counter++
+	count, key := s.counter, s.keys[0]
 	s.mu.Unlock()
-	d := make([]byte, headSize, headSize+len(body)+macSize)
+	d := make([]byte, headerSize, headerSize+len(body)+macSize)
 	d[0], d[1] = version, key.Number
 	binary.BigEndian.PutUint64(d[2:], s.boot)
 	binary.BigEndian.PutUint64(d[10:], count)
@@ -116,9 +118,9 @@
 	return h.Sum(nil)[:macSize]
 }
 
-// Open checks a datagram and returns its body. Nothing is kept of one that does not pass.
+// Open authenticates a datagram and returns its body. A rejected datagram leaves no state behind.
 func (s *Sealer) Open(d []byte, wall float64) ([]byte, error) {
-	if len(d) < headSize+macSize || len(d) > Most {
+	if len(d) < headerSize+macSize || len(d) > Most {
 		return nil, ErrShort
 	}
 	if d[0] != version {
@@ -145,32 +147,33 @@
 	}
 	w := s.senders[boot]
 	if w == nil {
-		if len(s.senders) >= sendersMost && !s.release(wall) {
+		if len(s.senders) >= maxSenders && !s.evictStale(wall) {
 			return nil, ErrSender
 		}
-		w = &window{}
+		w = &replayWindow{}
 		s.senders[boot] = w
 	}
-	if !w.take(count) {
+	if !w.accept(count) {
 		return nil, ErrReplayed
 	}
-	w.used = wall
-	return body[headSize:], nil
+	w.lastUsed = wall
+	return body[headerSize:], nil
 }
 
-// release forgets senders whose datagrams would be stale by now anyway.
-func (s *Sealer) release(wall float64) bool {
+// evictStale removes senders whose past datagrams are all stale and so need no replay window. It reports whether it
+// removed any.
+func (s *Sealer) evictStale(wall float64) bool {
 	before := len(s.senders)
 	for boot, w := range s.senders {
-		if wall-w.used > 2*s.freshness {
+		if wall-w.lastUsed > 2*s.freshness {
 			delete(s.senders, boot)
 		}
 	}
 	return len(s.senders) < before
 }
 
-// take says whether a count is new, and marks it.
-func (w *window) take(count uint64) bool {
+// accept reports whether a counter is new, and marks it as seen.
+func (w *replayWindow) accept(count uint64) bool {
 	if count == 0 {
 		return false
 	}
