--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery follows the list of nodes: an actor that keeps one watch open at the agent and hands on
-// what it says. It decides nothing.
+// Package discovery watches the list of nodes. An actor keeps one long-polling HTTP call open to the discovery agent and
+// delivers the updates that it receives; it makes no decisions of its own.
 package discovery
 
 import (
@@ -24,34 +24,35 @@
 	"gullstair/logic"
 )
 
-// Where lists are pushed, what the agent gets when discovery comes back counts as told at once, and a call that was open
-// before is not answered then: so calls that fail follow each other closely, which costs nothing at an agent on the same
-// machine. Elsewhere a change counts as told six seconds after discovery had it and could be reached; the times leave
-// room for a watch that falls silent as it begins, a wait, and one more call that is answered.
+// In push mode (lists are pushed to an agent on this machine) a list that the agent gets when discovery comes back must
+// be known at once, and the agent does not answer a call that was already open. Failed calls are therefore retried
+// quickly, which costs nothing at a local agent. In pull mode a change must be known six seconds after discovery had it
+// and was reachable. The timeouts allow for a watch that goes silent at its start, one backoff, and one more call.
 const (
-	watchFor   = 3 * time.Second        // how long the agent may hold a watch open
-	connectFor = 250 * time.Millisecond // the agent is on this machine
-	grace      = 500 * time.Millisecond // a watch is answered within it after its time
-	atOnce     = 250 * time.Millisecond // an agent's answer that waits for nothing comes within it
-	retryFirst = 100 * time.Millisecond // longest wait after a failed call
-	// Where the list has to be asked for, discovery itself answers, and not at once: within this time, or it refuses.
-	// There the waits double.
-	askedWithin   = 2500 * time.Millisecond
-	openAskedFor  = time.Second // how long it may hold the first call of a watch, which it may be late to begin
-	retryAskedTop = 800 * time.Millisecond
-	// openFor is how long the agent may hold the first call of a process: it tells what is there.
-	openFor     = time.Millisecond
-	answerMost  = 4 << 20
-	mailboxSize = 16
+	watchHold        = 3 * time.Second        // how long the agent may hold a watch without a change
+	connectTimeout   = 250 * time.Millisecond // the agent is on this machine
+	answerGrace      = 500 * time.Millisecond // extra time for the answer to a watch whose hold time is over
+	immediateTimeout = 250 * time.Millisecond // timeout of an agent's answer to a call without a hold time
+	initialBackoff   = 100 * time.Millisecond // maximum backoff after a failed call
+	// In pull mode discovery itself answers and may be slow: it answers or refuses within this time. The backoff
+	// doubles there.
+	pullTimeout    = 2500 * time.Millisecond
+	firstPullHold  = time.Second // hold time of the first call of a watch, which discovery may start late
+	maxPullBackoff = 800 * time.Millisecond
+	// firstCallHold is the hold time of a process's first call, which returns what the agent already has.
+	firstCallHold  = time.Millisecond
+	maxAnswerBytes = 4 << 20
+	mailboxSize    = 16
 )
 
-// Listing is a list as discovery words it.
+// Listing is a list of nodes, or of changes to it, in discovery's JSON format.
 type Listing struct {
 	Seq   int64       `json:"seq"`
 	Whole bool        `json:"whole"`
 	Hosts []wireEntry `json:"hosts"`
 }
 
+// wireEntry is one node in discovery's JSON format.
 type wireEntry struct {
 	Host   string  `json:"host"`
 	Dial   string  `json:"dial"`
@@ -65,23 +66,23 @@
 
 var readiness = map[string]logic.Readiness{"SERVING": logic.Ready, "DRAINING": logic.Draining, "DELETED": logic.Gone}
 
-// Nodes puts a listing into the core's words. A line that can't be used is left out and told to odd; one
-// whose state is not known counts as draining, which sends it nothing new.
+// Nodes converts a listing to the core's types. It skips unusable entries and reports them to odd. A node of unknown
+// health counts as draining, so that it gets no new requests.
 func (l Listing) Nodes(odd func(host, why string)) (nodes []core.Node) {
 	for _, h := range l.Hosts {
 		n := core.Node{Host: h.Host, Addr: h.Dial, Zone: h.Site, Kind: h.Class, Cell: h.Block,
 			Readiness: readiness[h.Health], Units: max(h.Share, 0), Born: h.BornMs}
 		if n.Host == "" {
-			odd(h.Host, "a line names no host")
+			odd(h.Host, "a list entry names no host")
 			continue
 		}
 		if n.Readiness == 0 {
 			odd(h.Host, "unknown health "+h.Health)
 			n.Readiness = logic.Draining
 		}
-		if _, err := netip.ParseAddrPort(n.Addr); err != nil { // there is no DNS to ask for a name
+		if _, err := netip.ParseAddrPort(n.Addr); err != nil { // names are not resolved
 			if n.Readiness != logic.Gone {
-				odd(h.Host, "an address that cannot be dialled: "+h.Dial)
+				odd(h.Host, "invalid node address: "+h.Dial)
 			}
 			n.Addr = ""
 		}
@@ -90,67 +91,67 @@
 	return nodes
 }
 
-// Watch is the list's actor: it alone makes calls and owns the connection. Its mailbox gets what a connection
-// brought, and that the module asks for the list.
+// Watch is the actor that follows the list. Only its goroutine makes calls and owns the connection. Its mailbox receives
+// the answers of the connection's reader and the requests of Ask and Move.
 type Watch struct {
-	addr string
-	seq  int64 // of the list as told last
-	tell func(core.List)
-	log  zerolog.Logger
-	mail chan any
-	stop chan struct{}
+	addr    string
+	seq     int64 // version of the list delivered last
+	deliver func(core.List)
+	log     zerolog.Logger
+	mailbox chan any
+	stop    chan struct{}
 
-	asked bool // the list has to be asked for, or else it is pushed to the agent
-	begun bool
-	conn  net.Conn
-	used  bool // the connection has brought an answer before
-	whole bool // the next call asks for the whole list
-	open  bool // the next call goes on with a watch
-	wait  time.Duration
-	fails int // calls that failed in a row
-	retry *time.Timer
-	rand  *rand.Rand
-	first chan struct{} // closed once the first call has ended
-	heard bool          // it is closed
+	pull           bool // pull mode: the list must be requested from discovery; otherwise it is pushed to the agent
+	started        bool
+	conn           net.Conn
+	answeredBefore bool // the connection has delivered an answer
+	requestWhole   bool // the next call requests the whole list
+	resuming       bool // the next call continues a running watch
+	backoff        time.Duration
+	failures       int // consecutive failed calls
+	retryTimer     *time.Timer
+	rand           *rand.Rand
+	first          chan struct{} // closed once the first call has ended
+	firstClosed    bool          // first is closed
 }
 
-// Its mail.
+// The messages in a Watch's mailbox.
 type (
-	wanted   struct{}
-	moved    struct{ addr string }
-	answered struct {
-		conn net.Conn
-		l    Listing
-		last bool // the agent closes the connection
+	askMsg    struct{}
+	moveMsg   struct{ addr string }
+	answerMsg struct {
+		conn    net.Conn
+		listing Listing
+		closing bool // the agent closes the connection
 	}
-	lost struct {
+	lostMsg struct {
 		conn net.Conn
 		err  error
 	}
 )
 
 var (
-	errNothing = errors.New("discovery closed the connection")
-	errPart    = errors.New("discovery answered a call for the whole list with changes")
-	errRefused = errors.New("discovery refused the call")
-	errTooLong = errors.New("too long")
+	errClosed   = errors.New("discovery closed the connection without an answer")
+	errNotWhole = errors.New("discovery answered a request for the whole list with changes")
+	errRefused  = errors.New("discovery refused the call")
+	errTooLong  = errors.New("answer too long")
 )
 
-// Options say how a list is followed.
+// Options configure a Watch.
 type Options struct {
-	Since int64  // the version of the list that is known
-	OnAsk bool   // the list comes only when asked for: nothing happens before Ask
-	Seed  uint64 // of the chance by which failed calls of many brokers spread
+	Since int64  // the version of the list that is already known
+	OnAsk bool   // pull mode: no call is made before Ask
+	Seed  uint64 // seed of the backoff jitter, which spreads the retries of many brokers
 }
 
-// Follow starts a watch; tell gets what the agent says, in its order, and may wait.
-func Follow(addr string, o Options, tell func(core.List), log zerolog.Logger) *Watch {
-	w := &Watch{addr: addr, seq: o.Since, asked: o.OnAsk, tell: tell, log: log, mail: make(chan any, mailboxSize),
-		stop: make(chan struct{}), wait: retryFirst, retry: time.NewTimer(time.Hour), rand: rand.New(rand.NewPCG(o.Seed, 0)),
+// Follow starts a watch. It calls deliver with each update in order; deliver may block.
+func Follow(addr string, o Options, deliver func(core.List), log zerolog.Logger) *Watch {
+	w := &Watch{addr: addr, seq: o.Since, pull: o.OnAsk, deliver: deliver, log: log, mailbox: make(chan any, mailboxSize),
+		stop: make(chan struct{}), backoff: initialBackoff, retryTimer: time.NewTimer(time.Hour), rand: rand.New(rand.NewPCG(o.Seed, 0)),
 		first: make(chan struct{})}
-	w.retry.Stop()
+	w.retryTimer.Stop()
 	if o.OnAsk {
-		w.over() // what discovery holds is told when it has been asked for
+		w.finishFirst() // in pull mode the first list comes only after Ask
 	} else {
 		w.Ask()
 	}
@@ -158,30 +159,32 @@
 	return w
 }
 
-// First is closed once what the agent holds has been told, or could not be had: where lists are pushed, what it holds
-// counts as told from a process's first moment, so nothing may go out by an older list before.
+// First returns a channel that is closed once the agent's current list has been delivered or the first call has failed.
+// In push mode the agent's list is binding from the start of the process, so nothing may be sent by an older list
+// before.
 func (w *Watch) First() <-chan struct{} { return w.first }
 
-func (w *Watch) over() {
-	if !w.heard {
-		w.heard = true
+// finishFirst closes the channel of First.
+func (w *Watch) finishFirst() {
+	if !w.firstClosed {
+		w.firstClosed = true
 		close(w.first)
 	}
 }
 
-// Ask begins the watch. One that has begun asks again by itself after a failure, and goes on until Stop: a
-// further Ask adds no call, or a discovery that is down would get one more for each that failed.
+// Ask starts the watch. A started watch retries failed calls itself until Stop. A further Ask adds no call; otherwise a
+// discovery that is down would get an extra call for each failure.
 func (w *Watch) Ask() {
 	select {
-	case w.mail <- wanted{}:
-	default: // it has mail enough to be on its way
+	case w.mailbox <- askMsg{}:
+	default: // a full mailbox means that the watch is already active
 	}
 }
 
-// Move follows the list at another address from now on. What the old one still sends counts no more, or a list of
-// its would undo a newer one; the new one is asked for the whole list at once, since its versions need not be the
-// old one's, and no drain may go unheard in between.
-func (w *Watch) Move(addr string) { w.post(moved{addr}) }
+// Move switches the watch to another address. Late answers of the old address are ignored, because they could undo a
+// newer list. The watch requests the whole list from the new address at once: its version numbers may be unrelated to
+// the old ones, and no drain in between may be missed.
+func (w *Watch) Move(addr string) { w.post(moveMsg{addr}) }
 
 // Stop ends the watch.
 func (w *Watch) Stop() { close(w.stop) }
@@ -190,34 +193,34 @@
 	defer w.hangUp()
 	for {
 		select {
-		case m := <-w.mail:
+		case m := <-w.mailbox:
 			switch v := m.(type) {
-			case wanted:
-				if !w.begun {
-					w.begun = true
+			case askMsg:
+				if !w.started {
+					w.started = true
 					w.call()
 				}
-			case moved:
+			case moveMsg:
 				if v.addr == w.addr {
 					continue
 				}
 				w.hangUp()
-				w.retry.Stop()
-				w.addr, w.whole, w.wait = v.addr, true, retryFirst
-				if w.begun {
+				w.retryTimer.Stop()
+				w.addr, w.requestWhole, w.backoff = v.addr, true, initialBackoff
+				if w.started {
 					w.call()
 				}
-			case answered:
+			case answerMsg:
 				if v.conn == w.conn {
-					w.answered(v)
+					w.handleAnswer(v)
 				}
-			case lost:
+			case lostMsg:
 				if v.conn != w.conn {
 					continue
 				}
-				w.lost(v.err)
+				w.connectionLost(v.err)
 			}
-		case <-w.retry.C:
+		case <-w.retryTimer.C:
 			w.call()
 		case <-w.stop:
 			return
@@ -227,150 +230,151 @@
 
 func (w *Watch) post(m any) {
 	select {
-	case w.mail <- m:
+	case w.mailbox <- m:
 	case <-w.stop:
 	}
 }
 
-// lost takes up that the connection has ended. One that was closed between two calls, or while a watch was open on it,
-// is replaced at once; what the watch had to tell may be lost with it, so the whole list is asked for.
-func (w *Watch) lost(err error) {
-	ended := w.used && errors.Is(err, errNothing)
+// connectionLost handles the end of the connection. If it was closed between two calls or during a watch, the watch
+// reconnects at once and requests the whole list, because a pending change may be lost.
+func (w *Watch) connectionLost(err error) {
+	ended := w.answeredBefore && errors.Is(err, errClosed)
 	w.hangUp()
 	if !ended {
-		w.failed(err)
+		w.fail(err)
 		return
 	}
-	w.whole = true
+	w.requestWhole = true
 	w.call()
 }
 
-// answered hands on an answer. Where the connection goes on the next call leaves first: a watch goes on only if it
-// comes at once.
-func (w *Watch) answered(v answered) {
-	if w.whole && !v.l.Whole {
-		w.failed(errPart)
+// handleAnswer processes an answer. On a persistent connection it sends the next call before it delivers the answer: a
+// watch continues only if the next call follows at once.
+func (w *Watch) handleAnswer(v answerMsg) {
+	if w.requestWhole && !v.listing.Whole {
+		w.fail(errNotWhole)
 		return
 	}
-	l, had := v.l, w.seq
-	w.used, w.wait, w.open, w.fails = true, retryFirst, !w.whole, 0
-	w.whole = !l.Whole && l.Seq < had
-	if !w.whole {
+	l, had := v.listing, w.seq
+	w.answeredBefore, w.backoff, w.resuming, w.failures = true, initialBackoff, !w.requestWhole, 0
+	w.requestWhole = !l.Whole && l.Seq < had
+	if !w.requestWhole {
 		w.seq = l.Seq
 	}
-	if v.last {
+	if v.closing {
 		w.hangUp()
-		w.hand(l, had)
+		w.deliverListing(l, had)
 		w.call()
 		return
 	}
 	w.call()
-	w.hand(l, had)
+	w.deliverListing(l, had)
 }
 
-// hand tells what an answer holds.
-func (w *Watch) hand(l Listing, had int64) {
-	if w.whole { // changes to a list that this is not: they say nothing
+// deliverListing delivers the content of an answer.
+func (w *Watch) deliverListing(l Listing, had int64) {
+	if w.requestWhole { // the changes refer to another list and are useless
 		w.log.Warn().Int64("seq", l.Seq).Int64("had", had).Msg("the list's version went backwards")
 		return
 	}
-	defer w.over()
+	defer w.finishFirst()
 	kind := logic.ListChanges
 	if l.Whole {
 		kind = logic.ListWhole
 	} else if len(l.Hosts) == 0 {
 		return
 	}
-	w.tell(core.List{Kind: kind, Nodes: l.Nodes(func(host, why string) {
+	w.deliver(core.List{Kind: kind, Nodes: l.Nodes(func(host, why string) {
 		w.log.Warn().Str("node", host).Msg(why)
 	})})
 }
 
-// failed takes up that a call came to nothing. What it had to tell may be lost, unless it was refused: then it had
-// nothing, and the same call is good again.
-func (w *Watch) failed(err error) {
+// fail handles a failed call and schedules a retry. A change may have been lost with it, so the retry requests the whole
+// list, unless the call was refused: a refused call carried no data and is repeated as it was.
+func (w *Watch) fail(err error) {
 	w.hangUp()
-	w.whole = w.whole || !errors.Is(err, errRefused)
-	w.open = false
-	if w.fails++; w.fails&(w.fails-1) == 0 { // while discovery is down one call follows the other
-		w.log.Warn().Err(err).Int("in_a_row", w.fails).Msg("the list could not be followed")
+	w.requestWhole = w.requestWhole || !errors.Is(err, errRefused)
+	w.resuming = false
+	if w.failures++; w.failures&(w.failures-1) == 0 { // log at powers of two only, since calls repeat quickly while discovery is down
+		w.log.Warn().Err(err).Int("in_a_row", w.failures).Msg("the list could not be followed")
 	}
-	w.retry.Reset(w.wait/2 + time.Duration(w.rand.Int64N(int64(w.wait/2)+1)))
-	if w.asked {
-		w.wait = min(2*w.wait, retryAskedTop)
+	w.retryTimer.Reset(w.backoff/2 + time.Duration(w.rand.Int64N(int64(w.backoff/2)+1)))
+	if w.pull {
+		w.backoff = min(2*w.backoff, maxPullBackoff)
 	}
-	w.tell(core.List{Kind: logic.ListFailed})
-	w.over()
+	w.deliver(core.List{Kind: logic.ListFailed})
+	w.finishFirst()
 }
 
+// hangUp closes the connection.
 func (w *Watch) hangUp() {
 	if w.conn != nil {
 		w.conn.Close()
-		w.conn, w.used = nil, false
+		w.conn, w.answeredBefore = nil, false
 	}
 }
 
-// call sends the next call of the watch, on a new connection if need be.
+// call sends the next call of the watch. It connects first if there is no connection.
 func (w *Watch) call() {
 	if w.conn == nil {
-		conn, err := net.DialTimeout("tcp", w.addr, connectFor)
+		conn, err := net.DialTimeout("tcp", w.addr, connectTimeout)
 		if err != nil {
-			w.failed(fmt.Errorf("connecting to discovery: %w: %w", errRefused, err))
+			w.fail(fmt.Errorf("connecting to discovery: %w: %w", errRefused, err))
 			return
 		}
 		w.conn = conn
 		go w.read(conn)
 	}
-	query, patience := w.query()
-	w.conn.SetDeadline(time.Now().Add(patience))
+	query, timeout := w.query()
+	w.conn.SetDeadline(time.Now().Add(timeout))
 	_, err := fmt.Fprintf(w.conn, "GET /v1/servers%s HTTP/1.1\r\nHost: %s\r\n\r\n", query, w.addr)
-	if err != nil && !w.used { // else its reader tells how it ended
-		w.failed(fmt.Errorf("asking discovery: %w", err))
+	if err != nil && !w.answeredBefore { // on a used connection the reader reports the error
+		w.fail(fmt.Errorf("sending a request to discovery: %w", err))
 	}
 }
 
-// query is what the next call asks for, and how long its answer may take. An agent that hangs, or whose answer stops
-// coming, looks like a list in which nothing changes: short watches find out, and a call that is answered at once finds
-// out soonest.
+// query returns the next call's query string and the timeout of its answer. A hanging agent is indistinguishable from a
+// list without changes. Short watches detect it, and a call without a hold time detects it fastest.
 func (w *Watch) query() (string, time.Duration) {
-	within, hold := atOnce, watchFor
-	if w.asked {
-		within = askedWithin
+	within, hold := immediateTimeout, watchHold
+	if w.pull {
+		within = pullTimeout
 	}
 	switch {
-	case w.whole:
+	case w.requestWhole:
 		return "", within
-	case w.open:
-		within = grace // the watch has begun
-	case w.asked:
-		hold = openAskedFor
-	case !w.heard:
-		hold = openFor
+	case w.resuming:
+		within = answerGrace // the watch is running
+	case w.pull:
+		hold = firstPullHold
+	case !w.firstClosed:
+		hold = firstCallHold
 	default:
-		within = grace
+		within = answerGrace
 	}
 	return fmt.Sprintf("?since=%d&timeout_ms=%d", w.seq, hold.Milliseconds()), hold + within
 }
 
-// read passes on what comes on one connection, until its end.
+// read posts the answers that arrive on a connection to the mailbox, until the connection ends.
 func (w *Watch) read(conn net.Conn) {
 	in := bufio.NewReaderSize(conn, 4<<10)
 	for {
 		l, last, err := readAnswer(in)
 		if err != nil {
-			w.post(lost{conn, err})
+			w.post(lostMsg{conn, err})
 			return
 		}
-		w.post(answered{conn, l, last})
+		w.post(answerMsg{conn, l, last})
 		if last {
 			return
 		}
 	}
 }
 
+// readAnswer reads one HTTP response. last reports that the agent closes the connection after it.
 func readAnswer(in *bufio.Reader) (l Listing, last bool, err error) {
 	if _, err := in.Peek(1); errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) {
-		return l, true, errNothing
+		return l, true, errClosed
 	}
 	res, err := http.ReadResponse(in, nil)
 	if err != nil {
@@ -379,7 +383,7 @@
 	buf := buffers.Get()
 	defer buffers.Put(buf)
 	text := bytes.NewBuffer(buf[:0]) // a whole list may be larger than a buffer
-	if n, err := text.ReadFrom(io.LimitReader(res.Body, answerMost)); err != nil || n == answerMost {
+	if n, err := text.ReadFrom(io.LimitReader(res.Body, maxAnswerBytes)); err != nil || n == maxAnswerBytes {
 		return l, true, fmt.Errorf("reading discovery's answer, %d bytes so far: %w", n, cmp.Or(err, errTooLong))
 	}
 	if res.StatusCode == http.StatusServiceUnavailable || res.StatusCode == http.StatusTooManyRequests {
@@ -389,7 +393,7 @@
 		return l, true, fmt.Errorf("discovery answered %s", res.Status)
 	}
 	if err := json.Unmarshal(text.Bytes(), &l); err != nil {
-		return l, true, fmt.Errorf("discovery's answer is no list: %w", err)
+		return l, true, fmt.Errorf("discovery's answer is not a list: %w", err)
 	}
 	return l, res.Close, nil
 }
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -17,16 +17,16 @@
 	"gullstair/logic"
 )
 
-const patience = 5 * time.Second
+const testTimeout = 5 * time.Second
 
-// agent is discovery as a test plays it: each reply goes out for one call.
+// agent is a fake discovery agent. It answers each call with the next reply.
 type agent struct {
-	t     *testing.T
-	ln    net.Listener
-	asked chan string
-	reply chan string // "" closes the connection
-	told  chan core.List
-	w     *Watch
+	t        *testing.T
+	ln       net.Listener
+	requests chan string
+	replies  chan string // "" closes the connection
+	updates  chan core.List
+	w        *Watch
 }
 
 func watch(t *testing.T, seq int64, onAsk bool) *agent {
@@ -42,10 +42,10 @@
 			a.serve(conn)
 		}
 	}()
-	a.w = Follow(ln.Addr().String(), Options{Since: seq, OnAsk: onAsk}, func(l core.List) { a.told <- l }, zerolog.Nop())
+	a.w = Follow(ln.Addr().String(), Options{Since: seq, OnAsk: onAsk}, func(l core.List) { a.updates <- l }, zerolog.Nop())
 	t.Cleanup(func() {
 		a.w.Stop()
-		close(a.reply)
+		close(a.replies)
 		ln.Close()
 	})
 	return a
@@ -59,13 +59,13 @@
 		if err != nil {
 			return
 		}
-		a.asked <- req.URL.String()
-		text, more := <-a.reply
+		a.requests <- req.URL.String()
+		text, more := <-a.replies
 		if !more || text == "" {
 			return
 		}
 		fmt.Fprint(conn, strings.TrimPrefix(text, "!"))
-		if text[0] == '!' { // and no more
+		if text[0] == '!' { // close the connection after it
 			return
 		}
 	}
@@ -78,8 +78,8 @@
 func next[T any](t *testing.T, ch chan T) (x T) {
 	select {
 	case x = <-ch:
-	case <-time.After(patience):
-		require.Fail(t, "nothing came")
+	case <-time.After(testTimeout):
+		require.Fail(t, "timeout waiting for a value")
 	}
 	return x
 }
@@ -89,67 +89,67 @@
 func TestWatch(t *testing.T) {
 	since := func(seq int) string { return fmt.Sprintf("/v1/servers?since=%d&timeout_ms=3000", seq) }
 	a := watch(t, 41, false)
-	assert.Equal(t, "/v1/servers?since=41&timeout_ms=1", next(t, a.asked), "the first call is answered at once")
-	a.reply <- body(`{"seq":43,"whole":false,"hosts":[` + fmt.Sprintf(line, "DRAINING") + `]}`)
+	assert.Equal(t, "/v1/servers?since=41&timeout_ms=1", next(t, a.requests), "the first call is answered at once")
+	a.replies <- body(`{"seq":43,"whole":false,"hosts":[` + fmt.Sprintf(line, "DRAINING") + `]}`)
 	assert.Equal(t, core.List{Kind: logic.ListChanges, Nodes: []core.Node{{Host: "s-1", Addr: "127.0.0.1:8000", Zone: "a",
-		Kind: "m2", Cell: 3, Readiness: logic.Draining, Units: 1.5, Born: 7}}}, next(t, a.told))
-	assert.Equal(t, since(43), next(t, a.asked))
-	a.reply <- "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{\"s\r\n" + "1f\r\neq\":44,\"whole\":true,\"hosts\":[]}\r\n0\r\n\r\n"
-	assert.Equal(t, core.List{Kind: logic.ListWhole}, next(t, a.told), "an empty whole list is a list")
-	assert.Equal(t, since(44), next(t, a.asked))
-	a.reply <- body(`{"seq":44,"whole":false,"hosts":[]}`)
-	assert.Equal(t, since(44), next(t, a.asked), "nothing new, nothing told")
-	a.reply <- "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 34\r\n\r\n" + `{"seq":45,"whole":false,"hosts":[]}`[:34]
-	assert.Equal(t, logic.ListFailed, next(t, a.told).Kind, "a body that is no JSON")
-	assert.Equal(t, "/v1/servers", next(t, a.asked), "what it had to tell may be lost")
-	a.reply <- body(`{"seq":44,"whole":true,"hosts":[]}`)
-	assert.Equal(t, logic.ListWhole, next(t, a.told).Kind)
-	assert.Equal(t, since(44), next(t, a.asked))
-	a.reply <- body(`{"seq":40,"whole":false,"hosts":[` + fmt.Sprintf(line, "SERVING") + `]}`)
-	assert.Equal(t, "/v1/servers", next(t, a.asked), "a version that goes backwards: the whole list is asked for")
-	a.reply <- body(`{"seq":40,"whole":true,"hosts":[` + fmt.Sprintf(line, "SERVING") + `]}`)
-	assert.Equal(t, logic.ListWhole, next(t, a.told).Kind, "what went backwards was not told")
-	assert.Equal(t, since(40), next(t, a.asked))
-	a.reply <- "" // closed while it waits: asked again at once, and for all, since what it had to tell may be lost
-	assert.Equal(t, "/v1/servers", next(t, a.asked))
-	assert.Empty(t, a.told, "nothing has failed yet")
-	a.reply <- ""
-	assert.Equal(t, logic.ListFailed, next(t, a.told).Kind)
+		Kind: "m2", Cell: 3, Readiness: logic.Draining, Units: 1.5, Born: 7}}}, next(t, a.updates))
+	assert.Equal(t, since(43), next(t, a.requests))
+	a.replies <- "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{\"s\r\n" + "1f\r\neq\":44,\"whole\":true,\"hosts\":[]}\r\n0\r\n\r\n"
+	assert.Equal(t, core.List{Kind: logic.ListWhole}, next(t, a.updates), "an empty whole list is a list")
+	assert.Equal(t, since(44), next(t, a.requests))
+	a.replies <- body(`{"seq":44,"whole":false,"hosts":[]}`)
+	assert.Equal(t, since(44), next(t, a.requests), "an empty change is not delivered")
+	a.replies <- "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 34\r\n\r\n" + `{"seq":45,"whole":false,"hosts":[]}`[:34]
+	assert.Equal(t, logic.ListFailed, next(t, a.updates).Kind, "the body is not JSON")
+	assert.Equal(t, "/v1/servers", next(t, a.requests), "a change may be lost, so the whole list is requested")
+	a.replies <- body(`{"seq":44,"whole":true,"hosts":[]}`)
+	assert.Equal(t, logic.ListWhole, next(t, a.updates).Kind)
+	assert.Equal(t, since(44), next(t, a.requests))
+	a.replies <- body(`{"seq":40,"whole":false,"hosts":[` + fmt.Sprintf(line, "SERVING") + `]}`)
+	assert.Equal(t, "/v1/servers", next(t, a.requests), "a version that goes backwards: the whole list is requested")
+	a.replies <- body(`{"seq":40,"whole":true,"hosts":[` + fmt.Sprintf(line, "SERVING") + `]}`)
+	assert.Equal(t, logic.ListWhole, next(t, a.updates).Kind, "the list with the lower version is not delivered")
+	assert.Equal(t, since(40), next(t, a.requests))
+	a.replies <- "" // closed during a watch: the whole list is requested at once, since a change may be lost
+	assert.Equal(t, "/v1/servers", next(t, a.requests))
+	assert.Empty(t, a.updates, "no failure is reported yet")
+	a.replies <- ""
+	assert.Equal(t, logic.ListFailed, next(t, a.updates).Kind)
 	for name, reply := range map[string]string{
-		"an error":             "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
-		"a body cut short":     "!HTTP/1.1 200 OK\r\nContent-Length: 900\r\nConnection: close\r\n\r\n{",
-		"no HTTP":              "hello\r\n\r\n",
-		"a list of wrong type": body(`{"seq":"x"}`),
-		"changes for a list":   body(`{"seq":99,"whole":false,"hosts":[]}`),
+		"an error":              "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
+		"a truncated body":      "!HTTP/1.1 200 OK\r\nContent-Length: 900\r\nConnection: close\r\n\r\n{",
+		"not HTTP":              "hello\r\n\r\n",
+		"a field of wrong type": body(`{"seq":"x"}`),
+		"changes, not a list":   body(`{"seq":99,"whole":false,"hosts":[]}`),
 	} {
-		assert.Equal(t, "/v1/servers", next(t, a.asked), name)
-		a.reply <- reply
-		assert.Equal(t, logic.ListFailed, next(t, a.told).Kind, name)
+		assert.Equal(t, "/v1/servers", next(t, a.requests), name)
+		a.replies <- reply
+		assert.Equal(t, logic.ListFailed, next(t, a.updates).Kind, name)
 	}
-	assert.Equal(t, "/v1/servers", next(t, a.asked))
-	begun := time.Now() // the agent says nothing
-	assert.Equal(t, logic.ListFailed, next(t, a.told).Kind)
-	assert.Less(t, time.Since(begun), 2*time.Second, "a whole list is due at once")
+	assert.Equal(t, "/v1/servers", next(t, a.requests))
+	begun := time.Now() // the agent does not answer
+	assert.Equal(t, logic.ListFailed, next(t, a.updates).Kind)
+	assert.Less(t, time.Since(begun), 2*time.Second, "a request for the whole list has a short timeout")
 }
 
-// Where the list has to be asked for, the module's first word begins the watch and no later one adds a call.
+// In pull mode the first Ask starts the watch, and no later one adds a call.
 func TestAsk(t *testing.T) {
 	a := watch(t, 41, true)
 	for range 50 {
 		a.w.Ask()
 	}
-	next(t, a.asked)
-	a.reply <- body(`{"seq":42,"whole":true,"hosts":[]}`)
-	next(t, a.told)
+	next(t, a.requests)
+	a.replies <- body(`{"seq":42,"whole":true,"hosts":[]}`)
+	next(t, a.updates)
 	a.w.Ask()
-	assert.Contains(t, next(t, a.asked), "since=42")
-	a.reply <- body(`{"seq":43,"whole":true,"hosts":[]}`)
-	next(t, a.told)
-	assert.Contains(t, next(t, a.asked), "since=43")
-	assert.Empty(t, a.asked)
+	assert.Contains(t, next(t, a.requests), "since=42")
+	a.replies <- body(`{"seq":43,"whole":true,"hosts":[]}`)
+	next(t, a.updates)
+	assert.Contains(t, next(t, a.requests), "since=43")
+	assert.Empty(t, a.requests)
 }
 
-// First is closed when what the agent holds has been told, or could not be had.
+// First is closed when the agent's current list has been delivered or the call has failed.
 func TestFirst(t *testing.T) {
 	for name, c := range map[string]struct {
 		reply string
@@ -161,89 +161,89 @@
 		"closed":      {"", 1},
 	} {
 		a := watch(t, 41, false)
-		next(t, a.asked)
+		next(t, a.requests)
 		select {
 		case <-a.w.First():
-			assert.Fail(t, "nothing has come", name)
+			assert.Fail(t, "closed before the first answer", name)
 		default:
 		}
-		a.reply <- c.reply
+		a.replies <- c.reply
 		select {
 		case <-a.w.First():
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			assert.Fail(t, "not closed", name)
 		}
-		assert.Len(t, a.told, c.told, name)
+		assert.Len(t, a.updates, c.told, name)
 	}
 	silent := watch(t, 41, false)
-	next(t, silent.asked)
+	next(t, silent.requests)
 	begun := time.Now()
 	<-silent.w.First()
-	assert.Less(t, time.Since(begun), 2*time.Second, "an agent that says nothing")
+	assert.Less(t, time.Since(begun), 2*time.Second, "an agent that does not answer")
 }
 
-// Where the list has to be asked for discovery answers late, and refuses calls when it has too many. A late answer is
-// waited for: each call that is given up costs discovery as much, and if all brokers do so none of them gets a list. A
-// refused call had nothing to tell, so the same one is made again.
+// In pull mode discovery may answer late, and refuses calls under load. The watch must not give up on a late answer: an
+// abandoned call costs discovery as much as an answered one, and if all brokers abandon theirs, none gets a list. A
+// refused call carried no data, so the same call is repeated.
 func TestLateAndRefused(t *testing.T) {
 	a := watch(t, 41, true)
 	a.w.Ask()
 	opening := "/v1/servers?since=41&timeout_ms=1000"
-	assert.Equal(t, opening, next(t, a.asked))
-	a.reply <- "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
-	assert.Equal(t, logic.ListFailed, next(t, a.told).Kind)
-	assert.Equal(t, opening, next(t, a.asked))
-	a.reply <- "!HTTP/1.1 200 OK\r\nContent-Length: 900\r\nConnection: close\r\n\r\n{"
-	assert.Equal(t, logic.ListFailed, next(t, a.told).Kind)
-	assert.Equal(t, "/v1/servers", next(t, a.asked), "a broken answer may have had something to tell")
+	assert.Equal(t, opening, next(t, a.requests))
+	a.replies <- "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
+	assert.Equal(t, logic.ListFailed, next(t, a.updates).Kind)
+	assert.Equal(t, opening, next(t, a.requests))
+	a.replies <- "!HTTP/1.1 200 OK\r\nContent-Length: 900\r\nConnection: close\r\n\r\n{"
+	assert.Equal(t, logic.ListFailed, next(t, a.updates).Kind)
+	assert.Equal(t, "/v1/servers", next(t, a.requests), "a truncated answer may have carried a change")
 	select {
-	case l := <-a.told:
-		assert.Fail(t, "given up", "%+v", l)
-	case <-time.After(3 * grace): // the answer is late
+	case l := <-a.updates:
+		assert.Fail(t, "the call was abandoned", "%+v", l)
+	case <-time.After(3 * answerGrace): // the answer is late
 	}
-	a.reply <- body(`{"seq":44,"whole":true,"hosts":[]}`)
-	assert.Equal(t, logic.ListWhole, next(t, a.told).Kind)
-	assert.Equal(t, "/v1/servers?since=44&timeout_ms=1000", next(t, a.asked), "a watch may be late to begin")
-	a.reply <- body(`{"seq":44,"whole":false,"hosts":[]}`)
-	assert.Equal(t, "/v1/servers?since=44&timeout_ms=3000", next(t, a.asked), "it goes on")
+	a.replies <- body(`{"seq":44,"whole":true,"hosts":[]}`)
+	assert.Equal(t, logic.ListWhole, next(t, a.updates).Kind)
+	assert.Equal(t, "/v1/servers?since=44&timeout_ms=1000", next(t, a.requests), "discovery may start a watch late")
+	a.replies <- body(`{"seq":44,"whole":false,"hosts":[]}`)
+	assert.Equal(t, "/v1/servers?since=44&timeout_ms=3000", next(t, a.requests), "the watch continues")
 }
 
-// What an agent gets when discovery comes back counts as told at once, and a call that was open before is not answered
-// then. Calls that fail follow each other so closely that the list is known within the half second that is left.
+// A list that the agent gets when discovery comes back must be known within half a second, and the agent does not answer
+// a call that was open before. Failed calls are retried quickly enough to meet that.
 func TestReturnOfDiscovery(t *testing.T) {
 	a := watch(t, 41, false)
-	next(t, a.asked)
-	for range 6 { // the agent is silent, and closes each call when it has been given up
-		assert.Equal(t, logic.ListFailed, next(t, a.told).Kind)
-		a.reply <- ""
-		next(t, a.asked)
+	next(t, a.requests)
+	for range 6 { // the agent does not answer, and closes each call once it is abandoned
+		assert.Equal(t, logic.ListFailed, next(t, a.updates).Kind)
+		a.replies <- ""
+		next(t, a.requests)
 	}
-	back := time.Now() // just now: the open call is not answered
-	assert.Equal(t, logic.ListFailed, next(t, a.told).Kind)
-	a.reply <- ""
-	next(t, a.asked)
-	a.reply <- body(`{"seq":42,"whole":true,"hosts":[]}`)
-	assert.Equal(t, logic.ListWhole, next(t, a.told).Kind)
+	back := time.Now() // the call that is open now is not answered
+	assert.Equal(t, logic.ListFailed, next(t, a.updates).Kind)
+	a.replies <- ""
+	next(t, a.requests)
+	a.replies <- body(`{"seq":42,"whole":true,"hosts":[]}`)
+	assert.Equal(t, logic.ListWhole, next(t, a.updates).Kind)
 	assert.Less(t, time.Since(back), 500*time.Millisecond)
 }
 
-// A watch that moves asks the new agent for the whole list at once, and what the old one still sends is not told.
+// After Move the watch requests the whole list from the new agent at once and ignores the old agent's answers.
 func TestMove(t *testing.T) {
 	from, to := watch(t, 41, false), watch(t, 0, true)
-	next(t, from.asked)
-	from.w.Move(from.ln.Addr().String()) // where it is already: the watch goes on
+	next(t, from.requests)
+	from.w.Move(from.ln.Addr().String()) // the current address: no effect
 	from.w.Move(to.ln.Addr().String())
-	assert.Equal(t, "/v1/servers", next(t, to.asked))
-	from.reply <- body(`{"seq":99,"whole":true,"hosts":[]}`)
-	to.reply <- body(`{"seq":7,"whole":true,"hosts":[` + fmt.Sprintf(line, "SERVING") + `]}`)
-	assert.Len(t, next(t, from.told).Nodes, 1, "the new agent's list")
-	assert.Contains(t, next(t, to.asked), "since=7&", "its versions count, though the old one's were higher")
-	assert.Empty(t, from.told)
+	assert.Equal(t, "/v1/servers", next(t, to.requests))
+	from.replies <- body(`{"seq":99,"whole":true,"hosts":[]}`)
+	to.replies <- body(`{"seq":7,"whole":true,"hosts":[` + fmt.Sprintf(line, "SERVING") + `]}`)
+	assert.Len(t, next(t, from.updates).Nodes, 1, "the new agent's list")
+	assert.Contains(t, next(t, to.requests), "since=7&", "the new agent's versions apply, though the old ones were higher")
+	assert.Empty(t, from.updates)
 	to.ln.Close()
-	to.reply <- ""
-	assert.Equal(t, logic.ListFailed, next(t, from.told).Kind)
+	to.replies <- ""
+	assert.Equal(t, logic.ListFailed, next(t, from.updates).Kind)
 	from.w.Move(from.ln.Addr().String())
-	assert.Equal(t, "/v1/servers", next(t, from.asked), "from an agent that is gone to one that is there")
+	assert.Equal(t, "/v1/servers", next(t, from.requests), "moving from an unreachable agent to a reachable one")
 }
 
 func TestOddLines(t *testing.T) {
@@ -256,17 +256,18 @@
 	assert.Equal(t, 3, odd)
 }
 
-// A watch that falls silent as it begins is broken and opened anew: what it missed is known within six seconds.
+// A watch that goes silent at its start times out and is opened again: a change that it missed is known within six
+// seconds.
 func TestSilentWatch(t *testing.T) {
 	a := watch(t, 41, false)
-	next(t, a.asked)
-	a.reply <- body(`{"seq":41,"whole":false,"hosts":[]}`)
-	assert.Contains(t, next(t, a.asked), "since=41")
-	begun := time.Now() // from now on this connection says nothing
-	assert.Equal(t, logic.ListFailed, next(t, a.told).Kind)
-	a.reply <- "" // the agent's side of it
-	assert.Equal(t, "/v1/servers", next(t, a.asked))
-	a.reply <- body(`{"seq":42,"whole":true,"hosts":[` + fmt.Sprintf(line, "DRAINING") + `]}`)
-	assert.Equal(t, logic.Draining, next(t, a.told).Nodes[0].Readiness)
+	next(t, a.requests)
+	a.replies <- body(`{"seq":41,"whole":false,"hosts":[]}`)
+	assert.Contains(t, next(t, a.requests), "since=41")
+	begun := time.Now() // from now on the agent sends nothing on this connection
+	assert.Equal(t, logic.ListFailed, next(t, a.updates).Kind)
+	a.replies <- "" // the agent closes its side
+	assert.Equal(t, "/v1/servers", next(t, a.requests))
+	a.replies <- body(`{"seq":42,"whole":true,"hosts":[` + fmt.Sprintf(line, "DRAINING") + `]}`)
+	assert.Equal(t, logic.Draining, next(t, a.updates).Nodes[0].Readiness)
 	assert.Less(t, time.Since(begun), 6*time.Second)
 }
