--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -12,193 +12,196 @@
 )
 
 const (
-	headMost   = 4 << 10         // bytes of a request's head, and of each connection's reader
-	sendWithin = 2 * time.Second // an answer has so long to go out
-	// lingerFor is how long a connection is read on after it was shut, and lingerMost how many bytes of it. One that
-	// is closed with bytes unread is reset, and an answer that the client has not read yet is lost with it.
-	lingerFor  = time.Second
-	lingerMost = 1 << 20
+	maxHeadBytes = 4 << 10         // maximum size of a request head in bytes, and the size of each connection's read buffer
+	writeTimeout = 2 * time.Second // write timeout of an answer
+	// lingerTimeout and maxLingerBytes bound, in time and bytes, how long the front reads from a connection after it shut down
+	// the write side. Closing a socket with unread bytes resets it, and the client then loses an answer that it has not
+	// read yet.
+	lingerTimeout  = time.Second
+	maxLingerBytes = 1 << 20
 )
 
-// longPast is a read deadline that wakes a connection's goroutine at once.
-var longPast = time.Unix(1, 0)
+// pastDeadline is a read deadline in the past; it unblocks a connection's goroutine at once.
+var pastDeadline = time.Unix(1, 0)
 
-// stage is how far a connection is: between two requests, with a part of one come in, with one at work, or shut, when
-// what still comes is read and dropped.
+// stage is the state of a connection: idle between two requests, reading a request, waiting for the answer to one, or
+// closing, when the write side is shut and further input is discarded.
 type stage int
 
 const (
 	idle stage = iota
 	reading
-	working
+	processing
 	closing
 )
 
-// client is one connection. Its goroutine alone ends it; others ask it to. first, asked, ending, stage and since, when
-// that began, are under the front's mutex.
+// client is one client connection. Its own goroutine closes it; others request that through closeRequested. The front's
+// mutex guards noInput, closeRequested, ending, stage and since, the time at which the stage began.
 type client struct {
-	f     *Front
-	conn  net.Conn
-	input input
-	in    *bufio.Reader
-	cut   bool // no more answer can be written
-	first bool // nothing has come in yet
-	asked bool // it is to end before its next request
-	// ending: asked, or shut; the front counts those.
+	front          *Front
+	conn           net.Conn
+	input          input
+	in             *bufio.Reader
+	writeFailed    bool // a write has failed, so no further answer can be sent
+	noInput        bool // no byte has arrived yet
+	closeRequested bool // it must close before its next request
+	// ending: asked to close, or shut. Front.ending counts these.
 	ending bool
 	stage  stage
 	since  time.Time
 	reply  chan core.Reply
 }
 
-func newClient(f *Front, conn net.Conn) *client {
-	c := &client{f: f, conn: conn, reply: make(chan core.Reply, 1), first: true, since: time.Now()}
-	c.input = input{conn: conn, now: f.Now, budget: &f.budget}
-	c.in = bufio.NewReaderSize(&c.input, headMost)
+func newClient(front *Front, conn net.Conn) *client {
+	c := &client{front: front, conn: conn, reply: make(chan core.Reply, 1), noInput: true, since: time.Now()}
+	c.input = input{conn: conn, now: front.Now, budget: &front.readAheadBudget}
+	c.in = bufio.NewReaderSize(&c.input, maxHeadBytes)
 	return c
 }
 
+// serve handles the connection's requests and then closes it.
 func (c *client) serve() {
-	c.wait(true)
-	for c.one() {
+	c.startIdle(true)
+	for c.serveRequest() {
 	}
-	if c.enter(closing, time.Now().Add(lingerFor)) && !c.cut {
+	if c.enter(closing, time.Now().Add(lingerTimeout)) && !c.writeFailed {
 		c.linger()
 	}
 	c.conn.Close()
 	c.input.release()
-	c.f.mu.Lock()
-	c.f.remove(c)
-	c.f.mu.Unlock()
+	c.front.mu.Lock()
+	c.front.remove(c)
+	c.front.mu.Unlock()
 }
 
-// enter says how far the connection is, and how long its goroutine waits there; false: it has been cut.
+// enter sets the connection's stage and read deadline. It returns false if the front has already removed the connection.
 func (c *client) enter(at stage, until time.Time) bool {
-	c.f.mu.Lock()
-	defer c.f.mu.Unlock()
-	_, here := c.f.conns[c]
+	c.front.mu.Lock()
+	defer c.front.mu.Unlock()
+	_, here := c.front.conns[c]
 	c.stage, c.since = at, time.Now()
 	c.conn.SetReadDeadline(until)
 	if at == closing && here {
-		c.f.leaves(c)
+		c.front.markEnding(c)
 	}
 	return here
 }
 
-// wait begins the time between two requests; false: the connection is to end.
-func (c *client) wait(accepted bool) bool {
-	c.f.mu.Lock()
-	defer c.f.mu.Unlock()
-	if c.asked && !accepted && !c.more() {
+// startIdle makes the connection idle. It returns false if the connection must close.
+func (c *client) startIdle(accepted bool) bool {
+	c.front.mu.Lock()
+	defer c.front.mu.Unlock()
+	if c.closeRequested && !accepted && !c.hasMore() {
 		return false
 	}
 	c.stage = idle
 	if !accepted {
 		c.since = time.Now()
 	}
-	if !c.asked {
-		c.conn.SetReadDeadline(c.since.Add(c.f.ReadWithin))
+	if !c.closeRequested {
+		c.conn.SetReadDeadline(c.since.Add(c.front.ReadWithin))
 	}
 	return true
 }
 
-// begin notes that a request has begun to come in.
-func (c *client) begin() {
-	c.f.mu.Lock()
-	defer c.f.mu.Unlock()
-	until := time.Now().Add(c.f.ReadWithin)
-	if c.first {
-		until = c.since.Add(c.f.ReadWithin)
+// startReading records that the first bytes of a request have arrived.
+func (c *client) startReading() {
+	c.front.mu.Lock()
+	defer c.front.mu.Unlock()
+	until := time.Now().Add(c.front.ReadWithin)
+	if c.noInput {
+		until = c.since.Add(c.front.ReadWithin)
 	}
-	c.stage, c.since, c.first = reading, time.Now(), false
+	c.stage, c.since, c.noInput = reading, time.Now(), false
 	c.conn.SetReadDeadline(until)
 }
 
-// one serves one request; false: the connection is to be closed.
-func (c *client) one() bool {
-	c.input.quota = headMost
+// serveRequest handles one request. It returns false if the connection must close.
+func (c *client) serveRequest() bool {
+	c.input.quota = maxHeadBytes
 	if _, err := c.in.Peek(1); err != nil {
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
-			c.f.Stats.ByClient.Add(1)
-		} else if !c.wasAsked() {
-			c.f.Stats.ByFront.Add(1)
+			c.front.Stats.ByClient.Add(1)
+		} else if !c.mustClose() {
+			c.front.Stats.ByFront.Add(1)
 		}
 		return false
 	}
-	at := c.input.cameAt(c.in.Buffered())
-	c.begin()
-	if status, why := c.head(); status != 0 {
+	at := c.input.arrivedAt(c.in.Buffered())
+	c.startReading()
+	if status, why := c.readHead(); status != 0 {
 		return c.refuse(plain(status, why))
 	}
 	req, err := http.ReadRequest(c.in)
 	if err != nil {
 		return c.refuse(plain(http.StatusBadRequest, "the request could not be read"))
 	}
-	c.f.Stats.Requests.Add(1)
-	scan, r := c.f.read(c, req, at)
+	c.front.Stats.Requests.Add(1)
+	scan, r := c.front.handleRequest(c, req, at)
 	switch {
 	case scan == nil:
-		return c.answer(r, req.Close || r.fatal)
-	case c.f.tooLate.Load():
+		return c.answer(r, req.Close || r.mustClose)
+	case c.front.refuseScans.Load():
 		return c.answer(plain(http.StatusServiceUnavailable, "stopping"), req.Close)
 	}
-	return c.work(scan, req.Close)
+	return c.process(scan, req.Close)
 }
 
-// answer writes an answer, and says whether the connection goes on. It ends where it is to, or where its place is
-// wanted, but not over a request that has been read: its client would wait for an answer that never comes.
+// answer writes an answer and reports whether the connection stays open. The connection closes if it was asked to or
+// the front needs its slot, but not while a further request has been read: the client would wait for its answer in vain.
 func (c *client) answer(a answer, last bool) bool {
-	wanted := c.wasAsked() || c.f.leaving.Load() || c.f.crowded()
-	last = last || wanted && !c.more()
-	return c.write(a, last) && !last && c.wait(false)
+	wanted := c.mustClose() || c.front.closeAfterAnswer.Load() || c.front.crowded()
+	last = last || wanted && !c.hasMore()
+	return c.write(a, last) && !last && c.startIdle(false)
 }
 
-// more says whether some of a further request has been read.
-func (c *client) more() bool { return c.in.Buffered()+len(c.input.ahead) > 0 }
+// hasMore reports whether bytes of a further request have been read.
+func (c *client) hasMore() bool { return c.in.Buffered()+len(c.input.ahead) > 0 }
 
-// work has a query answered; false: the connection is to be closed.
-func (c *client) work(scan *core.Scan, last bool) bool {
+// process passes a scan on and writes its answer. It returns false if the connection must close.
+func (c *client) process(scan *core.Scan, last bool) bool {
 	if c.input.gone() {
-		c.f.Stats.LeftAtWork.Add(1) // nobody waits for it: it is not begun
+		c.front.Stats.LeftAtWork.Add(1) // the client is gone, so the scan is not started
 		return false
 	}
 	scan.Client = c
-	c.enter(working, time.Time{})
-	c.f.Take(scan)
-	// While the query is out the connection is read: a client that closes it has left. Reply breaks the wait.
+	c.enter(processing, time.Time{})
+	c.front.Take(scan)
+	// Read from the connection while the scan runs, to detect a client that closes it. Reply unblocks the read.
 	if c.input.watch() {
-		c.f.Stats.LeftAtWork.Add(1)
-		c.f.Left(scan)
+		c.front.Stats.LeftAtWork.Add(1)
+		c.front.Left(scan)
 		return false
 	}
 	flooded := c.input.full()
 	reply := <-c.reply
-	c.f.took(c.f.Now() - scan.At)
+	c.front.recordAnswerTime(c.front.Now() - scan.At)
 	return c.answer(render(reply), last || flooded)
 }
 
-func (c *client) wasAsked() bool {
-	c.f.mu.Lock()
-	defer c.f.mu.Unlock()
-	return c.asked
+// mustClose reports whether the connection was asked to close.
+func (c *client) mustClose() bool {
+	c.front.mu.Lock()
+	defer c.front.mu.Unlock()
+	return c.closeRequested
 }
 
-// refuse answers what could not be read as a request: where the next one begins is not known.
+// refuse answers a malformed request and closes the connection, since the start of the next request is unknown.
 func (c *client) refuse(a answer) bool {
-	c.f.Stats.Malformed.Add(1)
+	c.front.Stats.Malformed.Add(1)
 	c.write(a, true)
 	return false
 }
 
-// head waits for a request's head and looks at it as it came, or says what to answer. Of two lengths, or a length and
-// chunks, http.ReadRequest keeps one and forgets the other, and what stands behind the body by the one could be a
-// request by the other: nobody may be served that.
-func (c *client) head() (status int, why string) {
+// readHead waits for a complete request head and checks its raw bytes. It returns the status and text of an error answer,
+// or 0. If a request has two lengths, or a length and chunked encoding, http.ReadRequest uses one and drops the other,
+// which would allow request smuggling. Such requests are rejected.
+func (c *client) readHead() (status int, why string) {
 	for n := 1; ; n++ {
 		n = max(n, c.in.Buffered())
 		text, err := c.in.Peek(n)
 		if end := headEnd(text); end > 0 {
-			return framing(text[:end])
+			return checkFraming(text[:end])
 		} else if errors.Is(err, bufio.ErrBufferFull) || errors.Is(err, errQuota) {
 			return http.StatusRequestHeaderFieldsTooLarge, "the head is too long"
 		} else if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -209,30 +212,31 @@
 	}
 }
 
-// linger shuts the connection for writing and reads on until the client closes it too. A request that comes now was
-// never taken: its client finds the connection shut, and sends it once more on another.
+// linger shuts down the write side and discards input until the client closes its side. A request that arrives now is
+// not processed; its client sees the connection closed and retries on another.
 func (c *client) linger() {
 	if tcp, ok := c.conn.(*net.TCPConn); ok && c.input.err == nil && tcp.CloseWrite() == nil {
-		c.input.discard(lingerMost, time.Now().Add(lingerFor))
+		c.input.discard(maxLingerBytes, time.Now().Add(lingerTimeout))
 	}
 }
 
-// Reply hands a query's answer to its connection. It never waits.
+// Reply passes a scan's answer to its connection. It does not block.
 func Reply(r core.Reply) {
 	c := r.Scan.Client.(*client)
-	c.conn.SetReadDeadline(longPast) // first: who takes the reply sets the next one
+	c.conn.SetReadDeadline(pastDeadline) // before the send, since the receiver of the reply sets the next deadline
 	select {
 	case c.reply <- r:
-	default: // a second answer to one query: there is none
+	default: // ignore a second answer to one scan
 	}
 }
 
+// write sends an answer; last adds the header that closes the connection.
 func (c *client) write(a answer, last bool) bool {
 	if last {
-		c.f.Stats.ByAnswer.Add(1)
+		c.front.Stats.ByAnswer.Add(1)
 	}
-	c.conn.SetWriteDeadline(time.Now().Add(sendWithin))
+	c.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := c.conn.Write(a.bytes(last))
-	c.cut = err != nil
-	return !c.cut
+	c.writeFailed = err != nil
+	return !c.writeFailed
 }
--- a/internal/front/http.go
+++ b/internal/front/http.go
@@ -18,29 +18,30 @@
 )
 
 const (
-	bodyMost = 64 << 10
-	idMost   = 200
-	// boostSlack is what the rounding of a scan's boosts may add up to.
+	maxBodyBytes = 64 << 10
+	maxIDBytes   = 200
+	// boostSlack is the tolerated rounding error of the sum of a scan's boosts.
 	boostSlack = 0.01
 )
 
-// answer is what goes to a client.
+// answer is a response to a client.
 type answer struct {
-	status     int
-	kind, text string
-	retryAfter float64 // ms
-	fatal      bool    // where the next request begins is not known: close
+	status            int
+	contentType, text string
+	retryAfter        float64 // ms
+	mustClose         bool    // the start of the next request is unknown, so the connection must close
 }
 
 func plain(status int, text string) answer {
-	return answer{status: status, kind: "text/plain; charset=utf-8", text: text + "\n"}
+	return answer{status: status, contentType: "text/plain; charset=utf-8", text: text + "\n"}
 }
 
+// bytes encodes the answer as an HTTP/1.1 response.
 func (a answer) bytes(last bool) []byte {
 	b := make([]byte, 0, 256+len(a.text))
 	b = fmt.Appendf(b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", a.status, http.StatusText(a.status), len(a.text))
-	if a.kind != "" {
-		b = fmt.Appendf(b, "Content-Type: %s\r\n", a.kind)
+	if a.contentType != "" {
+		b = fmt.Appendf(b, "Content-Type: %s\r\n", a.contentType)
 	}
 	if a.retryAfter > 0 {
 		b = fmt.Appendf(b, "Retry-After: %s\r\n", strconv.FormatFloat(a.retryAfter/1000, 'f', 3, 64))
@@ -52,7 +53,7 @@
 	return append(b, a.text...)
 }
 
-// render puts the core's reply into the words of the protocol.
+// render converts the core's reply to an HTTP answer.
 func render(r core.Reply) answer {
 	switch r.Kind {
 	case logic.Answer:
@@ -71,7 +72,7 @@
 		if err != nil {
 			return plain(http.StatusInternalServerError, "the answer could not be written")
 		}
-		return answer{status: http.StatusOK, kind: "application/json", text: string(text)}
+		return answer{status: http.StatusOK, contentType: "application/json", text: string(text)}
 	case logic.Throttle:
 		a := plain(http.StatusTooManyRequests, cmp.Or(r.Why, "throttled"))
 		a.retryAfter = r.RetryAfter
@@ -83,7 +84,7 @@
 	return plain(http.StatusGatewayTimeout, cmp.Or(r.Why, "abandoned"))
 }
 
-// headEnd is where a head's empty line ends; 0: it has not come yet.
+// headEnd returns the offset behind the empty line that ends a request head, or 0 if it has not arrived yet.
 func headEnd(text []byte) int {
 	for i, c := range text {
 		if rest := text[i+1:]; c != '\n' {
@@ -97,8 +98,8 @@
 	return 0
 }
 
-// framing finds what makes a body's end doubtful.
-func framing(head []byte) (status int, why string) {
+// checkFraming rejects heads that make the length of the body ambiguous. It returns status 0 if there is no fault.
+func checkFraming(head []byte) (status int, why string) {
 	lengths, codings := 0, 0
 	for i, line := range bytes.Split(head, []byte("\n")) {
 		name, _, _ := bytes.Cut(line, []byte(":"))
@@ -117,30 +118,30 @@
 	return 0, ""
 }
 
-// read takes a request apart. A scan comes back if it is one, else what to answer.
-func (f *Front) read(c *client, req *http.Request, at float64) (*core.Scan, answer) {
-	if req.ContentLength > bodyMost {
+// handleRequest reads a request's body and handles the request. It returns either a valid scan or the answer to send.
+func (f *Front) handleRequest(c *client, req *http.Request, at float64) (*core.Scan, answer) {
+	if req.ContentLength > maxBodyBytes {
 		a := plain(http.StatusRequestEntityTooLarge, "the body is over 64 KiB")
-		a.fatal = true
+		a.mustClose = true
 		return nil, a
 	}
 	if req.Header.Get("Expect") == "100-continue" {
 		if _, err := io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
-			return nil, answer{status: http.StatusBadRequest, fatal: true}
+			return nil, answer{status: http.StatusBadRequest, mustClose: true}
 		}
 	}
-	c.input.quota = 2*bodyMost + headMost // chunks bring framing of their own
+	c.input.quota = 2*maxBodyBytes + maxHeadBytes // chunked encoding adds framing bytes
 	buf := buffers.Get()
 	defer buffers.Put(buf)
 	n, err := fill(req.Body, buf[:])
 	switch {
-	case n > bodyMost:
+	case n > maxBodyBytes:
 		a := plain(http.StatusRequestEntityTooLarge, "the body is over 64 KiB")
-		a.fatal = true
+		a.mustClose = true
 		return nil, a
 	case err != nil:
 		a := plain(http.StatusBadRequest, "the body could not be read")
-		a.fatal = true
+		a.mustClose = true
 		return nil, a
 	}
 	if req.URL.Path == "/healthz" {
@@ -152,7 +153,7 @@
 		}
 		return nil, plain(http.StatusOK, "ready")
 	}
-	s, status, why := f.scan(req, buf[:n], at)
+	s, status, why := f.parseScan(req, buf[:n], at)
 	if s == nil {
 		f.Stats.Malformed.Add(1)
 		return nil, plain(status, why)
@@ -160,7 +161,7 @@
 	return s, answer{}
 }
 
-// fill reads a body to its end, or until buf is full.
+// fill reads from r until EOF or until buf is full.
 func fill(r io.Reader, buf []byte) (n int, err error) {
 	for n < len(buf) {
 		m, err := r.Read(buf[n:])
@@ -174,6 +175,7 @@
 	return n, nil
 }
 
+// wireScan is the JSON body of a scan request.
 type wireScan struct {
 	Segments []struct {
 		Segment *int     `json:"segment"`
@@ -183,8 +185,9 @@
 	Text *string `json:"text"`
 }
 
-// scan checks a request for a scan: what goes on from here is well formed, whatever a client sent.
-func (f *Front) scan(req *http.Request, body []byte, at float64) (*core.Scan, int, string) {
+// parseScan validates a scan request and converts it to the core's type. It returns an HTTP status and a text for invalid
+// requests.
+func (f *Front) parseScan(req *http.Request, body []byte, at float64) (*core.Scan, int, string) {
 	bad := func(why string) (*core.Scan, int, string) { return nil, http.StatusBadRequest, why }
 	name, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
 	typ, known := f.Site.TypeIndex[name]
@@ -200,14 +203,14 @@
 	switch {
 	case err != nil || left == 0:
 		return bad("X-Time-Left-Ms must be a whole number of milliseconds above 0")
-	case !word(s.ID):
+	case !validToken(s.ID):
 		return bad("X-Correlation-Id must be 1 to 200 printable characters without space or comma")
-	case f.Site.Types[typ].Keyed && !word(s.Key):
+	case f.Site.Types[typ].Keyed && !validToken(s.Key):
 		return bad("this table type needs an Idempotency-Key without space or comma")
 	}
 	s.TimeLeft = float64(left)
-	if s.Account = req.Header.Get("X-Account"); len(s.Account) > idMost {
-		s.Account = s.Account[:idMost]
+	if s.Account = req.Header.Get("X-Account"); len(s.Account) > maxIDBytes {
+		s.Account = s.Account[:maxIDBytes]
 	}
 	var w wireScan
 	if err := json.Unmarshal(body, &w); err != nil {
@@ -244,8 +247,8 @@
 	return s, 0, ""
 }
 
-// word says whether s can stand in a frame's line.
-func word(s string) bool {
+// validToken reports whether s can be part of a frame's header line.
+func validToken(s string) bool {
 	odd := func(r rune) bool { return r <= ' ' || r > '~' || r == ',' }
-	return s != "" && len(s) <= idMost && !strings.ContainsFunc(s, odd)
+	return s != "" && len(s) <= maxIDBytes && !strings.ContainsFunc(s, odd)
 }
--- a/internal/front/input.go
+++ b/internal/front/input.go
@@ -11,36 +11,36 @@
 )
 
 const (
-	chunkSize = 1 << 10
-	// aheadMost is how many bytes of later requests are read while one is at work, at most. Behind more than that a
-	// client's close is not seen; whoever sends so much has its connection closed after the answer.
-	aheadMost = 256 << 10
+	readAheadChunk = 1 << 10
+	// maxReadAhead is the maximum number of bytes of later requests that are read while one is processed. Beyond it a
+	// client's close goes undetected, so the connection closes after the answer.
+	maxReadAhead = 256 << 10
 )
 
 var errQuota = errors.New("request too long")
 
-// input is what comes from one client. Only the connection's goroutine uses it. While a request is at work it reads on,
-// for two reasons: a client that closes its connection has left, however much it sent before, and the time of a request
-// that was sent behind another counts from when it came.
+// input is the buffered input of one client. Only the connection's goroutine uses it. It reads ahead while a request is
+// processed, for two reasons: to detect that the client closed the connection, whatever it has pipelined before, and
+// because the time budget of a pipelined request starts at its arrival.
 type input struct {
-	conn   net.Conn
-	now    func() float64
-	budget *atomic.Int64 // bytes that all connections together may still read ahead
-	quota  int           // bytes that may still be handed on; it stops a request from being read without end
-	ahead  []byte        // read, not handed on
-	chunk  [chunkSize]byte
-	handed int64     // bytes handed on
-	came   []arrival // of what was read, the oldest first
-	err    error     // how the client's side ended, behind all of ahead
+	conn     net.Conn
+	now      func() float64
+	budget   *atomic.Int64 // remaining read-ahead bytes of all connections together
+	quota    int           // remaining bytes that Read may return; bounds the size of a request
+	ahead    []byte        // bytes read but not yet returned by Read
+	chunk    [readAheadChunk]byte
+	consumed int64     // bytes returned by Read
+	arrivals []arrival // arrival times of the bytes read, oldest first
+	err      error     // error or EOF that follows the bytes in ahead
 }
 
-// arrival says when the bytes up to an offset were read.
+// arrival is the time at which the bytes up to an offset were read.
 type arrival struct {
 	upTo int64
 	at   float64
 }
 
-// Read hands on what came, and waits for more if nothing is there.
+// Read returns bytes that were read ahead, or reads from the connection if there are none.
 func (in *input) Read(p []byte) (int, error) {
 	if in.quota <= 0 {
 		return 0, errQuota
@@ -51,8 +51,8 @@
 			return 0, in.err
 		}
 		n, err := in.conn.Read(p)
-		in.note(n, err)
-		in.hand(n)
+		in.record(n, err)
+		in.consume(n)
 		return n, err
 	}
 	n := copy(p, in.ahead)
@@ -61,55 +61,56 @@
 	if len(in.ahead) == 0 {
 		in.ahead = nil
 	}
-	in.hand(n)
+	in.consume(n)
 	return n, nil
 }
 
-func (in *input) hand(n int) {
-	in.handed += int64(n)
+// consume counts n bytes as returned by Read.
+func (in *input) consume(n int) {
+	in.consumed += int64(n)
 	in.quota -= n
 }
 
-// note keeps when n bytes came, and how the client's side ended.
-func (in *input) note(n int, err error) {
+// record stores the arrival time of n bytes and the end of the client's side.
+func (in *input) record(n int, err error) {
 	if n > 0 {
-		in.came = append(in.came, arrival{in.handed + int64(len(in.ahead)+n), in.now()})
+		in.arrivals = append(in.arrivals, arrival{in.consumed + int64(len(in.ahead)+n), in.now()})
 	}
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		in.err = err
 	}
 }
 
-// cameAt is when the byte came that follows all but the last unread of those handed on.
-func (in *input) cameAt(unread int) float64 {
-	offset := in.handed - int64(unread)
-	for len(in.came) > 1 && in.came[0].upTo <= offset {
-		in.came = in.came[1:]
+// arrivedAt returns the arrival time of the first of the last unread bytes that Read returned.
+func (in *input) arrivedAt(unread int) float64 {
+	offset := in.consumed - int64(unread)
+	for len(in.arrivals) > 1 && in.arrivals[0].upTo <= offset {
+		in.arrivals = in.arrivals[1:]
 	}
-	if len(in.came) == 0 || in.came[0].upTo <= offset {
+	if len(in.arrivals) == 0 || in.arrivals[0].upTo <= offset {
 		return in.now()
 	}
-	return in.came[0].at
+	return in.arrivals[0].at
 }
 
-// keep puts n bytes of chunk behind those that were read ahead.
-func (in *input) keep(n int, err error) {
-	in.note(n, err)
+// store appends n bytes of chunk to the read-ahead buffer.
+func (in *input) store(n int, err error) {
+	in.record(n, err)
 	in.ahead = append(in.ahead, in.chunk[:n]...)
 	in.budget.Add(-int64(n))
 }
 
-// full says that no more may be read ahead. A first chunk may always be: it tells whether the client has left.
+// full reports whether reading ahead must stop. A first chunk is always allowed, to detect that the client has left.
 func (in *input) full() bool {
-	return len(in.ahead) > 0 && (len(in.ahead)+chunkSize > aheadMost || in.budget.Load() < chunkSize)
+	return len(in.ahead) > 0 && (len(in.ahead)+readAheadChunk > maxReadAhead || in.budget.Load() < readAheadChunk)
 }
 
-// watch reads ahead until the client's side ends, and then returns true, or until a read deadline passes or no more may
-// be read ahead.
+// watch reads ahead until the client's side ends, a read deadline passes or the buffer is full. It reports whether the
+// client's side has ended.
 func (in *input) watch() (left bool) {
 	for in.err == nil && !in.full() {
 		n, err := in.conn.Read(in.chunk[:])
-		in.keep(n, err)
+		in.store(n, err)
 		if err != nil {
 			break
 		}
@@ -117,7 +118,7 @@
 	return in.err != nil
 }
 
-// gone reads ahead what has come by now, without waiting, and says whether the client's side has ended.
+// gone reads ahead without blocking and reports whether the client's side has ended.
 func (in *input) gone() bool {
 	raw, err := in.conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -139,18 +140,18 @@
 		if n == 0 && cause == nil {
 			cause = io.EOF
 		}
-		in.keep(max(n, 0), cause)
+		in.store(max(n, 0), cause)
 	}
 	return in.err != nil
 }
 
-// release gives back what it holds of the common budget.
+// release returns the buffered bytes to the shared budget.
 func (in *input) release() {
 	in.budget.Add(int64(len(in.ahead)))
 	in.ahead = nil
 }
 
-// discard reads and drops what still comes, up to most bytes or a moment, until the client's side ends.
+// discard reads and drops input until the client's side ends, up to the given number of bytes and time.
 func (in *input) discard(most int, until time.Time) {
 	in.release()
 	in.conn.SetReadDeadline(until)
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -1,5 +1,6 @@
-// Package front is the broker's HTTP/1.1 server: persistent connections, one goroutine for each. It reads and checks
-// requests, hands queries on, watches for clients that leave, and writes answers. It decides nothing.
+// Package front is the broker's HTTP/1.1 server for clients. It serves persistent connections with one goroutine each:
+// it reads and validates requests, passes scans on, detects clients that disconnect, and writes answers. How a scan is
+// answered is decided elsewhere.
 package front
 
 import (
@@ -18,88 +19,89 @@
 )
 
 const (
-	acceptWait = 5 * time.Millisecond
-	speakUp    = 300 * time.Millisecond // beyond Ample: a connection that has said nothing for so long goes
-	fading     = 0.99                   // of the slowest answer, with each one that follows
-	settle     = 100 * time.Millisecond // a connection that came a moment ago has its request on the way
-	stopStep   = 20 * time.Millisecond
-	flushStep  = 5 * time.Millisecond
-	yieldMost  = 10 // how often the acceptor lets others run before it turns a connection away
+	acceptRetryDelay  = 5 * time.Millisecond
+	silentTimeout     = 300 * time.Millisecond // above Ample, a connection without any request for this long is closed
+	answerTimeDecay   = 0.99                   // decay of the slowest answer's time with each further answer
+	minIdleAge        = 100 * time.Millisecond // a connection younger than this probably has a request in transit
+	stopPollInterval  = 20 * time.Millisecond
+	flushPollInterval = 5 * time.Millisecond
+	maxYields         = 10 // how often the acceptor yields to other goroutines before it rejects a connection
 )
 
-// ClosingMost is how many connections may be on their way out at once beside Most in service.
+// ClosingMost is the maximum number of closing connections, in addition to Most in service.
 const ClosingMost = 16
 
-// Front serves clients. Take gets each query, Left each query whose client went; both may wait.
+// Front serves clients. It calls Take with each scan, and Left with each scan whose client disconnected; both may block.
 type Front struct {
 	Site terms.Site
 	Now  func() float64
 	Take func(*core.Scan)
 	Left func(*core.Scan)
-	Most int // client connections in service at once
-	// Ample is how many of them leave room enough. Beyond it a connection gives its place back with the answer, and one
-	// that has never said anything goes soon: its client may count it against what it can open, and so may a machine
-	// between. Clients of old connect once more; more than that it cannot harm.
+	Most int // maximum client connections in service
+	// Ample is the number of connections up to which the front keeps them open. Above it a connection closes with its next
+	// answer, and one that has sent no request closes soon: a client, or a machine in between, may count it against its
+	// own limit. At worst such a client has to connect again.
 	Ample int
-	// ReadAhead is how many bytes all connections together may hold of requests that follow one at work.
+	// ReadAhead is the total number of bytes of pipelined requests that all connections together may buffer.
 	ReadAhead int
-	// ReadWithin is how long a connection may stay without a request, and how long a request may take to come in:
-	// counted from the accept for the first one, then from the last answer and from its first byte. Whoever says
-	// nothing holds a descriptor that others need.
+	// ReadWithin is the timeout of an idle connection and of reading a request. For the first request it counts from the
+	// accept; later from the last answer and from the request's first byte. Idle connections hold descriptors that
+	// others need.
 	ReadWithin time.Duration
 	Log        zerolog.Logger
 	Stats      Stats
 
-	ready    atomic.Bool
-	stopping atomic.Bool
-	leaving  atomic.Bool
-	tooLate  atomic.Bool
-	budget   atomic.Int64 // of ReadAhead, what is left
+	ready            atomic.Bool
+	stopping         atomic.Bool
+	closeAfterAnswer atomic.Bool
+	refuseScans      atomic.Bool
+	readAheadBudget  atomic.Int64 // remaining bytes of ReadAhead
 
-	mu     sync.Mutex
-	conns  map[*client]struct{}
-	ending int     // of them, those that are asked to end or shut
-	answer float64 // what answers took of late, ms
+	mu            sync.Mutex
+	conns         map[*client]struct{}
+	ending        int     // how many of conns were asked to close or are shut
+	slowestAnswer float64 // recent slowest answer time, ms
 }
 
-// Stats count what the front saw.
+// Stats are the front's counters.
 type Stats struct {
 	Accepted, Failed, Requests, Malformed, Crowded atomic.Int64
-	// Ends of connections: by the client between two requests or during one, by the front after an answer that said so,
-	// by the front for another's sake or for having said nothing.
+	// Closed connections by cause: by the client between two requests or during one, by the front after an answer that
+	// announced it, by the front to free a slot or after the idle timeout.
 	ByClient, LeftAtWork, ByAnswer, ByFront atomic.Int64
 	lastAccept                              atomic.Int64 // wall clock, ns
 }
 
-// Ready lets /healthz say so.
+// Ready makes /healthz report that the broker is ready.
 func (f *Front) Ready() { f.ready.Store(true) }
 
-// crowded says whether answers should give their connections' places back; not while stopping, when a connection that
-// is open is all that a client has.
+// crowded reports whether connections should close with their next answer. It returns false during shutdown, when an open
+// connection may be the only one that a client has.
 func (f *Front) crowded() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.inService() > f.Ample && !f.stopping.Load()
 }
 
-// Conns is how many client connections are open.
+// Conns returns the number of open client connections.
 func (f *Front) Conns() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.conns)
 }
 
-// inService counts the connections that nobody has asked to end. It needs the mutex.
+// inService returns the number of connections that were not asked to close. The caller holds the mutex.
 func (f *Front) inService() int { return len(f.conns) - f.ending }
 
-// leaves notes that c is on its way out; remove, that it is gone. They need the mutex.
-func (f *Front) leaves(c *client) {
+// markEnding counts c as ending, once. The caller holds the mutex.
+func (f *Front) markEnding(c *client) {
 	if !c.ending {
 		c.ending = true
 		f.ending++
 	}
 }
 
+// remove deletes c from the open connections. The caller holds the mutex.
 func (f *Front) remove(c *client) {
 	if _, here := f.conns[c]; !here {
 		return
@@ -110,25 +112,25 @@
 	}
 }
 
-// Serve accepts until the listener closes. It never waits, since the time of those in the machine's queue runs: at the
-// limit the connection goes that has been idle longest, or has sent half a request for longest; where all are at work
-// it is the new one.
+// Serve accepts connections until the listener closes. It does not wait for a free slot, because the time budgets of the
+// clients in the accept queue are running. At the limit it closes the connection that has been idle longest, else the
+// one with the oldest incomplete request; if all are processing requests it rejects the new one.
 func (f *Front) Serve(ln net.Listener) error {
 	f.mu.Lock()
 	f.conns = map[*client]struct{}{}
 	f.mu.Unlock()
-	f.budget.Store(int64(f.ReadAhead))
+	f.readAheadBudget.Store(int64(f.ReadAhead))
 	for {
 		conn, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return err
 		}
 		if err != nil {
-			// No descriptor was free, or the client went before it was accepted. Ending over that would lose every
-			// query that is open; it can only harm by trying in vain, so not too often.
+			// No descriptor is free, or the client closed the connection before the accept. Returning would lose all
+			// open scans, so retry after a short pause.
 			f.Stats.Failed.Add(1)
-			f.freeOne()
-			time.Sleep(acceptWait)
+			f.freeDescriptor()
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		f.Stats.Accepted.Add(1)
@@ -143,23 +145,24 @@
 	}
 }
 
-// admit gives a new connection a place, another's if need be; false: there is none.
+// admit reserves a slot for a new connection, and closes another connection for it if needed. It returns false if there
+// is none.
 func (f *Front) admit(c *client) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for f.inService() >= f.Ample && f.askOldest(idle, speakUp, true) {
+	for f.inService() >= f.Ample && f.requestCloseOfOldest(idle, silentTimeout, true) {
 	}
-	if f.inService() >= f.Most && !f.askOldest(idle, 0, false) && !f.askOldest(reading, settle, false) {
+	if f.inService() >= f.Most && !f.requestCloseOfOldest(idle, 0, false) && !f.requestCloseOfOldest(reading, minIdleAge, false) {
 		return false
 	}
 	for tries := 0; len(f.conns) >= f.Most+ClosingMost; tries++ {
-		if f.cutOldest() {
+		if f.closeOldestShut() {
 			continue
 		}
-		if tries == yieldMost {
+		if tries == maxYields {
 			return false
 		}
-		// Those that were asked to end have not run since: a flood of connections is accepted faster than that.
+		// The connections that were asked to close have not run yet: a flood of connections is accepted faster.
 		f.mu.Unlock()
 		runtime.Gosched()
 		f.mu.Lock()
@@ -168,34 +171,34 @@
 	return true
 }
 
-// freeOne has a descriptor given back where none is left: of a connection that has been shut already, else of the one
-// that has been idle longest.
-func (f *Front) freeOne() {
+// freeDescriptor frees a descriptor when none is left: of a connection that is shut already, else of the one that has been idle
+// longest.
+func (f *Front) freeDescriptor() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !f.cutOldest() {
-		f.askOldest(idle, 0, false)
+	if !f.closeOldestShut() {
+		f.requestCloseOfOldest(idle, 0, false)
 	}
 }
 
-// askOldest asks the connection to end that has been at a stage longest, and at least for so long; silent: of those
-// that have never sent anything. What comes of it is that connection's goroutine's to decide: it may have read the
-// first bytes of a request just now. It needs the mutex.
-func (f *Front) askOldest(at stage, atLeast time.Duration, silent bool) bool {
-	c := f.oldest(func(c *client) bool { return c.stage == at && !c.asked && (c.first || !silent) })
+// requestCloseOfOldest asks the connection to close that has been at the given stage longest, for at least atLeast. With silent it
+// considers only connections that have never sent a byte. The connection's goroutine decides, since it may just have
+// read the first bytes of a request. The caller holds the mutex.
+func (f *Front) requestCloseOfOldest(at stage, atLeast time.Duration, silent bool) bool {
+	c := f.oldest(func(c *client) bool { return c.stage == at && !c.closeRequested && (c.noInput || !silent) })
 	if c == nil || time.Since(c.since) < atLeast {
 		return false
 	}
-	c.asked = true
-	f.leaves(c)
+	c.closeRequested = true
+	f.markEnding(c)
 	f.Stats.ByFront.Add(1)
-	c.conn.SetReadDeadline(longPast)
+	c.conn.SetReadDeadline(pastDeadline)
 	return true
 }
 
-// cutOldest closes the connection that was shut longest ago and whose client has not closed it since: what still comes
-// on it is dropped in any case. It needs the mutex.
-func (f *Front) cutOldest() bool {
+// closeOldestShut closes the connection that was shut longest ago and that its client has not closed yet. Its further input is
+// discarded in any case. The caller holds the mutex.
+func (f *Front) closeOldestShut() bool {
 	c := f.oldest(func(c *client) bool { return c.stage == closing })
 	if c == nil {
 		return false
@@ -205,7 +208,7 @@
 	return true
 }
 
-// oldest is the connection that has been at its stage longest, of those that fit.
+// oldest returns the connection that has been at its stage longest, of those that fits accepts.
 func (f *Front) oldest(fits func(*client) bool) (oldest *client) {
 	for c := range f.conns {
 		if fits(c) && (oldest == nil || c.since.Before(oldest.since)) {
@@ -215,9 +218,9 @@
 	return oldest
 }
 
-// Stop ends the front as end decides: /healthz says so at once, clients are served on the connections they have and on
-// new ones, then sent away, then turned away. It returns when nothing holds the broker any more, or with false when end
-// says that what is open is to be given up.
+// Stop shuts the front down in the phases that end decides. /healthz reports it at once. Clients are first served on
+// their connections and on new ones, then their connections close after the next answer, then new scans are refused.
+// Stop returns true when all work is done, or false when end decides to abandon the open scans.
 func (f *Front) Stop(end *ending.End) bool {
 	f.stopping.Store(true)
 	begun, st := time.Now(), &f.Stats
@@ -230,36 +233,36 @@
 	}(f.Conns(), st.ByClient.Load(), st.LeftAtWork.Load(), st.ByAnswer.Load(), st.ByFront.Load(), st.Requests.Load())
 	for {
 		f.mu.Lock()
-		o := end.Step(ending.Seen{Passed: float64(time.Since(begun)) / 1e6, Answer: f.answer, Clients: len(f.conns)})
+		o := end.Step(ending.Seen{Passed: float64(time.Since(begun)) / 1e6, Answer: f.slowestAnswer, Clients: len(f.conns)})
 		if o.Leave {
-			f.leaving.Store(true)
-			for f.askOldest(idle, settle, false) {
+			f.closeAfterAnswer.Store(true)
+			for f.requestCloseOfOldest(idle, minIdleAge, false) {
 			}
 		}
 		f.mu.Unlock()
-		f.tooLate.Store(o.Refuse)
+		f.refuseScans.Store(o.Refuse)
 		if o.Done || o.GiveUp {
 			return o.Done
 		}
-		time.Sleep(stopStep)
+		time.Sleep(stopPollInterval)
 	}
 }
 
-// Flush waits until the last answers are out and nobody is connected any more, and not for longer than within; it says
-// whether that is so. Connections that have been idle for so long are closed.
+// Flush waits until all connections are closed, at most for within, and reports whether they are. It closes connections
+// that have been idle for idleFor.
 func (f *Front) Flush(within, idleFor time.Duration) bool {
-	for begun := time.Now(); f.Conns() > 0 && time.Since(begun) < within; time.Sleep(flushStep) {
+	for begun := time.Now(); f.Conns() > 0 && time.Since(begun) < within; time.Sleep(flushPollInterval) {
 		f.mu.Lock()
-		for f.askOldest(idle, idleFor, false) {
+		for f.requestCloseOfOldest(idle, idleFor, false) {
 		}
 		f.mu.Unlock()
 	}
 	return f.Conns() == 0
 }
 
-// took keeps what answers took of late: the slowest of some hundred.
-func (f *Front) took(ms float64) {
+// recordAnswerTime updates the recent slowest answer time, which decays over some hundred answers.
+func (f *Front) recordAnswerTime(ms float64) {
 	f.mu.Lock()
-	f.answer = max(ms, f.answer*fading)
+	f.slowestAnswer = max(ms, f.slowestAnswer*answerTimeDecay)
 	f.mu.Unlock()
 }
