--- a/internal/node/connection.go
+++ b/internal/node/connection.go
@@ -12,101 +12,104 @@
 )
 
 const (
-	pastMost = 8
-	// frameMost is how many bytes a peer keeps to put its frames together.
-	frameMost = buffers.Size
+	maxRecentIDs = 8
+	// maxKeptBuffer is the maximum size of the encoding buffer that a peer keeps for reuse.
+	maxKeptBuffer = buffers.Size
 )
 
-// connection is one connection to a node, or one that is coming up. What is to go out waits in queue until then.
+// connection is one connection to a node, established or being dialed. Messages stay in queue until it is established.
 type connection struct {
-	conn     net.Conn
-	addr     string
-	up       bool
-	refs     map[string]int64 // attempts that are out, by their part's id
-	attempts map[int64]*attempt
-	queue    []message
-	rest     []byte  // of a frame that has begun to go out: what the system has not taken yet
-	restOf   []int64 // the attempts in it
-	probes   []int64 // that are out or, before the connection is up, wait; they are answered in their order
-	lastUse  time.Time
-	// stalled: the system takes no more bytes, since the node reads none; stalledAt is when that began.
+	conn        net.Conn
+	addr        string
+	established bool
+	refs        map[string]int64 // attempts in flight, by the ID of their part
+	attempts    map[int64]*attempt
+	queue       []message
+	partial     []byte  // unsent bytes of a partly written frame
+	partialRefs []int64 // the attempts in that frame
+	probes      []int64 // probes in flight or queued; the node answers them in order
+	lastUse     time.Time
+	// stalled means that the socket's send buffer is full because the node does not read; stalledAt is when that began.
 	stalled   bool
 	stalledAt time.Time
-	// retired: nothing more goes out on it, and it is closed when nothing is out. A part was given up on it, whose
-	// answer may never come and holds a place on the node's side until the node reads that it was; a node that finds
-	// all places taken reads no more. Or more came than was asked for, and what comes next is anybody's guess.
-	retired bool
-	past    [pastMost]string // ids that were out last: a late answer or a second copy is no spoilt one
-	pasts   int
+	// retired means that the connection takes no new calls and closes when nothing is in flight. Either a part on it was
+	// canceled: its answer may never arrive, and it occupies a slot of the node until the node reads the cancellation,
+	// and a node whose slots are all occupied stops reading. Or the node sent an unsolicited answer, so its further
+	// answers are not trustworthy.
+	retired     bool
+	recentIDs   [maxRecentIDs]string // IDs of the last finished attempts: a late or duplicate answer to these is not an error
+	recentCount int
 }
 
-// attempt is one part that is out on a connection, or waits for it.
+// attempt is one part that is in flight on a connection or queued for it.
 type attempt struct {
-	id    string
-	begun bool // its first byte has gone out
-	whole bool // its frame's last byte has
+	id      string
+	started bool // its frame's first byte is written
+	written bool // its frame's last byte is written
 }
 
-// message is what waits for a connection: a call, the id of a part that is given up, or, with neither, a probe.
+// message is a queued message: a call, the ID of a canceled part, or, with neither set, a probe.
 type message struct {
-	call    *core.Call
-	givenUp string
+	call     *core.Call
+	cancelID string
 }
 
-// frame is a message in bytes: where it ends among them, the attempts in it, and whether some of it went out before.
+// frame is an encoded message: its end offset in the buffer, its attempts, and whether a part of it was written before.
 type frame struct {
 	message
-	end   int
-	refs  []int64
-	begun bool
+	end     int
+	refs    []int64
+	started bool
 }
 
 func newConnection(addr string) *connection {
 	return &connection{addr: addr, refs: map[string]int64{}, attempts: map[int64]*attempt{}, lastUse: time.Now()}
 }
 
+// add registers an attempt.
 func (c *connection) add(ref int64, id string) {
 	c.refs[id] = ref
 	c.attempts[ref] = &attempt{id: id}
 }
 
+// remove unregisters an attempt and returns the ID of its part.
 func (c *connection) remove(ref int64) string {
 	id := c.attempts[ref].id
-	c.past[c.pasts%pastMost] = id
-	c.pasts++
+	c.recentIDs[c.recentCount%maxRecentIDs] = id
+	c.recentCount++
 	delete(c.refs, id)
 	delete(c.attempts, ref)
 	return id
 }
 
-// known says whether id was out on c a short while ago.
-func (c *connection) known(id string) bool { return slices.Contains(c.past[:], id) }
+// recentlyOut reports whether id was among the last finished attempts.
+func (c *connection) recentlyOut(id string) bool { return slices.Contains(c.recentIDs[:], id) }
 
-// clash says whether a part of v is out on c already: answers go by its id.
-func (c *connection) clash(v core.Call) bool {
+// hasConflict reports whether a part of v is already in flight on c. Answers are matched by the part's ID.
+func (c *connection) hasConflict(v core.Call) bool {
 	return slices.ContainsFunc(v.Parts, func(part core.CallPart) bool {
 		_, out := c.refs[part.ID]
 		return out
 	})
 }
 
-// before says whether a call should rather go to c than to d.
-func (c *connection) before(d *connection) bool {
-	if c.up != d.up {
-		return c.up
+// preferredOver reports whether a call should use c rather than d.
+func (c *connection) preferredOver(d *connection) bool {
+	if c.established != d.established {
+		return c.established
 	}
 	return len(c.attempts) < len(d.attempts) || len(c.attempts) == len(d.attempts) && c.lastUse.Before(d.lastUse)
 }
 
-// idle says whether nothing is out on c and nothing waits for it.
+// idle reports whether c is established with nothing in flight or queued.
 func (c *connection) idle() bool {
-	return c.up && len(c.attempts)+len(c.probes)+len(c.queue)+len(c.rest) == 0
+	return c.established && len(c.attempts)+len(c.probes)+len(c.queue)+len(c.partial) == 0
 }
 
-// unsent lists the attempts of which no byte has gone out.
+// unsent returns the attempts of which no byte is written.
 func (c *connection) unsent() (refs []int64) {
 	for ref, a := range c.attempts {
-		if !a.begun {
+		if !a.started {
 			refs = append(refs, ref)
 		}
 	}
@@ -114,7 +117,7 @@
 	return refs
 }
 
-// write gives the system as many bytes as it takes at once, and says how many that were.
+// write writes as many bytes as the socket accepts without blocking, and returns their number.
 func (c *connection) write(buf []byte) (n int, err error) {
 	if len(buf) == 0 {
 		return 0, nil
@@ -137,21 +140,21 @@
 	return max(n, 0), errors.Join(err, cause)
 }
 
-// sent notes that the first n bytes of buf, which holds frames, have gone out: what has begun goes on with its rest,
-// what has not waits as it was, to be put into bytes anew.
+// sent records that the first n bytes of buf, which holds frames, are written. It keeps the remaining bytes of a partly
+// written frame, and queues the messages of the unwritten frames again, to be encoded anew later.
 func (c *connection) sent(buf []byte, frames []frame, n int) {
-	c.queue, c.rest, c.restOf = nil, nil, nil
+	c.queue, c.partial, c.partialRefs = nil, nil, nil
 	at := 0
 	for _, f := range frames {
-		begun := f.begun || n > at
+		begun := f.started || n > at
 		whole := n >= f.end
 		for _, ref := range f.refs {
 			if a := c.attempts[ref]; a != nil {
-				a.begun, a.whole = begun, whole
+				a.started, a.written = begun, whole
 			}
 		}
 		if begun && !whole {
-			c.rest, c.restOf = slices.Clone(buf[max(n, at):f.end]), f.refs
+			c.partial, c.partialRefs = slices.Clone(buf[max(n, at):f.end]), f.refs
 		} else if !begun {
 			c.queue = append(c.queue, f.message)
 		}
@@ -159,7 +162,7 @@
 	}
 }
 
-// clear forgets all that was out on c, which has ended.
+// clear resets the state of a closed connection.
 func (c *connection) clear() {
-	c.refs, c.attempts, c.probes, c.queue, c.rest, c.up = nil, nil, nil, nil, nil, false
+	c.refs, c.attempts, c.probes, c.queue, c.partial, c.established = nil, nil, nil, nil, nil, false
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -9,41 +9,41 @@
 	"gullstair/internal/core"
 )
 
-// Reach is what binds the connections to nodes.
+// Reach holds the limits and timeouts of connections to nodes.
 type Reach struct {
-	PerConn        int // parts at the same time on one connection
-	MaxConns       int // connections to all nodes together
+	PerConn        int // maximum parts in flight on one connection
+	MaxConns       int // maximum connections to all nodes together
 	ConnectTimeout time.Duration
-	Idle           time.Duration // after which a node closes a connection
+	Idle           time.Duration // idle time after which a node closes a connection
 }
 
-// Fleet holds the peers. Only the goroutine that carries out the core's outputs may call it.
+// Fleet manages one peer per node. Only the goroutine that executes the core's outputs may call its methods.
 type Fleet struct {
-	reach Reach
-	tell  func(core.Ended)
-	now   func() float64
-	log   zerolog.Logger
-	conns atomic.Int64
-	peers map[string]*peer
-	share atomic.Int64 // connections that a peer may hold beyond its first
-	Stats Stats
+	reach  Reach
+	report func(core.Ended)
+	now    func() float64
+	log    zerolog.Logger
+	conns  atomic.Int64
+	peers  map[string]*peer
+	share  atomic.Int64 // maximum connections of one peer, except its first
+	Stats  Stats
 }
 
-// Stats count what the peers saw.
+// Stats are the counters of all peers.
 type Stats struct{ Dials, DialsFailed, Broken, Unknown, Malformed, Stalled atomic.Int64 }
 
-// NewFleet makes an empty fleet; tell gets each end of an attempt and may block.
-func NewFleet(reach Reach, now func() float64, tell func(core.Ended), log zerolog.Logger) *Fleet {
-	return &Fleet{reach: reach, tell: tell, now: now, log: log, peers: map[string]*peer{}}
+// NewFleet returns an empty fleet. It calls report with the result of each attempt; report may block.
+func NewFleet(reach Reach, now func() float64, report func(core.Ended), log zerolog.Logger) *Fleet {
+	return &Fleet{reach: reach, report: report, now: now, log: log, peers: map[string]*peer{}}
 }
 
-// Conns is how many connections to nodes are open or being opened.
+// Conns returns the number of connections to nodes that are open or being dialed.
 func (f *Fleet) Conns() int { return int(f.conns.Load()) }
 
-// Move tells the peer of a node where the node is to be reached, that it drains or that it is gone. It never waits,
-// and no move is lost: a newer one takes the place of one that the peer has not seen yet.
+// Move informs a node's peer of the node's address, or that it drains or is gone. It does not block, and no move is lost:
+// a newer one replaces one that the peer has not processed yet.
 func (f *Fleet) Move(m core.Move) {
-	for host, p := range f.peers { // those of nodes that went
+	for host, p := range f.peers { // remove the peers of nodes that are gone
 		if p.closed() {
 			delete(f.peers, host)
 		}
@@ -56,9 +56,10 @@
 	if p == nil {
 		p = f.start(m.Host, m.Addr)
 	}
-	p.order(func(o *orders) { o.move = &m })
+	p.command(func(o *commands) { o.move = &m })
 }
 
+// start starts the peer of a node.
 func (f *Fleet) start(host, addr string) *peer {
 	p := newPeer(f, host, addr)
 	f.peers[host] = p
@@ -67,12 +68,13 @@
 	return p
 }
 
-// Call hands a frame to its node's peer. It never waits: where the mailbox is full, false comes back and the
-// parts count as not sent.
+// Call passes a call to its node's peer. It does not block: if the mailbox is full it returns false, and the parts count
+// as not sent.
 func (f *Fleet) Call(c core.Call) bool {
 	return f.peerOf(c.Host, c.Addr).offer(c)
 }
 
+// peerOf returns the running peer of a node and starts one if there is none.
 func (f *Fleet) peerOf(host, addr string) *peer {
 	if p := f.peers[host]; p != nil && !p.closed() {
 		return p
@@ -80,13 +82,13 @@
 	return f.start(host, addr)
 }
 
-// Probe hands a probe to its node's peer, as Call does a frame.
+// Probe passes a probe to its node's peer, as Call passes a call.
 func (f *Fleet) Probe(v core.Probe) bool { return f.peerOf(v.Host, v.Addr).offer(v) }
 
-// GiveUp tells the peer that nobody waits for an attempt any more. It never waits, and it is never lost: an attempt
-// that has not been written yet is not written.
+// GiveUp cancels an attempt. It does not block, and a cancellation is never lost: an attempt that is not written yet is
+// never written.
 func (f *Fleet) GiveUp(g core.GiveUp) {
 	if p := f.peers[g.Host]; p != nil {
-		p.order(func(o *orders) { o.givenUp = append(o.givenUp, g.Ref) })
+		p.command(func(o *commands) { o.canceled = append(o.canceled, g.Ref) })
 	}
 }
--- a/internal/node/frame.go
+++ b/internal/node/frame.go
@@ -1,5 +1,5 @@
-// Package node speaks the frame protocol of the nodes. Each node has a peer: an actor with a mailbox that
-// alone owns the connections to it.
+// Package node is the client of the nodes' frame protocol. Each node has a peer: an actor with a mailbox that owns the
+// connections to the node.
 package node
 
 import (
@@ -25,18 +25,18 @@
 	probeLetter  = 'T'
 )
 
-var errFrame = errors.New("no frame of this protocol")
+var errMalformedFrame = errors.New("malformed frame")
 
-// begin opens a frame in b; finish closes it once its rest has been added.
-func begin(b []byte, letter byte) []byte { return append(b, 0, 0, 0, 0, letter) }
+// beginFrame appends the start of a frame to b. finishFrame sets its length once the rest is appended.
+func beginFrame(b []byte, letter byte) []byte { return append(b, 0, 0, 0, 0, letter) }
 
-func finish(b []byte, at int) []byte {
+func finishFrame(b []byte, at int) []byte {
 	binary.BigEndian.PutUint32(b[at:], uint32(len(b)-at-4))
 	return b
 }
 
-// addCall adds one part to a call's frame, as of now.
-func addCall(b []byte, p *core.CallPart, now float64) []byte {
+// appendCall appends one part to a call's frame. The part's remaining time is computed from now.
+func appendCall(b []byte, p *core.CallPart, now float64) []byte {
 	b = append(b, p.ID...)
 	b = append(b, ' ')
 	b = strconv.AppendInt(b, int64(p.Shard), 10)
@@ -59,21 +59,21 @@
 	return append(b, p.Text...)
 }
 
-// addGiveUp adds a frame that gives up the part called id.
-func addGiveUp(b []byte, id string) []byte {
+// appendGiveUp appends a frame that cancels the part with the given ID.
+func appendGiveUp(b []byte, id string) []byte {
 	at := len(b)
-	b = begin(b, giveUpLetter)
-	return finish(append(b, id...), at)
+	b = beginFrame(b, giveUpLetter)
+	return finishFrame(append(b, id...), at)
 }
 
-// readFrame reads one frame into buf and returns its letter and rest.
+// readFrame reads one frame into buf and returns its type letter and the rest.
 func readFrame(r io.Reader, buf *[buffers.Size]byte) (letter byte, rest []byte, err error) {
 	if _, err := io.ReadFull(r, buf[:4]); err != nil {
 		return 0, nil, err
 	}
 	n := binary.BigEndian.Uint32(buf[:4])
 	if n < 1 || n > buffers.Size {
-		return 0, nil, fmt.Errorf("%w: length %d", errFrame, n)
+		return 0, nil, fmt.Errorf("%w: length %d", errMalformedFrame, n)
 	}
 	if _, err := io.ReadFull(r, buf[:n]); err != nil {
 		if errors.Is(err, io.EOF) {
@@ -84,29 +84,30 @@
 	return buf[0], buf[1:n], nil
 }
 
+// answer is the result of one part, or a node's answer to a probe.
 type answer struct {
 	id, value string
-	how       core.End
+	end       core.End
 	score     float64
 	load      map[string]float64
 }
 
 var answerEnds = map[string]core.End{"OK": core.Answered, "ERROR": core.AnsweredError, "REJECTED": core.TurnedAway}
 
-// readAnswer reads the rest of a Y frame: ID END SCORE REPORT, a line end, the value.
+// readAnswer parses the rest of a Y frame: ID END SCORE REPORT, a newline, the value.
 func readAnswer(rest []byte) (a answer, err error) {
 	line, value, ok := bytes.Cut(rest, []byte{'\n'})
 	words := strings.Split(string(line), " ")
 	if !ok || len(words) != 4 || words[0] == "" {
-		return a, fmt.Errorf("%w: answer line %.100q", errFrame, line)
+		return a, fmt.Errorf("%w: answer line %.100q", errMalformedFrame, line)
 	}
 	a.id, a.value = words[0], string(value)
-	if a.how = answerEnds[words[1]]; a.how == 0 {
-		return a, fmt.Errorf("%w: end %.40q", errFrame, words[1])
+	if a.end = answerEnds[words[1]]; a.end == 0 {
+		return a, fmt.Errorf("%w: end %.40q", errMalformedFrame, words[1])
 	}
 	if a.score, err = strconv.ParseFloat(words[2], 64); err != nil || math.IsNaN(a.score) || math.IsInf(a.score, 0) {
 		if words[2] != "-" {
-			return a, fmt.Errorf("%w: score %.40q", errFrame, words[2])
+			return a, fmt.Errorf("%w: score %.40q", errMalformedFrame, words[2])
 		}
 		a.score = 0
 	}
@@ -114,15 +115,15 @@
 	return a, nil
 }
 
-// readProbe reads the rest of a T frame: a report, - or ERROR.
+// readProbe parses the rest of a T frame: a load report, - or ERROR.
 func readProbe(rest []byte) answer {
 	if string(rest) == "ERROR" {
-		return answer{how: core.AnsweredError}
+		return answer{end: core.AnsweredError}
 	}
-	return answer{how: core.Answered, load: readReport(string(rest))}
+	return answer{end: core.Answered, load: readReport(string(rest))}
 }
 
-// readReport reads what can be read of a load report; the rest of it says nothing.
+// readReport parses a load report and ignores unknown or invalid entries.
 func readReport(s string) map[string]float64 {
 	if s == "-" || s == "" {
 		return nil
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -13,49 +13,49 @@
 )
 
 const (
-	mailboxSize = 512
-	sweepEvery  = time.Second
-	// retryWrite is how long a peer waits before it tries again to write to a connection that takes no more bytes.
-	retryWrite = 10 * time.Millisecond
+	mailboxSize   = 512
+	sweepInterval = time.Second
+	// writeRetryDelay is the delay before a peer retries to write to a stalled connection.
+	writeRetryDelay = 10 * time.Millisecond
 )
 
 var (
-	errUnasked = errors.New("an answer that was never asked for")
-	errStalled = errors.New("the node reads nothing")
+	errUnsolicited = errors.New("unsolicited answer")
+	errStalled     = errors.New("the node does not read from the connection")
 )
 
-// peer is the actor of one node: it alone owns the connections to it.
+// peer is the actor of one node and owns the connections to it.
 type peer struct {
-	f     *Fleet
-	host  string
-	addr  string
-	gone  bool
-	mail  chan any
-	wake  chan struct{} // holds one when there are orders
-	ended chan struct{}
-	conns []*connection
-	out   map[int64]*connection // by attempt: the connection it is on or waits for
-	frame []byte                // the bytes of the frames that are being written
-	log   zerolog.Logger
+	fleet   *Fleet
+	host    string
+	addr    string
+	gone    bool
+	mailbox chan any
+	wake    chan struct{} // holds a value if commands are pending
+	ended   chan struct{}
+	conns   []*connection
+	connOf  map[int64]*connection // connection of each attempt, in flight or queued
+	frame   []byte                // encoding buffer, reused between writes
+	log     zerolog.Logger
 
 	mu      sync.Mutex
-	over    bool // no message is taken any more
-	pending orders
+	stopped bool // the peer has stopped and accepts no messages
+	pending commands
 }
 
-// orders are what must not be lost, however full the mailbox is. They are carried out after all the mail that came
-// before them.
-type orders struct {
-	move    *core.Move
-	givenUp []int64 // at most as many as there are attempts out
+// commands are requests that must not be lost when the mailbox is full. They are executed after all messages that were
+// in the mailbox before them.
+type commands struct {
+	move     *core.Move
+	canceled []int64 // canceled attempts, at most as many as are in flight
 }
 
-func newPeer(f *Fleet, host, addr string) *peer {
-	return &peer{f: f, host: host, addr: addr, mail: make(chan any, mailboxSize), wake: make(chan struct{}, 1),
-		ended: make(chan struct{}), out: map[int64]*connection{}, log: f.log.With().Str("node", host).Logger()}
+func newPeer(fleet *Fleet, host, addr string) *peer {
+	return &peer{fleet: fleet, host: host, addr: addr, mailbox: make(chan any, mailboxSize), wake: make(chan struct{}, 1),
+		ended: make(chan struct{}), connOf: map[int64]*connection{}, log: fleet.log.With().Str("node", host).Logger()}
 }
 
-// The mail of a peer's own goroutines.
+// The messages of a peer's own goroutines.
 type (
 	dialed struct {
 		c    *connection
@@ -67,35 +67,35 @@
 		probe bool
 		a     answer
 	}
-	broke struct {
-		c   *connection
-		how core.End
-		err error
+	connLost struct {
+		conn *connection
+		end  core.End
+		err  error
 	}
-	// writeAgain says that a stalled connection may take bytes again.
+	// writeAgain ends the write retry delay of a stalled connection.
 	writeAgain struct{ c *connection }
 )
 
-// offer puts a message in the mailbox unless that is full or the peer has ended.
+// offer puts a message in the mailbox. It returns false if the mailbox is full or the peer has stopped.
 func (p *peer) offer(m any) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.over {
+	if p.stopped {
 		return false
 	}
 	select {
-	case p.mail <- m:
+	case p.mailbox <- m:
 		return true
 	default:
 		return false
 	}
 }
 
-// order adds to what the peer is to do; one that has ended has nothing out.
-func (p *peer) order(add func(*orders)) {
+// command adds to the pending commands. A stopped peer ignores them, since it has no attempts in flight.
+func (p *peer) command(add func(*commands)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.over {
+	if p.stopped {
 		return
 	}
 	add(&p.pending)
@@ -105,59 +105,61 @@
 	}
 }
 
+// closed reports whether the peer has stopped.
 func (p *peer) closed() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.over
+	return p.stopped
 }
 
-// post is for the peer's own readers, dialers and timers: it waits for room.
+// post puts a message of the peer's own readers, dialers and timers in the mailbox; it blocks while that is full.
 func (p *peer) post(m any) {
 	select {
-	case p.mail <- m:
+	case p.mailbox <- m:
 	case <-p.ended:
 	}
 }
 
-// leave ends the peer unless something has come in meanwhile.
-func (p *peer) leave() bool {
+// tryStop stops the peer unless a message or command is pending.
+func (p *peer) tryStop() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.over = len(p.mail) == 0 && p.pending.move == nil && len(p.pending.givenUp) == 0
-	return p.over
+	p.stopped = len(p.mailbox) == 0 && p.pending.move == nil && len(p.pending.canceled) == 0
+	return p.stopped
 }
 
+// run is the actor's loop.
 func (p *peer) run() {
 	defer close(p.ended)
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	for {
 		select {
-		case m := <-p.mail:
+		case m := <-p.mailbox:
 			p.handle(m)
-			p.turn()
+			p.processPending()
 		case <-p.wake:
-			p.turn()
+			p.processPending()
 		case <-sweep.C:
 			p.sweep()
 		}
-		if p.gone && len(p.conns) == 0 && p.leave() {
+		if p.gone && len(p.conns) == 0 && p.tryStop() {
 			return
 		}
 	}
 }
 
-// turn carries out all that has gathered, and then writes. Orders are taken before the mail is read and carried out
-// after it: whatever an order refers to was in the mailbox before it.
-func (p *peer) turn() {
-	todo := p.takeOrders()
-	for range len(p.mail) {
-		p.handle(<-p.mail)
+// processPending handles all pending messages and commands, and then writes. It takes the commands before it reads the
+// mailbox and executes them after it: whatever a command refers to was in the mailbox before it.
+func (p *peer) processPending() {
+	todo := p.takeCommands()
+	for range len(p.mailbox) {
+		p.handle(<-p.mailbox)
 	}
 	if todo.move != nil {
 		p.move(*todo.move)
 	}
-	for _, ref := range todo.givenUp {
+	for _, ref := range todo.canceled {
 		p.giveUp(ref)
 	}
 	for i := len(p.conns) - 1; i >= 0; i-- {
@@ -166,14 +168,16 @@
 	p.sweep()
 }
 
-func (p *peer) takeOrders() orders {
+// takeCommands returns and clears the pending commands.
+func (p *peer) takeCommands() commands {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	todo := p.pending
-	p.pending = orders{}
+	p.pending = commands{}
 	return todo
 }
 
+// handle processes one message of the mailbox.
 func (p *peer) handle(m any) {
 	switch v := m.(type) {
 	case core.Call:
@@ -184,15 +188,15 @@
 		p.dialed(v)
 	case arrived:
 		p.arrived(v)
-	case broke:
-		p.drop(v.c, v.how, v.err)
+	case connLost:
+		p.drop(v.conn, v.end, v.err)
 	case writeAgain:
 		v.c.stalled = false
 	}
 }
 
-// move takes up where the node is and what it may be sent. What has not begun to go out when a node drains or goes
-// never does: it would arrive as a new attempt, long after the list said that there may be none.
+// move applies a change of the node's address or state. When a node drains or is gone, unwritten attempts are withdrawn:
+// they would arrive as new attempts long after the list excluded the node.
 func (p *peer) move(m core.Move) {
 	p.gone = m.Gone
 	if m.Addr != "" {
@@ -209,17 +213,18 @@
 	}
 }
 
+// end reports the result of an attempt.
 func (p *peer) end(ref int64, how core.End, a answer) {
-	p.f.tell(core.Ended{Ref: ref, How: how, At: p.f.now(), Score: a.score, Value: a.value, Load: a.load})
+	p.fleet.report(core.Ended{Ref: ref, How: how, At: p.fleet.now(), Score: a.score, Value: a.value, Load: a.load})
 }
 
-// call puts a frame on a connection that has room for its parts, or on a new one.
+// call queues a call on a connection with capacity for its parts, or on a new one.
 func (p *peer) call(v core.Call) {
 	if v.Addr != "" {
 		p.addr = v.Addr
 	}
 	best := p.pick(func(c *connection) bool {
-		return len(c.attempts)+len(v.Parts) <= max(p.f.reach.PerConn, len(v.Parts)) && !c.clash(v)
+		return len(c.attempts)+len(v.Parts) <= max(p.fleet.reach.PerConn, len(v.Parts)) && !c.hasConflict(v)
 	})
 	if best == nil {
 		for i := range v.Parts {
@@ -229,12 +234,12 @@
 	}
 	for i := range v.Parts {
 		best.add(v.Parts[i].Ref, v.Parts[i].ID)
-		p.out[v.Parts[i].Ref] = best
+		p.connOf[v.Parts[i].Ref] = best
 	}
 	best.queue = append(best.queue, message{call: &v})
 }
 
-// probe asks for the node's load on any connection.
+// probe queues a request for the node's load on any connection.
 func (p *peer) probe(v core.Probe) {
 	p.addr = v.Addr
 	c := p.pick(func(*connection) bool { return true })
@@ -246,21 +251,21 @@
 	c.queue = append(c.queue, message{})
 }
 
-// pick finds the connection on which the least is out, and of idle ones the longest idle; nil: there is no room for
-// another. What ends a connection takes all parts on it along, so a further one comes up for the next call as soon as
-// none is idle. Nobody waits for it where one is up: a node may be slow to accept.
+// pick returns the connection with the fewest attempts in flight, and of idle ones the longest idle. It returns nil if
+// none fits and no further one may be opened. The failure of a connection fails all parts on it, so pick opens a further
+// one as soon as none is idle. Calls do not wait for it while another is established, since a node may accept slowly.
 func (p *peer) pick(fits func(*connection) bool) (best *connection) {
 	rising := false
 	for _, c := range p.conns {
 		if c.addr != p.addr || c.retired || c.stalled {
 			continue
 		}
-		rising = rising || !c.up
-		if fits(c) && (best == nil || c.before(best)) {
+		rising = rising || !c.established
+		if fits(c) && (best == nil || c.preferredOver(best)) {
 			best = c
 		}
 	}
-	if best == nil || best.up && len(best.attempts) > 0 && !rising && int64(len(p.conns)) < p.f.share.Load() {
+	if best == nil || best.established && len(best.attempts) > 0 && !rising && int64(len(p.conns)) < p.fleet.share.Load() {
 		if c := p.open(); best == nil {
 			best = c
 		}
@@ -268,16 +273,17 @@
 	return best
 }
 
+// open dials a further connection. It returns nil if the fleet's limit is reached.
 func (p *peer) open() *connection {
-	if p.f.conns.Add(1) > int64(p.f.reach.MaxConns) {
-		p.f.conns.Add(-1)
+	if p.fleet.conns.Add(1) > int64(p.fleet.reach.MaxConns) {
+		p.fleet.conns.Add(-1)
 		return nil
 	}
 	c := newConnection(p.addr)
 	p.conns = append(p.conns, c)
-	p.f.Stats.Dials.Add(1)
+	p.fleet.Stats.Dials.Add(1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), p.f.reach.ConnectTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), p.fleet.reach.ConnectTimeout)
 		defer cancel()
 		conn, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", c.addr)
 		p.post(dialed{c, conn, err})
@@ -285,9 +291,10 @@
 	return c
 }
 
+// dialed handles the outcome of a dial.
 func (p *peer) dialed(d dialed) {
 	if d.err != nil {
-		p.f.Stats.DialsFailed.Add(1)
+		p.fleet.Stats.DialsFailed.Add(1)
 		how := core.DialRefused
 		if ne, ok := errors.AsType[net.Error](d.err); ok && ne.Timeout() {
 			how = core.DialTimedOut
@@ -295,99 +302,101 @@
 		p.drop(d.c, how, d.err)
 		return
 	}
-	d.c.conn, d.c.up, d.c.lastUse = d.conn, true, time.Now()
+	d.c.conn, d.c.established, d.c.lastUse = d.conn, true, time.Now()
 	go p.read(d.c)
 }
 
-// forget takes an attempt off its connection and returns its part's id.
+// forget unregisters an attempt and returns the ID of its part.
 func (p *peer) forget(c *connection, ref int64) string {
-	delete(p.out, ref)
+	delete(p.connOf, ref)
 	return c.remove(ref)
 }
 
-// giveUp forgets an attempt and, if any of its frame was written, tells the node.
+// giveUp cancels an attempt. If a part of its frame is written, it queues a cancellation to the node.
 func (p *peer) giveUp(ref int64) {
-	c := p.out[ref]
+	c := p.connOf[ref]
 	if c == nil {
 		return
 	}
-	begun := c.attempts[ref].begun
+	begun := c.attempts[ref].started
 	id := p.forget(c, ref)
 	if begun {
-		c.queue = append(c.queue, message{givenUp: id})
+		c.queue = append(c.queue, message{cancelID: id})
 		c.retired = true
 	}
 }
 
+// arrived handles an answer.
 func (p *peer) arrived(v arrived) {
 	if v.probe {
 		p.probeArrived(v)
 		return
 	}
 	ref, out := v.c.refs[v.a.id]
-	if !out { // nobody waits for it
-		p.f.Stats.Unknown.Add(1)
-		if v.c.retired = true; !v.c.known(v.a.id) {
-			p.drop(v.c, core.BadFrame, errUnasked) // one that waits has had its answer under this name
+	if !out { // no attempt in flight has this ID
+		p.fleet.Stats.Unknown.Add(1)
+		if v.c.retired = true; !v.c.recentlyOut(v.a.id) {
+			p.drop(v.c, core.BadFrame, errUnsolicited) // it may have been meant for an attempt in flight
 		}
 		return
 	}
 	p.forget(v.c, ref)
 	v.c.lastUse = time.Now()
-	p.end(ref, v.a.how, v.a)
+	p.end(ref, v.a.end, v.a)
 }
 
+// probeArrived handles the answer to the oldest probe.
 func (p *peer) probeArrived(v arrived) {
 	if len(v.c.probes) == 0 {
-		p.f.Stats.Unknown.Add(1)
+		p.fleet.Stats.Unknown.Add(1)
 		return
 	}
-	p.end(v.c.probes[0], v.a.how, v.a)
+	p.end(v.c.probes[0], v.a.end, v.a)
 	v.c.probes, v.c.lastUse = v.c.probes[1:], time.Now()
 }
 
-// flush writes what waits on a connection, as far as the system takes it now: the actor never waits for a node that
-// reads nothing. Each frame is put into bytes at this moment, with the time that is left now and without the parts
-// that nobody wants any more.
+// flush writes a connection's queued messages as far as the socket accepts them without blocking: a node that does not
+// read must not block the actor. Each frame is encoded just before the write, with the time remaining now and without
+// canceled parts.
 func (p *peer) flush(c *connection) {
-	if !c.up || c.stalled || len(c.queue)+len(c.rest) == 0 {
+	if !c.established || c.stalled || len(c.queue)+len(c.partial) == 0 {
 		return
 	}
 	buf, frames := p.encode(c)
 	n, err := c.write(buf)
 	c.lastUse = time.Now()
 	c.sent(buf, frames, n)
-	if cap(buf) > frameMost {
+	if cap(buf) > maxKeptBuffer {
 		buf = nil
 	}
 	p.frame = buf[:0]
 	switch {
 	case err != nil:
 		p.drop(c, core.ReadBroke, err)
-	case len(c.queue)+len(c.rest) == 0:
+	case len(c.queue)+len(c.partial) == 0:
 		c.stalledAt = time.Time{}
-	case !c.stalledAt.IsZero() && time.Since(c.stalledAt) > p.f.reach.ConnectTimeout:
+	case !c.stalledAt.IsZero() && time.Since(c.stalledAt) > p.fleet.reach.ConnectTimeout:
 		p.drop(c, core.ReadBroke, errStalled)
 	default:
 		p.stall(c, n > 0)
 	}
 }
 
-// stall keeps a connection that takes no more bytes out of use for a moment.
+// stall takes a connection with a full send buffer out of use until the next write retry.
 func (p *peer) stall(c *connection, moved bool) {
-	p.f.Stats.Stalled.Add(1)
+	p.fleet.Stats.Stalled.Add(1)
 	if c.stalledAt.IsZero() || moved {
 		c.stalledAt = time.Now()
 	}
 	c.stalled = true
-	time.AfterFunc(retryWrite, func() { p.post(writeAgain{c}) })
+	time.AfterFunc(writeRetryDelay, func() { p.post(writeAgain{c}) })
 }
 
-// encode puts what waits on c into bytes. A part whose last moment has passed ends here instead.
+// encode encodes the queued messages of c. A part whose latest start has passed ends here instead.
 func (p *peer) encode(c *connection) (buf []byte, frames []frame) {
-	buf = append(p.frame, c.rest...)
-	if len(c.rest) > 0 {
-		frames = append(frames, frame{end: len(buf), refs: c.restOf, begun: true})
+	buf = append(p.frame, c.partial...)
+	if len(c.partial) > 0 {
+		frames = append(frames, frame{end: len(buf), refs: c.partialRefs, started: true})
 	}
 	for _, m := range c.queue {
 		at := len(buf)
@@ -395,10 +404,10 @@
 		switch {
 		case m.call != nil:
 			buf, refs = p.encodeCall(buf, c, m.call)
-		case m.givenUp != "":
-			buf = addGiveUp(buf, m.givenUp)
+		case m.cancelID != "":
+			buf = appendGiveUp(buf, m.cancelID)
 		default:
-			buf = finish(begin(buf, probeLetter), at)
+			buf = finishFrame(beginFrame(buf, probeLetter), at)
 		}
 		if len(buf) > at {
 			frames = append(frames, frame{message: m, end: len(buf), refs: refs})
@@ -407,10 +416,10 @@
 	return buf, frames
 }
 
-// encodeCall adds a frame with those parts of v that are still wanted; nothing, if none is.
+// encodeCall appends a frame with the parts of v that are not canceled. It appends nothing if there is none.
 func (p *peer) encodeCall(buf []byte, c *connection, v *core.Call) ([]byte, []int64) {
-	at, now := len(buf), p.f.now()
-	buf = begin(buf, callLetter)
+	at, now := len(buf), p.fleet.now()
+	buf = beginFrame(buf, callLetter)
 	var refs []int64
 	for i := range v.Parts {
 		part := &v.Parts[i]
@@ -422,31 +431,31 @@
 			p.end(part.Ref, core.TooLate, answer{})
 			continue
 		}
-		buf = addCall(buf, part, now)
+		buf = appendCall(buf, part, now)
 		refs = append(refs, part.Ref)
 	}
 	if len(refs) == 0 {
 		return buf[:at], nil
 	}
-	return finish(buf, at), refs
+	return finishFrame(buf, at), refs
 }
 
-// drop ends a connection and all that is out on it.
+// drop closes a connection and ends all attempts and probes on it.
 func (p *peer) drop(c *connection, how core.End, err error) {
 	if !p.remove(c) {
-		return // it has ended already
+		return // it is closed already
 	}
-	p.f.conns.Add(-1)
+	p.fleet.conns.Add(-1)
 	if c.conn != nil {
 		c.conn.Close()
 	}
 	if len(c.attempts) > 0 {
-		p.f.Stats.Broken.Add(1)
+		p.fleet.Stats.Broken.Add(1)
 		p.log.Debug().Str("end", how.String()).Int("out", len(c.attempts)).AnErr("cause", err).Msg("connection ended")
 	}
 	for ref, a := range c.attempts {
-		delete(p.out, ref)
-		if c.up && !a.whole {
+		delete(p.connOf, ref)
+		if c.established && !a.written {
 			p.end(ref, core.WriteBroke, answer{})
 		} else {
 			p.end(ref, how, answer{})
@@ -458,7 +467,7 @@
 	c.clear()
 }
 
-// remove takes c off the peer's connections; false: it was none of them.
+// remove removes c from the peer's connections. It returns false if c is not one of them.
 func (p *peer) remove(c *connection) bool {
 	for i, x := range p.conns {
 		if x == c {
@@ -469,10 +478,10 @@
 	return false
 }
 
-// sweep closes connections that nothing is out on: before the node's idle time is up, with a margin so that
-// no frame crosses its close, and at once where the node has moved or is gone.
+// sweep closes idle connections before the node's idle timeout, with a margin so that no frame crosses the node's close.
+// If the node has moved or is gone it closes them at once.
 func (p *peer) sweep() {
-	idle := p.f.reach.Idle - max(p.f.reach.Idle/10, 2*sweepEvery)
+	idle := p.fleet.reach.Idle - max(p.fleet.reach.Idle/10, 2*sweepInterval)
 	for i := len(p.conns) - 1; i >= 0; i-- {
 		c := p.conns[i]
 		if c.idle() && (p.gone || c.retired || c.addr != p.addr || time.Since(c.lastUse) >= idle) {
--- a/internal/node/reader.go
+++ b/internal/node/reader.go
@@ -13,14 +13,15 @@
 	"gullstair/internal/core"
 )
 
-// read passes on what comes from the node until the connection ends. It alone reads; it owns nothing else.
+// read posts the answers that arrive on a connection to the mailbox until the connection ends. It is the only reader of
+// the connection and owns no other state.
 func (p *peer) read(c *connection) {
 	r := bufio.NewReaderSize(c.conn, 4<<10)
 	for {
-		// A frame that has begun comes at once; the rest of a spoilt one never does.
+		// The rest of a started frame must follow promptly; that of a malformed frame may never come.
 		c.conn.SetReadDeadline(time.Time{})
 		_, err := r.Peek(1)
-		c.conn.SetReadDeadline(time.Now().Add(p.f.reach.ConnectTimeout))
+		c.conn.SetReadDeadline(time.Now().Add(p.fleet.reach.ConnectTimeout))
 		buf := buffers.Get()
 		var letter byte
 		var rest []byte
@@ -40,25 +41,25 @@
 		}
 		buffers.Put(buf)
 		switch {
-		case errors.Is(err, errFrame), errors.Is(err, os.ErrDeadlineExceeded):
-			p.f.Stats.Malformed.Add(1)
-			p.post(broke{c, core.BadFrame, err})
+		case errors.Is(err, errMalformedFrame), errors.Is(err, os.ErrDeadlineExceeded):
+			p.fleet.Stats.Malformed.Add(1)
+			p.post(connLost{c, core.BadFrame, err})
 			return
 		case errors.Is(err, io.EOF):
-			p.post(broke{c, core.PeerClosed, err})
+			p.post(connLost{c, core.PeerClosed, err})
 			return
 		case err != nil:
-			p.post(broke{c, core.ReadBroke, err})
+			p.post(connLost{c, core.ReadBroke, err})
 			return
 		case letter == answerLetter || letter == probeLetter:
 			p.post(arrived{c, letter == probeLetter, a})
 		case letter == refuseLetter:
-			p.f.Stats.Malformed.Add(1)
-			p.post(broke{c, core.NotUsable, fmt.Errorf("%w: %s", syscall.EPROTO, words)})
+			p.fleet.Stats.Malformed.Add(1)
+			p.post(connLost{c, core.NotUsable, fmt.Errorf("%w: %s", syscall.EPROTO, words)})
 			return
-		default: // nothing else was asked for
-			p.f.Stats.Malformed.Add(1)
-			p.post(broke{c, core.BadFrame, errFrame})
+		default: // no other frame type is expected
+			p.fleet.Stats.Malformed.Add(1)
+			p.post(connLost{c, core.BadFrame, errMalformedFrame})
 			return
 		}
 	}
