--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -1,5 +1,5 @@
-// Package netio is what the fleet's packages need of the network, so that tests can play it in memory and in virtual
-// time.
+// Package netio abstracts the network I/O of the fleet's packages, so that tests can replace it by an in-memory network
+// in virtual time. Host is the implementation on real sockets.
 package netio
 
 import (
@@ -13,19 +13,19 @@
 )
 
 const (
-	userTimeout     = 2 * time.Second // unacknowledged bytes for longer end a connection
-	keepAliveIdle   = time.Second     // silence for longer is probed,
-	keepAliveProbes = 2               // and so many probes without an answer end a connection
+	userTimeout     = 2 * time.Second // bytes unacknowledged for longer close a connection
+	keepAliveIdle   = time.Second     // idle time before the first keep-alive probe, and interval between probes
+	keepAliveProbes = 2               // unanswered probes that close a connection
 )
 
-// Network makes listeners, connections and datagram sockets.
+// Network opens listeners, connections and datagram sockets.
 type Network interface {
 	Listen(address string) (net.Listener, error)
 	Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error)
 	ListenDatagrams(address string) (Datagrams, error)
 }
 
-// Datagrams is a socket for datagrams.
+// Datagrams is a datagram socket.
 type Datagrams interface {
 	Receive(b []byte) (int, error)
 	// Send sends a datagram, which may be lost.
@@ -33,16 +33,16 @@
 	Close() error
 }
 
-// Quieter is a connection that can tell whether nothing has arrived on it, neither bytes nor its end.
+// Quieter is a connection that can report whether it has no unread input, neither bytes nor EOF.
 type Quieter interface{ Quiet() bool }
 
-// Host is this machine's network.
+// Host is the Network of this machine.
 type Host struct{}
 
-// Listen makes a TCP listener.
+// Listen opens a TCP listener.
 func (Host) Listen(address string) (net.Listener, error) { return net.Listen("tcp4", address) }
 
-// Dial makes a TCP connection that notices a silent peer within seconds.
+// Dial opens a TCP connection that detects an unresponsive peer within seconds.
 func (Host) Dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{
 		Timeout:         timeout,
@@ -56,15 +56,15 @@
 	return conn, nil
 }
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged. Without it a connection behind a cut hangs for
-// minutes; where it is not to be had, the keep-alive probes end it.
+// setUserTimeout limits how long sent bytes may stay unacknowledged. Without it a connection across a network partition
+// hangs for minutes. If the option is unavailable, the keep-alive probes close the connection.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout/time.Millisecond))
 	})
 }
 
-// ListenDatagrams makes a UDP socket.
+// ListenDatagrams opens a UDP socket.
 func (Host) ListenDatagrams(address string) (Datagrams, error) {
 	bound, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -77,6 +77,7 @@
 	return datagrams{conn}, nil
 }
 
+// datagrams implements Datagrams on a UDP socket.
 type datagrams struct{ conn *net.UDPConn }
 
 func (d datagrams) Receive(b []byte) (int, error) {
@@ -92,7 +93,7 @@
 
 func (d datagrams) Close() error { return d.conn.Close() }
 
-// Quiet says whether nothing has arrived on a connection, neither bytes nor its end. Another goroutine may be reading.
+// Quiet reports whether a connection has no unread input, neither bytes nor EOF. Another goroutine may be reading from it.
 func Quiet(conn net.Conn) bool {
 	if q, ok := conn.(Quieter); ok {
 		return q.Quiet()
@@ -106,7 +107,7 @@
 		return false
 	}
 	quiet := false
-	err = raw.Control(func(fd uintptr) { // raw.Read would wait for a reader that waits for bytes
+	err = raw.Control(func(fd uintptr) { // raw.Read would block behind a goroutine that is blocked in a read
 		var one [1]byte
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		quiet = err == unix.EAGAIN
