--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where the environment and the start file are read, checked and given
-// defaults. Its errors name the key at fault.
+// Package config reads and validates the environment and the start file and applies defaults. No other package does so.
+// Its errors name the invalid key.
 package config
 
 import (
@@ -16,34 +16,34 @@
 	"gullstair/internal/terms"
 )
 
-// Told is what a broker is told at its start.
+// Told is a broker's start configuration.
 type Told struct {
 	Name, Listen, Discovery string
 	Seed                    uint64
 	Cores                   float64
 	MemoryMB, Sockets       int
 	Known                   discovery.Listing
-	Flat                    map[string]any // the start settings in the module's words
+	Flat                    map[string]any // the settings, flattened to the decision module's keys
 	Site                    terms.Site
 
-	Off []string // what the settings allow and this program cannot do: it is off, and why
+	Off []string // settings that this program does not support and has disabled, with the reasons
 
-	filed string // discovery as the file states it, if it does
+	fileDiscovery string // the file's value of discovery, if present
 }
 
 const (
 	defaultCores    = 1.0
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	leastSockets    = 64
-	leastMemoryMB   = 32
+	minSockets      = 64
+	minMemoryMB     = 32
 )
 
-// Read reads the environment through getenv, and the file that GW_CONFIG names.
+// Read reads the environment through getenv, and the start file that GW_CONFIG names.
 func Read(getenv func(string) string) (*Told, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
-		return nil, errors.New("GW_CONFIG: not set; it names the start file")
+		return nil, errors.New("GW_CONFIG: not set; it must name the start file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -52,21 +52,21 @@
 	return Parse(text, getenv)
 }
 
-// Reread reads the file again while the broker runs. What the file says of discovery holds over the variable
-// then: the file has been replaced since the start, the environment cannot be.
+// Reread reads the start file again while the broker runs. The file's discovery address then takes precedence over the
+// environment variable: the file may have been replaced since the start, while the environment cannot change.
 func Reread(getenv func(string) string) (*Told, error) {
 	t, err := Read(getenv)
-	if err != nil || t.filed == "" {
+	if err != nil || t.fileDiscovery == "" {
 		return t, err
 	}
-	if _, err := netip.ParseAddrPort(t.filed); err != nil {
-		return nil, fmt.Errorf("discovery: %q is no address and port: %w", t.filed, err)
+	if _, err := netip.ParseAddrPort(t.fileDiscovery); err != nil {
+		return nil, fmt.Errorf("discovery: %q is not an address with a port: %w", t.fileDiscovery, err)
 	}
-	t.Discovery = t.filed
+	t.Discovery = t.fileDiscovery
 	return t, nil
 }
 
-// Differ names what o states otherwise than t and only a restart takes up.
+// Differ returns the keys whose values differ between t and o and take effect only after a restart.
 func (t *Told) Differ(o *Told) (keys []string) {
 	for key, same := range map[string]bool{"name": t.Name == o.Name, "listen": t.Listen == o.Listen,
 		"limits":   t.Cores == o.Cores && t.MemoryMB == o.MemoryMB && t.Sockets == o.Sockets,
@@ -79,44 +79,44 @@
 	return keys
 }
 
-// Parse is Read with the file's text at hand. A variable that is set holds over the file's value.
+// Parse parses the text of a start file. An environment variable that is set takes precedence over the file's value.
 func Parse(text []byte, getenv func(string) string) (*Told, error) {
 	var tree map[string]json.RawMessage
 	if err := json.Unmarshal(text, &tree); err != nil {
-		return nil, fmt.Errorf("the start file is no JSON object: %w", err)
+		return nil, fmt.Errorf("the start file is not a JSON object: %w", err)
 	}
 	t := &Told{}
 	var limits map[string]json.RawMessage
 	var settings map[string]any
 	steps := []func() error{
-		func() error { return stated(tree, "name", getenv("GW_NAME"), &t.Name) },
+		func() error { return stringValue(tree, "name", getenv("GW_NAME"), &t.Name) },
 		func() error { return address(tree, "listen", getenv("GW_LISTEN"), &t.Listen) },
 		func() error {
-			if raw, there := tree["discovery"]; there && json.Unmarshal(raw, &t.filed) != nil {
-				return errors.New("discovery: no text")
+			if raw, there := tree["discovery"]; there && json.Unmarshal(raw, &t.fileDiscovery) != nil {
+				return errors.New("discovery: not a string")
 			}
 			return address(tree, "discovery", getenv("GW_DISCOVERY"), &t.Discovery)
 		},
 		func() error {
 			var hex string
-			if err := stated(tree, "seed", "", &hex); err != nil {
+			if err := stringValue(tree, "seed", "", &hex); err != nil {
 				return err
 			}
 			var err error
 			if t.Seed, err = strconv.ParseUint(hex, 16, 64); err != nil {
-				return fmt.Errorf("seed: %q is no 64-bit number in hex", hex)
+				return fmt.Errorf("seed: %q is not a 64-bit number in hex", hex)
 			}
 			return nil
 		},
 		func() error { return object(tree, "limits", false, &limits) },
 		func() (err error) { t.Cores, err = limit(limits, "cores", 0.01, 1e4, defaultCores); return },
 		func() error {
-			mb, err := limit(limits, "memory_mb", leastMemoryMB, 1e7, defaultMemoryMB)
+			mb, err := limit(limits, "memory_mb", minMemoryMB, 1e7, defaultMemoryMB)
 			t.MemoryMB = int(mb)
 			return err
 		},
 		func() error {
-			n, err := limit(limits, "sockets", leastSockets, 1e7, defaultSockets)
+			n, err := limit(limits, "sockets", minSockets, 1e7, defaultSockets)
 			t.Sockets = int(n)
 			return err
 		},
@@ -124,9 +124,9 @@
 		func() error { return object(tree, "settings", true, &settings) },
 		func() (err error) {
 			t.Flat = terms.Flatten(settings)
-			if t.Flat["limit.peers"] == true { // nothing carries them: the module would tell nobody and rely on it
+			if t.Flat["limit.peers"] == true { // unsupported: the module would rely on notes that are never delivered
 				t.Flat["limit.peers"] = false
-				t.Off = append(t.Off, "settings: ceilings.peers: this program passes no notes between brokers; they are off")
+				t.Off = append(t.Off, "settings: ceilings.peers: this program does not exchange notes between brokers; they are disabled")
 			}
 			if t.Site, err = terms.Read(t.Flat); err != nil {
 				return fmt.Errorf("settings: %w", err)
@@ -142,27 +142,30 @@
 	return t, nil
 }
 
-func stated(tree map[string]json.RawMessage, key, variable string, to *string) error {
+// stringValue sets to from the variable if that is set, else from the key of the file, which is required.
+func stringValue(tree map[string]json.RawMessage, key, variable string, to *string) error {
 	if variable != "" {
 		*to = variable
 		return nil
 	}
 	if raw, there := tree[key]; !there || json.Unmarshal(raw, to) != nil || *to == "" {
-		return fmt.Errorf("%s: missing or no text", key)
+		return fmt.Errorf("%s: missing or not a string", key)
 	}
 	return nil
 }
 
+// address is stringValue for an address with a port.
 func address(tree map[string]json.RawMessage, key, variable string, to *string) error {
-	if err := stated(tree, key, variable, to); err != nil {
+	if err := stringValue(tree, key, variable, to); err != nil {
 		return err
 	}
 	if _, err := netip.ParseAddrPort(*to); err != nil {
-		return fmt.Errorf("%s: %q is no address and port: %w", key, *to, err)
+		return fmt.Errorf("%s: %q is not an address with a port: %w", key, *to, err)
 	}
 	return nil
 }
 
+// object decodes the value of a key. A missing key is an error only if it is needed.
 func object(tree map[string]json.RawMessage, key string, needed bool, to any) error {
 	raw, there := tree[key]
 	if !there || string(raw) == "null" {
@@ -177,13 +180,14 @@
 	return nil
 }
 
+// limit returns the number at a key of limits, or a default if the key is missing.
 func limit(limits map[string]json.RawMessage, key string, least, most, other float64) (x float64, err error) {
 	raw, there := limits[key]
 	if !there {
 		return other, nil
 	}
 	if json.Unmarshal(raw, &x) != nil || !(x >= least && x <= most) {
-		return 0, fmt.Errorf("limits.%s: %s is no number from %g to %g", key, raw, least, most)
+		return 0, fmt.Errorf("limits.%s: %s is not a number from %g to %g", key, raw, least, most)
 	}
 	return x, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -20,7 +20,7 @@
 	env := map[string]string{"GW_NAME": "b9", "GW_LISTEN": "127.0.0.1:77"}
 	told, err := Parse(startFile(t), func(k string) string { return env[k] })
 	require.NoError(t, err)
-	assert.Equal(t, "b9", told.Name, "a variable holds over the file")
+	assert.Equal(t, "b9", told.Name, "a variable takes precedence over the file")
 	assert.Equal(t, "127.0.0.1:77", told.Listen)
 	assert.Equal(t, "127.0.0.1:1", told.Discovery)
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), told.Seed)
@@ -36,7 +36,8 @@
 	assert.Equal(t, 1500.0, told.Flat["tableType.1.target"])
 }
 
-// A file read again: its discovery holds over the variable, and what only a restart takes up is named.
+// When the file is read again, its discovery address takes precedence over the variable, and Differ names the changes
+// that require a restart.
 func TestReread(t *testing.T) {
 	env := map[string]string{"GW_CONFIG": "testdata/start.json", "GW_DISCOVERY": "127.0.0.1:9", "GW_NAME": "b9"}
 	first, err := Read(func(k string) string { return env[k] })
@@ -50,12 +51,12 @@
 	assert.Equal(t, []string{"limits", "name", "settings"}, first.Differ(again))
 }
 
-// Each fault is told with the key at fault, before anything is opened.
+// Each error names the invalid key.
 func TestFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		path  []string // of the key to change
-		value any      // nil: taken out
-		want  string   // "": no fault
+		value any      // nil: the key is removed
+		want  string   // "": no error
 	}{
 		"no name":              {[]string{"name"}, nil, "name"},
 		"a name of wrong type": {[]string{"name"}, 7, "name"},
@@ -63,9 +64,9 @@
 		"listen without port":  {[]string{"listen"}, "127.0.0.1", "listen"},
 		"no discovery":         {[]string{"discovery"}, "", "discovery"},
 		"no seed":              {[]string{"seed"}, nil, "seed"},
-		"seed no hex":          {[]string{"seed"}, "xyz", "seed"},
+		"seed not hex":         {[]string{"seed"}, "xyz", "seed"},
 		"seed too long":        {[]string{"seed"}, "8c1f30d27a5be9641", "seed"},
-		"memory no number":     {[]string{"limits", "memory_mb"}, "much", "limits.memory_mb"},
+		"memory not a number":  {[]string{"limits", "memory_mb"}, "much", "limits.memory_mb"},
 		"memory too little":    {[]string{"limits", "memory_mb"}, 1, "limits.memory_mb"},
 		"sockets below zero":   {[]string{"limits", "sockets"}, -1, "limits.sockets"},
 		"no cores":             {[]string{"limits", "cores"}, 0, "limits.cores"},
@@ -74,15 +75,15 @@
 		"no known list":        {[]string{"known"}, nil, ""},
 		"known of wrong type":  {[]string{"known", "hosts"}, 4, "known"},
 		"no settings":          {[]string{"settings"}, nil, "settings"},
-		"settings no object":   {[]string{"settings"}, "x", "settings"},
+		"settings not object":  {[]string{"settings"}, "x", "settings"},
 		"no table types":       {[]string{"settings", "classes"}, nil, "tableType.count"},
 		"no shards":            {[]string{"settings", "familyInfo", "slices"}, 0, "layout.shards"},
 		"turn of wrong type":   {[]string{"settings", "granularity"}, "5", "turn"},
 		"a budget below zero":  {[]string{"settings", "rules"}, map[string]any{"extraPerRequest": -0.1}, "rules.spareShare"},
 		"a budget of text":     {[]string{"settings", "rules"}, map[string]any{"budgetWindow": "5s"}, "rules.budgetWindow"},
 		"asking below zero":    {[]string{"settings", "rules"}, map[string]any{"askWithin": -1}, "rules.askWithin"},
-		"peers no yes or no":   {[]string{"settings", "ceilings", "peers"}, "yes", "limit.peers"},
-		"copies no yes or no":  {[]string{"settings", "ceilings", "parallelTries"}, 1, "limit.secondCopies"},
+		"peers not boolean":    {[]string{"settings", "ceilings", "peers"}, "yes", "limit.peers"},
+		"copies not boolean":   {[]string{"settings", "ceilings", "parallelTries"}, 1, "limit.secondCopies"},
 		"unknown keys":         {[]string{"settings", "unheardOf"}, map[string]any{"a": []any{nil}}, ""},
 	} {
 		var tree map[string]any
@@ -105,14 +106,15 @@
 		}
 	}
 	_, err := Parse([]byte("[1"), func(string) string { return "" })
-	assert.ErrorContains(t, err, "no JSON object")
+	assert.ErrorContains(t, err, "not a JSON object")
 	_, err = Read(func(string) string { return "" })
 	assert.ErrorContains(t, err, "GW_CONFIG")
 	_, err = Read(func(string) string { return "testdata/none.json" })
 	assert.ErrorContains(t, err, "GW_CONFIG")
 }
 
-// What the settings allow and this program cannot do is off, and said: the module would rely on notes that nobody carries.
+// Settings that this program does not support are disabled and reported: the module would rely on notes that are never
+// delivered.
 func TestNotesAreOff(t *testing.T) {
 	nobody := func(string) string { return "" }
 	for was, off := range map[string]int{`"peers": false`: 0, `"peers": true`: 1} {
