--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -1,6 +1,6 @@
-// Package features reads the document of an installation's features: what a broker does beyond the platform's start
-// file, all of it off unless it is named there. It is the one place where that document is read and checked; an error
-// names its line and key, and a document with a fault is not taken up at all.
+// Package features reads and validates the features document (HCL) of an installation. It configures what a broker does
+// beyond the platform's start file; a feature that the document does not name is off. No other package reads it. Errors
+// name the line and key, and an invalid document is rejected as a whole.
 package features
 
 import (
@@ -23,7 +23,7 @@
 	"github.com/robfig/cron/v3"
 )
 
-// Document is what was read. A block that is not there is nil: that feature is off.
+// Document is a parsed features document. A missing block is nil, and its feature is off.
 type Document struct {
 	Sharing *Sharing
 	Control *Control
@@ -32,46 +32,47 @@
 	Lease   *Lease
 	Tasks   []Task
 	Limits  []Limit
-	Lent    string // directory where it lasts what is lent of limits; "": it does not
+	Lent    string // directory that stores the loans of limits; "": not stored
 }
 
-// Limit holds for the whole fleet. One of Rate, Open and Work is set.
+// Limit is a limit that the whole fleet shares. Exactly one of Rate, Open and Work is set.
 type Limit struct {
 	Name        string
-	For         string  // fleet, cell or tenant
-	Rate, Burst float64 // scans a second, and at once
-	Open        float64 // scans open at once
-	Work        float64 // ms of work outstanding
-	Further     bool    // Rate and Burst are of dispatches beyond each part's first
-	Available   bool
+	For         string        // fleet, cell or tenant
+	Rate, Burst float64       // scans per second, and burst size
+	Open        float64       // concurrent scans
+	Work        float64       // outstanding work in ms
+	Further     bool          // Rate and Burst limit dispatches beyond each part's first
+	Available   bool          // whether the limit may be exceeded while members are partitioned
 	Term        time.Duration // of a loan
-	Linger      time.Duration
-	Alone       float64
-	Owners      int // members with a home share of each key; 0: all
+	Linger      time.Duration // Available: how long a borrowed share stays usable past its term
+	Alone       float64       // Available: minimum share of the limit for each side of a partition
+	Owners      int           // members with a home share of each key; 0: all
 }
 
-// Lease lets leases be held by hand, and says where votes on leases are stored.
+// Lease enables leases held by operators, and sets where votes on leases are stored.
 type Lease struct {
 	Dir     string        // "": votes are not stored
-	Longest time.Duration // term of a lease that is held by hand
-	Most    int           // leases at once, in the fleet
+	Longest time.Duration // maximum term of a lease held by an operator
+	Most    int           // maximum concurrent leases in the fleet
 }
 
-// Task is a command that one broker of the fleet runs at a time.
+// Task is a command that runs periodically on Holders brokers of the fleet, one by default.
 type Task struct {
 	Name     string
-	Every    time.Duration // 0: At says when
+	Every    time.Duration // 0: At sets the schedule
 	At       string        // a cron expression, in UTC unless it begins with CRON_TZ=
-	Schedule cron.Schedule // of At
+	Schedule cron.Schedule // parsed from At
 	Run      []string
 	Term     time.Duration
 	Timeout  time.Duration // 0: none
 	Holders  int
-	Once     bool // what nobody could begin is made up for once
+	Once     bool // missed runs are made up for by a single run
 	Prefer   []string
 }
 
-// Watch is what a broker compares its decisions with, and does not follow. A pointer at nil stays as it is now.
+// Watch holds alternative settings. A broker compares its decisions with those under these settings but does not apply
+// them. A nil pointer means the current value.
 type Watch struct {
 	SecondCopies, Cancelling, Notes *bool
 	Dispatches                      *float64
@@ -79,90 +80,92 @@
 	Types                           []WatchedType
 }
 
-// Budget of further dispatches: so many, and a share of the scans and parts taken within the window.
+// Budget limits further dispatches: a fixed number, plus a share of the scans and parts accepted within the window.
 type Budget struct {
 	Free, Share float64
 	Window      time.Duration
 }
 
-// WatchedType is one table type; Where names its place in the document, since only the start file knows all names.
+// WatchedType holds the settings of one table type. Where is its position in the document, for errors found later: only
+// the start file has all names of table types.
 type WatchedType struct {
 	Name, Effect, Where string
 	RepeatWindow        time.Duration
 }
 
-// Sharing is for installations whose brokers may talk to each other.
+// Sharing configures the communication between an installation's brokers.
 type Sharing struct {
 	Listen     string            // host:port for members' datagrams
-	Advertise  string            // where others reach it
-	Members    map[string]string // the configured members' addresses by name; empty: whoever joins
-	Join       []string          // addresses where members may be found
+	Advertise  string            // address at which others reach it
+	Members    map[string]string // addresses of the configured members by name; empty: any member may join
+	Join       []string          // seed addresses for joining
 	Weight     float64
-	ClockDrift float64 // share by which a clock may run wrong
-	Pace       float64 // times the usual times of membership
-	Keys       []Key   // the first one seals
+	ClockDrift float64 // maximum relative error of a clock's rate
+	Pace       float64 // factor of the standard membership timing
+	Keys       []Key   // the first seals, all open
 	Duties     []Duty
-	Notes      bool // the modules tell each other of calls and failures
+	Notes      bool // decision modules exchange notes on calls and failures
 	Verdicts   *Verdicts
 }
 
-// Verdicts on stores that the brokers come to together. Times and shares at 0 are the usual ones.
+// Verdicts configures the verdicts on stores that brokers reach together. A time or share of 0 means the default.
 type Verdicts struct {
-	Dir    string        // where operators' orders last; "": they do not
-	Fresh  time.Duration // what is older weighs on nothing
-	Quorum int           // independent observers that a verdict needs
-	Widest float64       // share of the holders of any shard that may rest by others' word
+	Dir    string        // directory that stores operators' orders; "": not stored
+	Fresh  time.Duration // older reports are ignored
+	Quorum int           // independent observers required for a verdict
+	Widest float64       // maximum share of any shard's holders that verdicts may exclude
 }
 
-// Cells confine tenants to subsets of the stores.
+// Cells configures cells, which confine tenants to subsets of the stores.
 type Cells struct {
-	Holders int     // stores of each set that a cell has
-	Least   float64 // share of them that must be there, or the cell refuses
-	Default string  // the cell of tenants that are in no other; "": they are spread over all
+	Holders int     // stores of each replica set in a cell
+	Least   float64 // minimum available share of them; below it the cell rejects requests
+	Default string  // cell of unpinned tenants; "": spread over all cells
 	Pins    map[string]string
 	Cells   []Cell
 }
 
-// Cell is one, with its limits; one at 0 is none.
+// Cell is one cell with its limits. A limit of 0 means no limit.
 type Cell struct {
 	Name                    string
 	Weight                  float64
-	Rate, Burst             float64 // scans a second, and at once
-	Open                    int     // scans
-	WorkMS                  float64 // outstanding
+	Rate, Burst             float64 // scans per second, and burst size
+	Open                    int     // concurrent scans
+	WorkMS                  float64 // outstanding work
 	TenantRate, TenantBurst float64
 }
 
-// Key is one shared secret.
+// Key is a numbered shared secret that authenticates datagrams.
 type Key struct {
 	Number uint8
 	Secret []byte
 }
 
-// Duty is one periodic duty.
+// Duty is a periodic duty and its period.
 type Duty struct {
 	Name   string
 	Period time.Duration
 }
 
-// Control is the local socket that the command line asks.
+// Control configures the local socket that serves the command line.
 type Control struct{ Socket string }
 
-// Known duties; a name beside them is an error.
+// dutyNames lists the valid duties.
 var dutyNames = []string{"probing"}
 
-type document struct {
-	Sharing *sharing `hcl:"sharing,block"`
-	Control *control `hcl:"control,block"`
-	Cells   *cellMap `hcl:"cells,block"`
-	Watch   *watch   `hcl:"watch,block"`
-	Lease   *leases  `hcl:"lease,block"`
-	Tasks   []task   `hcl:"task,block"`
-	Limits  []limit  `hcl:"limit,block"`
-	Lent    *lent    `hcl:"limits,block"`
+// rawDocument and the types below it mirror the HCL structure; Parse validates and converts them.
+type rawDocument struct {
+	Sharing *sharing     `hcl:"sharing,block"`
+	Control *control     `hcl:"control,block"`
+	Cells   *cellMap     `hcl:"cells,block"`
+	Watch   *watch       `hcl:"watch,block"`
+	Lease   *leases      `hcl:"lease,block"`
+	Tasks   []task       `hcl:"task,block"`
+	Limits  []limit      `hcl:"limit,block"`
+	Lent    *limitsBlock `hcl:"limits,block"`
 }
 
-type lent struct {
+type limitsBlock struct {
 	Dir string `hcl:"dir"`
 }
 
@@ -275,7 +278,7 @@
 	Socket string `hcl:"socket"`
 }
 
-// Read reads a document from a file. Self is this broker's name.
+// Read reads a document from a file. self is this broker's name.
 func Read(path, self string) (*Document, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -284,17 +287,18 @@
 	return Parse(text, path, self)
 }
 
-// Parse reads a document's text; path names it in errors, and files that it names are beside it.
+// Parse parses a document's text. Errors name the file by path, and relative paths in the document are relative to its
+// directory.
 func Parse(text []byte, path, self string) (*Document, error) {
 	file, diags := hclparse.NewParser().ParseHCL(text, filepath.Base(path))
 	if diags.HasErrors() {
-		return nil, worded(diags)
+		return nil, firstError(diags)
 	}
-	var raw document
+	var raw rawDocument
 	if diags := gohcl.DecodeBody(file.Body, nil, &raw); diags.HasErrors() {
-		return nil, worded(diags)
+		return nil, firstError(diags)
 	}
-	c := &check{body: file.Body.(*hclsyntax.Body), name: filepath.Base(path), dir: filepath.Dir(path)}
+	c := &validator{body: file.Body.(*hclsyntax.Body), name: filepath.Base(path), dir: filepath.Dir(path)}
 	doc := &Document{}
 	if raw.Sharing != nil {
 		doc.Sharing = c.sharing(raw.Sharing, self)
@@ -317,62 +321,62 @@
 	for i, t := range raw.Tasks {
 		doc.Tasks = append(doc.Tasks, c.task(t, raw.Tasks[:i], doc.Sharing))
 	}
-	if len(raw.Tasks) > tasksMost {
-		c.fault([]string{"task", raw.Tasks[tasksMost].Name}, "", "there are more than %d tasks", tasksMost)
+	if len(raw.Tasks) > maxTasks {
+		c.fault([]string{"task", raw.Tasks[maxTasks].Name}, "", "more than %d tasks", maxTasks)
 	}
 	for i, l := range raw.Limits {
 		doc.Limits = append(doc.Limits, c.limit(l, raw.Limits[:i], doc))
 	}
 	if raw.Lent != nil {
 		if doc.Lent = raw.Lent.Dir; doc.Lent == "" {
-			c.fault([]string{"limits"}, "dir", "a directory is needed")
+			c.fault([]string{"limits"}, "dir", "a directory is required")
 		} else if !filepath.IsAbs(doc.Lent) {
 			doc.Lent = filepath.Join(c.dir, doc.Lent)
 		}
 		if len(raw.Limits) == 0 {
-			c.fault([]string{"limits"}, "", "there is no limit block: nothing is lent")
+			c.fault([]string{"limits"}, "", "no limit block: there are no loans to store")
 		}
 		if doc.Lease != nil && doc.Lease.Dir == doc.Lent {
-			c.fault([]string{"limits"}, "dir", "votes on leases are stored there")
+			c.fault([]string{"limits"}, "dir", "this directory already stores the votes on leases")
 		}
 	}
-	if len(raw.Limits) > limitsMost {
-		c.fault([]string{"limit", raw.Limits[limitsMost].Name}, "", "there are more than %d limits", limitsMost)
+	if len(raw.Limits) > maxLimits {
+		c.fault([]string{"limit", raw.Limits[maxLimits].Name}, "", "more than %d limits", maxLimits)
 	}
 	return doc, c.err
 }
 
 const (
-	limitsMost    = 16
-	loanTerm      = time.Second
-	loanLeast     = 200 * time.Millisecond
-	loanMost      = time.Minute
-	lingerStd     = 10 * time.Second
-	tenantOwners  = 5.0
-	limitSizeMost = 1e9
-	tasksMost     = 1000
-	termStd       = 10 * time.Second
-	termLeast     = 500 * time.Millisecond
-	termMost      = time.Hour
-	leasesMost    = 1000.0
-	longestStd    = 30 * time.Second
-	freshStd      = 10 * time.Second
-	holdersMost   = 100.0
+	maxLimits           = 16
+	defaultLoanTerm     = time.Second
+	minLoanTerm         = 200 * time.Millisecond
+	maxLoanTerm         = time.Minute
+	defaultLinger       = 10 * time.Second
+	defaultTenantOwners = 5.0
+	maxLimitSize        = 1e9
+	maxTasks            = 1000
+	defaultTerm         = 10 * time.Second
+	minTerm             = 500 * time.Millisecond
+	maxTerm             = time.Hour
+	defaultMaxLeases    = 1000.0
+	defaultLongestTerm  = 30 * time.Second
+	defaultFresh        = 10 * time.Second
+	maxHolders          = 100.0
 )
 
-// voters says that leases need a configured set of members.
-func (c *check) voters(at []string, s *Sharing) {
+// requireMembers reports an error unless the document configures the set of members, which leases require.
+func (c *validator) requireMembers(at []string, s *Sharing) {
 	if s == nil || len(s.Members) == 0 {
-		c.fault(at, "", "it needs a sharing block with members: a majority of them grants leases")
+		c.fault(at, "", "requires a sharing block with members: a majority of them grants leases")
 	}
 }
 
-func (c *check) lease(raw *leases, s *Sharing) *Lease {
+func (c *validator) lease(raw *leases, s *Sharing) *Lease {
 	at := []string{"lease"}
-	c.voters(at, s)
-	l := &Lease{Dir: raw.Dir, Longest: longestStd, Most: int(c.between(at, "most", raw.Most, 1, 10000, leasesMost))}
+	c.requireMembers(at, s)
+	l := &Lease{Dir: raw.Dir, Longest: defaultLongestTerm, Most: int(c.inRange(at, "most", raw.Most, 1, 10000, defaultMaxLeases))}
 	if raw.Longest != "" {
-		l.Longest = c.period(at, "longest", raw.Longest, termLeast, termMost)
+		l.Longest = c.duration(at, "longest", raw.Longest, minTerm, maxTerm)
 	}
 	if l.Dir != "" && !filepath.IsAbs(l.Dir) {
 		l.Dir = filepath.Join(c.dir, l.Dir)
@@ -380,23 +384,23 @@
 	return l
 }
 
-func (c *check) limit(raw limit, before []limit, doc *Document) Limit {
+func (c *validator) limit(raw limit, before []limit, doc *Document) Limit {
 	at := []string{"limit", raw.Name}
 	if doc.Sharing == nil || len(doc.Sharing.Members) == 0 {
-		c.fault(at, "", "it needs a sharing block with members: they share it")
+		c.fault(at, "", "requires a sharing block with members, which share the limit")
 	}
 	if raw.Name == "" || len(raw.Name) > 40 || strings.ContainsAny(raw.Name, "/ ") {
 		c.fault(at, "", "a limit needs a name of 1 to 40 bytes, without spaces and slashes")
 	}
 	if slices.ContainsFunc(before, func(o limit) bool { return o.Name == raw.Name }) {
-		c.fault(at, "", "this limit is there twice")
+		c.fault(at, "", "duplicate limit")
 	}
-	l := Limit{Name: raw.Name, For: raw.For, Term: loanTerm, Available: raw.Mode == "available"}
+	l := Limit{Name: raw.Name, For: raw.For, Term: defaultLoanTerm, Available: raw.Mode == "available"}
 	switch raw.For {
 	case "fleet", "tenant":
 	case "cell":
 		if doc.Cells == nil {
-			c.fault(at, "for", "a limit for each cell needs a cells block")
+			c.fault(at, "for", "a limit for each cell requires a cells block")
 		}
 	default:
 		c.fault(at, "for", "%q is neither fleet, cell nor tenant", raw.For)
@@ -409,61 +413,61 @@
 	}{{"scans_per_s", raw.Rate, &l.Rate}, {"open_scans", raw.Open, &l.Open}, {"work_ms", raw.Work, &l.Work}, {"further_per_s", raw.Further, &l.Rate}} {
 		if x.value != nil {
 			sizes++
-			*x.to = c.between(at, x.key, x.value, 1e-3, limitSizeMost, 0)
+			*x.to = c.inRange(at, x.key, x.value, 1e-3, maxLimitSize, 0)
 		}
 	}
 	if sizes != 1 {
-		c.fault(at, "", "one of scans_per_s, open_scans, work_ms and further_per_s is needed")
+		c.fault(at, "", "exactly one of scans_per_s, open_scans, work_ms and further_per_s is required")
 	}
 	if raw.Burst != nil && raw.Rate == nil && raw.Further == nil {
-		c.fault(at, "burst", "goes with scans_per_s and further_per_s alone")
+		c.fault(at, "burst", "is valid only with scans_per_s or further_per_s")
 	}
 	if l.Further = raw.Further != nil; l.Further && (raw.For != "fleet" || slices.ContainsFunc(before, func(o limit) bool { return o.Further != nil })) {
-		c.fault(at, "further_per_s", "there is one such limit, for the fleet")
+		c.fault(at, "further_per_s", "only one such limit is allowed, with for = \"fleet\"")
 	}
-	l.Burst = c.between(at, "burst", raw.Burst, 1, limitSizeMost, max(1, l.Rate/2))
+	l.Burst = c.inRange(at, "burst", raw.Burst, 1, maxLimitSize, max(1, l.Rate/2))
 	if raw.Mode != "" && raw.Mode != "strict" && raw.Mode != "available" {
 		c.fault(at, "mode", "%q is neither strict nor available", raw.Mode)
 	}
 	if raw.Term != "" {
-		l.Term = c.period(at, "term", raw.Term, loanLeast, loanMost)
+		l.Term = c.duration(at, "term", raw.Term, minLoanTerm, maxLoanTerm)
 	}
 	if l.Available {
-		l.Linger = lingerStd
+		l.Linger = defaultLinger
 		if raw.Linger != "" {
-			l.Linger = c.period(at, "linger", raw.Linger, 0, time.Hour)
+			l.Linger = c.duration(at, "linger", raw.Linger, 0, time.Hour)
 		}
-		l.Alone = c.between(at, "alone", raw.Alone, 0, 1, 0)
+		l.Alone = c.inRange(at, "alone", raw.Alone, 0, 1, 0)
 	} else if raw.Linger != "" || raw.Alone != nil {
-		c.fault(at, "mode", "linger and alone go with mode = \"available\": a strict limit is never passed")
+		c.fault(at, "mode", "linger and alone require mode = \"available\": a strict limit is never exceeded")
 	}
 	owners := 0.0
 	if raw.For == "tenant" {
-		owners = tenantOwners
+		owners = defaultTenantOwners
 	}
-	l.Owners = int(c.between(at, "owners", raw.Owners, 0, 1000, owners))
+	l.Owners = int(c.inRange(at, "owners", raw.Owners, 0, 1000, owners))
 	return l
 }
 
-func (c *check) task(raw task, before []task, s *Sharing) Task {
+func (c *validator) task(raw task, before []task, s *Sharing) Task {
 	at := []string{"task", raw.Name}
-	c.voters(at, s)
-	t := Task{Name: raw.Name, At: raw.At, Run: raw.Run, Term: termStd, Holders: int(c.between(at, "holders", raw.Holders, 1, holdersMost, 1)),
+	c.requireMembers(at, s)
+	t := Task{Name: raw.Name, At: raw.At, Run: raw.Run, Term: defaultTerm, Holders: int(c.inRange(at, "holders", raw.Holders, 1, maxHolders, 1)),
 		Once: raw.Missed == "once", Prefer: raw.Prefer}
 	if raw.Name == "" || len(raw.Name) > 80 || strings.ContainsAny(raw.Name, "/ ") {
 		c.fault(at, "", "a task needs a name of 1 to 80 bytes, without spaces and slashes")
 	}
 	if slices.ContainsFunc(before, func(o task) bool { return o.Name == raw.Name }) {
-		c.fault(at, "", "this task is there twice")
+		c.fault(at, "", "duplicate task")
 	}
 	if len(raw.Run) == 0 || raw.Run[0] == "" {
-		c.fault(at, "run", "a command is needed, such as [\"/usr/bin/compact\", \"--all\"]; no shell reads it")
+		c.fault(at, "run", "a command is required, such as [\"/usr/bin/compact\", \"--all\"]; it is not run by a shell")
 	}
 	if raw.Term != "" {
-		t.Term = c.period(at, "term", raw.Term, termLeast, termMost)
+		t.Term = c.duration(at, "term", raw.Term, minTerm, maxTerm)
 	}
 	if raw.Timeout != "" {
-		t.Timeout = c.period(at, "timeout", raw.Timeout, 10*time.Millisecond, 30*24*time.Hour)
+		t.Timeout = c.duration(at, "timeout", raw.Timeout, 10*time.Millisecond, 30*24*time.Hour)
 	}
 	if raw.Missed != "" && raw.Missed != "skip" && raw.Missed != "once" {
 		c.fault(at, "on_missed", "%q is neither skip nor once", raw.Missed)
@@ -471,11 +475,11 @@
 	var err error
 	switch {
 	case (raw.Every == "") == (raw.At == ""):
-		c.fault(at, "", "one of every and at is needed")
+		c.fault(at, "", "exactly one of every and at is required")
 	case raw.Every != "":
-		t.Every = c.period(at, "every", raw.Every, time.Second, 366*24*time.Hour)
+		t.Every = c.duration(at, "every", raw.Every, time.Second, 366*24*time.Hour)
 	default:
-		// Times are the fleet's: a member's own zone would be another at each.
+		// Schedules are in UTC by default, because the members' local time zones may differ.
 		text := raw.At
 		if !strings.HasPrefix(text, "CRON_TZ=") && !strings.HasPrefix(text, "TZ=") {
 			text = "CRON_TZ=UTC " + text
@@ -494,85 +498,86 @@
 
 var effects = []string{"replayable", "keyed", "non-replayable"}
 
-func (c *check) watch(raw *watch) *Watch {
+func (c *validator) watch(raw *watch) *Watch {
 	at := []string{"watch"}
 	w := &Watch{SecondCopies: raw.SecondCopies, Cancelling: raw.Cancelling, Notes: raw.Notes, Dispatches: raw.Dispatches}
-	if c.between(at, "dispatches", raw.Dispatches, 1, 100, 1); raw.Dispatches != nil && *raw.Dispatches != float64(int(*raw.Dispatches)) {
-		c.fault(at, "dispatches", "%v is no whole number", *raw.Dispatches)
+	if c.inRange(at, "dispatches", raw.Dispatches, 1, 100, 1); raw.Dispatches != nil && *raw.Dispatches != float64(int(*raw.Dispatches)) {
+		c.fault(at, "dispatches", "%v is not a whole number", *raw.Dispatches)
 	}
 	if b := raw.Budget; b != nil {
 		in := []string{"watch", "budget"}
-		w.Budget = &Budget{Free: c.between(in, "free", &b.Free, 0, 1e6, 0), Share: c.between(in, "share", &b.Share, 0, 10, 0),
-			Window: c.period(in, "window", b.Window, 100*time.Millisecond, time.Hour)}
+		w.Budget = &Budget{Free: c.inRange(in, "free", &b.Free, 0, 1e6, 0), Share: c.inRange(in, "share", &b.Share, 0, 10, 0),
+			Window: c.duration(in, "window", b.Window, 100*time.Millisecond, time.Hour)}
 	}
 	for i, t := range raw.Types {
 		in := []string{"watch", "table_type", t.Name}
 		v := WatchedType{Name: t.Name, Effect: t.Effect, Where: c.where(in, "")}
 		if slices.ContainsFunc(raw.Types[:i], func(o watchedType) bool { return o.Name == t.Name }) {
-			c.fault(in, "", "this table type is there twice")
+			c.fault(in, "", "duplicate table type")
 		}
 		if !slices.Contains(effects, t.Effect) {
 			c.fault(in, "effect", "%q is none of %s", t.Effect, strings.Join(effects, ", "))
 		}
 		if (t.Effect == "keyed") != (t.Window != "") {
-			c.fault(in, "repeat_window", "it goes with the effect keyed, and only with that")
+			c.fault(in, "repeat_window", "required with the effect keyed, and invalid with others")
 		} else if t.Window != "" {
-			v.RepeatWindow = c.period(in, "repeat_window", t.Window, time.Millisecond, time.Hour)
+			v.RepeatWindow = c.duration(in, "repeat_window", t.Window, time.Millisecond, time.Hour)
 		}
 		w.Types = append(w.Types, v)
 	}
 	if reflect.DeepEqual(*w, Watch{}) {
-		c.fault(at, "", "nothing is named to be watched")
+		c.fault(at, "", "the block is empty")
 	}
 	return w
 }
 
-func (c *check) period(path []string, key, text string, least, most time.Duration) time.Duration {
+// duration parses a duration and checks its range.
+func (c *validator) duration(path []string, key, text string, least, most time.Duration) time.Duration {
 	d, err := time.ParseDuration(text)
 	if err != nil || d < least || d > most {
-		c.fault(path, key, "%q is no time from %v to %v", text, least, most)
+		c.fault(path, key, "%q is not a duration from %v to %v", text, least, most)
 	}
 	return d
 }
 
-const cellsMost = 256
+const maxCells = 256
 
-func (c *check) cells(raw *cellMap) *Cells {
+func (c *validator) cells(raw *cellMap) *Cells {
 	at := []string{"cells"}
 	holders := 2.0
 	if raw.Holders != nil {
 		holders = float64(*raw.Holders)
 	}
-	m := &Cells{Holders: int(c.between(at, "holders", &holders, 1, 100, 2)), Least: c.between(at, "least_share", raw.Least, 0.01, 1, 0.5),
+	m := &Cells{Holders: int(c.inRange(at, "holders", &holders, 1, 100, 2)), Least: c.inRange(at, "least_share", raw.Least, 0.01, 1, 0.5),
 		Default: raw.Default, Pins: raw.Pins}
 	names := map[string]bool{}
 	for _, k := range raw.Cells {
 		in := []string{"cells", "cell", k.Name}
 		if k.Name == "" || len(k.Name) > 100 || names[k.Name] {
-			c.fault(in, "", "a cell needs a name of its own, of 1 to 100 bytes")
+			c.fault(in, "", "a cell needs a unique name of 1 to 100 bytes")
 		}
 		names[k.Name] = true
-		m.Cells = append(m.Cells, Cell{Name: k.Name, Weight: c.between(in, "weight", k.Weight, 0.001, 1e6, 1),
-			Rate: c.between(in, "scans_per_s", k.Rate, 0.01, 1e6, 0), Burst: c.between(in, "burst", k.Burst, 1, 1e6, 0),
-			Open: int(c.between(in, "open_scans", k.Open, 1, 1e6, 0)), WorkMS: c.between(in, "work_ms", k.Work, 1, 1e9, 0),
-			TenantRate: c.between(in, "tenant_scans_per_s", k.TenantRate, 0.01, 1e6, 0), TenantBurst: c.between(in, "tenant_burst", k.TenantBurst, 1, 1e6, 0)})
+		m.Cells = append(m.Cells, Cell{Name: k.Name, Weight: c.inRange(in, "weight", k.Weight, 0.001, 1e6, 1),
+			Rate: c.inRange(in, "scans_per_s", k.Rate, 0.01, 1e6, 0), Burst: c.inRange(in, "burst", k.Burst, 1, 1e6, 0),
+			Open: int(c.inRange(in, "open_scans", k.Open, 1, 1e6, 0)), WorkMS: c.inRange(in, "work_ms", k.Work, 1, 1e9, 0),
+			TenantRate: c.inRange(in, "tenant_scans_per_s", k.TenantRate, 0.01, 1e6, 0), TenantBurst: c.inRange(in, "tenant_burst", k.TenantBurst, 1, 1e6, 0)})
 	}
-	if len(raw.Cells) == 0 || len(raw.Cells) > cellsMost {
-		c.fault(at, "", "from 1 to %d cell blocks are needed", cellsMost)
+	if len(raw.Cells) == 0 || len(raw.Cells) > maxCells {
+		c.fault(at, "", "from 1 to %d cell blocks are required", maxCells)
 	}
 	if raw.Default != "" && !names[raw.Default] {
 		c.fault(at, "default", "there is no cell %q", raw.Default)
 	}
 	for tenant, name := range raw.Pins {
 		if !names[name] {
-			c.fault(at, "pins", "tenant %q is pinned to %q, and there is no such cell", tenant, name)
+			c.fault(at, "pins", "tenant %q is pinned to the unknown cell %q", tenant, name)
 		}
 	}
 	return m
 }
 
-// worded puts the library's first error into one line: place, key, what is wrong.
-func worded(diags hcl.Diagnostics) error {
+// firstError converts the library's first error to one line: position, summary, detail.
+func firstError(diags hcl.Diagnostics) error {
 	for _, d := range diags {
 		if d.Severity == hcl.DiagError {
 			at := "features"
@@ -585,22 +590,22 @@
 	return diags
 }
 
-// check collects the first fault.
-type check struct {
+// validator validates a document and keeps the first error.
+type validator struct {
 	body      *hclsyntax.Body
 	name, dir string
 	err       error
 }
 
-// fault notes what is wrong with a key. Path names the blocks round it, with their labels.
-func (c *check) fault(path []string, key, format string, args ...any) {
+// fault records an error at a key. path lists the enclosing blocks with their labels.
+func (c *validator) fault(path []string, key, format string, args ...any) {
 	if c.err == nil {
 		c.err = fmt.Errorf("%s: %s", c.where(path, key), fmt.Sprintf(format, args...))
 	}
 }
 
-// where names a key's place: file, line, and the blocks round it.
-func (c *check) where(path []string, key string) string {
+// where returns the position of a key: file, line and enclosing blocks.
+func (c *validator) where(path []string, key string) string {
 	body, line := c.body, 1
 	for i := 0; i < len(path); i++ {
 		for _, b := range body.Blocks {
@@ -622,14 +627,16 @@
 	return fmt.Sprintf("%s:%d: %s", c.name, line, where)
 }
 
-func (c *check) address(path []string, key, addr string) {
+// address checks that addr is an IP address with a port.
+func (c *validator) address(path []string, key, addr string) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil || at.Port() == 0 {
-		c.fault(path, key, "%q is no address with a port, such as 10.0.0.4:7946 (names are not looked up)", addr)
+		c.fault(path, key, "%q is not an address with a port, such as 10.0.0.4:7946 (names are not resolved)", addr)
 	}
 }
 
-func (c *check) between(path []string, key string, x *float64, least, most, other float64) float64 {
+// inRange returns the number at a key, or a default if it is missing, and checks its range.
+func (c *validator) inRange(path []string, key string, x *float64, least, most, other float64) float64 {
 	if x == nil {
 		return other
 	}
@@ -639,14 +646,14 @@
 	return *x
 }
 
-const membersMost = 1000
+const maxMembers = 1000
 
-func (c *check) sharing(raw *sharing, self string) *Sharing {
+func (c *validator) sharing(raw *sharing, self string) *Sharing {
 	at := []string{"sharing"}
 	s := &Sharing{Listen: raw.Listen, Advertise: cmp.Or(raw.Advertise, raw.Listen), Members: raw.Members, Join: raw.Join, Notes: raw.Notes,
-		Weight:     c.between(at, "weight", raw.Weight, 0.01, 1000, 1),
-		ClockDrift: c.between(at, "clock_drift", raw.ClockDrift, 0, 0.2, 0.01),
-		Pace:       c.between(at, "pace", raw.Pace, 0.02, 60, 1)}
+		Weight:     c.inRange(at, "weight", raw.Weight, 0.01, 1000, 1),
+		ClockDrift: c.inRange(at, "clock_drift", raw.ClockDrift, 0, 0.2, 0.01),
+		Pace:       c.inRange(at, "pace", raw.Pace, 0.02, 60, 1)}
 	c.address(at, "listen", raw.Listen)
 	c.address(at, "advertise", s.Advertise)
 	for _, a := range raw.Join {
@@ -659,57 +666,57 @@
 			c.fault(at, "members", "a name must have 1 to 100 bytes")
 		}
 		if other := seen[a]; other != "" {
-			c.fault(at, "members", "%s and %s have one address, %s", min(name, other), max(name, other), a)
+			c.fault(at, "members", "%s and %s have the same address, %s", min(name, other), max(name, other), a)
 		}
 		seen[a] = name
 	}
 	switch {
-	case len(raw.Members) > membersMost:
-		c.fault(at, "members", "%d are too many, %d at most", len(raw.Members), membersMost)
+	case len(raw.Members) > maxMembers:
+		c.fault(at, "members", "%d members, the maximum is %d", len(raw.Members), maxMembers)
 	case len(raw.Members) > 0 && raw.Members[self] == "":
-		c.fault(at, "members", "this broker, %q, is not among them", self)
+		c.fault(at, "members", "this broker, %q, is not a member", self)
 	case len(raw.Members) > 0 && raw.Members[self] != s.Advertise:
-		c.fault(at, "members", "this broker, %q, is reached at %s but is named with %s", self, s.Advertise, raw.Members[self])
+		c.fault(at, "members", "this broker, %q, advertises %s but is listed with %s", self, s.Advertise, raw.Members[self])
 	case len(raw.Members) == 0 && len(raw.Join) == 0:
-		c.fault(at, "", "members or join is needed")
+		c.fault(at, "", "members or join is required")
 	}
 	if v := raw.Verdicts; v != nil {
 		at := []string{"sharing", "verdicts"}
-		s.Verdicts = &Verdicts{Dir: v.Dir, Fresh: freshStd, Quorum: int(c.between(at, "observers", v.Quorum, 1, 100, 2)), Widest: c.between(at, "widest", v.Widest, 0, 0.9, 1.0/3)}
+		s.Verdicts = &Verdicts{Dir: v.Dir, Fresh: defaultFresh, Quorum: int(c.inRange(at, "observers", v.Quorum, 1, 100, 2)), Widest: c.inRange(at, "widest", v.Widest, 0, 0.9, 1.0/3)}
 		if v.Fresh != "" {
-			s.Verdicts.Fresh = c.period(at, "fresh", v.Fresh, time.Second, 5*time.Minute)
+			s.Verdicts.Fresh = c.duration(at, "fresh", v.Fresh, time.Second, 5*time.Minute)
 		}
 		if v.Dir != "" && !filepath.IsAbs(v.Dir) {
 			s.Verdicts.Dir = filepath.Join(c.dir, v.Dir)
 		}
 	}
 	if len(raw.Keys) == 0 {
-		c.fault(at, "", "a key block is needed: members' datagrams are authenticated")
+		c.fault(at, "", "a key block is required: members' datagrams are authenticated")
 	}
 	for _, k := range raw.Keys {
 		s.Keys = append(s.Keys, c.key(k))
 		if slices.ContainsFunc(s.Keys[:len(s.Keys)-1], func(o Key) bool { return o.Number == s.Keys[len(s.Keys)-1].Number }) {
-			c.fault([]string{"sharing", "key", k.Number}, "", "this number is there twice")
+			c.fault([]string{"sharing", "key", k.Number}, "", "duplicate key number")
 		}
 	}
 	for _, d := range raw.Duties {
 		at := []string{"sharing", "duty", d.Name}
 		period, err := time.ParseDuration(d.Period)
 		if err != nil || period < 100*time.Millisecond || period > 30*24*time.Hour {
-			c.fault(at, "period", "%q is no time from 100ms to 720h", d.Period)
+			c.fault(at, "period", "%q is not a duration from 100ms to 720h", d.Period)
 		}
 		if !slices.Contains(dutyNames, d.Name) {
-			c.fault(at, "", "there is no such duty; there are: %s", strings.Join(dutyNames, ", "))
+			c.fault(at, "", "unknown duty; the duties are: %s", strings.Join(dutyNames, ", "))
 		}
 		if slices.ContainsFunc(s.Duties, func(o Duty) bool { return o.Name == d.Name }) {
-			c.fault(at, "", "this duty is there twice")
+			c.fault(at, "", "duplicate duty")
 		}
 		s.Duties = append(s.Duties, Duty{d.Name, period})
 	}
 	return s
 }
 
-func (c *check) key(k key) Key {
+func (c *validator) key(k key) Key {
 	at := []string{"sharing", "key", k.Number}
 	n, err := strconv.ParseUint(k.Number, 10, 8)
 	if err != nil {
@@ -717,7 +724,7 @@
 	}
 	text, name := k.Secret, "secret"
 	if (k.Secret == "") == (k.File == "") {
-		c.fault(at, "", "one of secret and secret_file is needed")
+		c.fault(at, "", "exactly one of secret and secret_file is required")
 	}
 	if k.File != "" {
 		name = "secret_file"
@@ -738,8 +745,8 @@
 	return Key{Number: uint8(n), Secret: secret}
 }
 
-// unsized are limits without what is taken up in service.
-func unsized(limits []Limit) []Limit {
+// withoutSizes returns a copy of limits without the sizes, which take effect without a restart.
+func withoutSizes(limits []Limit) []Limit {
 	all := slices.Clone(limits)
 	for i := range all {
 		l := &all[i]
@@ -751,8 +758,8 @@
 	return all
 }
 
-// Differ names the blocks and keys in which other differs from d; keys of members and sizes of limits are taken up in service, the rest
-// waits for a restart.
+// Differ returns the blocks and keys that differ between d and other and take effect only after a restart. Keys of members
+// and sizes of limits take effect without one.
 func (d *Document) Differ(other *Document) (names []string) {
 	a, b := d.Sharing, other.Sharing
 	if (a == nil) != (b == nil) {
@@ -774,7 +781,7 @@
 	if !reflect.DeepEqual(d.Tasks, other.Tasks) {
 		names = append(names, "task")
 	}
-	if !reflect.DeepEqual(unsized(d.Limits), unsized(other.Limits)) {
+	if !reflect.DeepEqual(withoutSizes(d.Limits), withoutSizes(other.Limits)) {
 		names = append(names, "limit")
 	}
 	if d.Lent != other.Lent {
