--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -16,7 +16,7 @@
 	"gullstair/internal/terms"
 )
 
-// Told is a broker's start configuration.
+// StartConfig is a broker's start configuration.
 type Told struct {
 	Name, Listen, Discovery string
 	Seed                    uint64
@@ -66,7 +66,7 @@
 	return t, nil
 }
 
-// Differ returns the keys whose values differ between t and o and take effect only after a restart.
+// RestartKeys returns the keys whose values differ between t and o and take effect only after a restart.
 func (t *Told) Differ(o *Told) (keys []string) {
 	for key, same := range map[string]bool{"name": t.Name == o.Name, "listen": t.Listen == o.Listen,
 		"limits":   t.Cores == o.Cores && t.MemoryMB == o.MemoryMB && t.Sockets == o.Sockets,
@@ -181,13 +181,13 @@
 }
 
 // limit returns the number at a key of limits, or a default if the key is missing.
-func limit(limits map[string]json.RawMessage, key string, least, most, other float64) (x float64, err error) {
+func limit(limits map[string]json.RawMessage, key string, lowest, highest, fallback float64) (x float64, err error) {
 	raw, there := limits[key]
 	if !there {
-		return other, nil
+		return fallback, nil
 	}
-	if json.Unmarshal(raw, &x) != nil || !(x >= least && x <= most) {
-		return 0, fmt.Errorf("limits.%s: %s is not a number from %g to %g", key, raw, least, most)
+	if json.Unmarshal(raw, &x) != nil || !(x >= lowest && x <= highest) {
+		return 0, fmt.Errorf("limits.%s: %s is not a number from %g to %g", key, raw, lowest, highest)
 	}
 	return x, nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -18,26 +18,26 @@
 
 func TestParse(t *testing.T) {
 	env := map[string]string{"GW_NAME": "b9", "GW_LISTEN": "127.0.0.1:77"}
-	told, err := Parse(startFile(t), func(k string) string { return env[k] })
+	cfg, err := Parse(startFile(t), func(k string) string { return env[k] })
 	require.NoError(t, err)
-	assert.Equal(t, "b9", told.Name, "a variable takes precedence over the file")
-	assert.Equal(t, "127.0.0.1:77", told.Listen)
-	assert.Equal(t, "127.0.0.1:1", told.Discovery)
-	assert.Equal(t, uint64(0x8c1f30d27a5be964), told.Seed)
-	assert.Equal(t, [2]int{192, 1024}, [2]int{told.MemoryMB, told.Sockets})
-	assert.EqualValues(t, 41, told.Known.Seq)
-	assert.Len(t, told.Known.Hosts, 2)
-	s := told.Site
+	assert.Equal(t, "b9", cfg.Name, "a variable takes precedence over the file")
+	assert.Equal(t, "127.0.0.1:77", cfg.Listen)
+	assert.Equal(t, "127.0.0.1:1", cfg.Discovery)
+	assert.Equal(t, uint64(0x8c1f30d27a5be964), cfg.Seed)
+	assert.Equal(t, [2]int{192, 1024}, [2]int{cfg.MemoryMB, cfg.Sockets})
+	assert.EqualValues(t, 41, cfg.Known.Seq)
+	assert.Len(t, cfg.Known.Hosts, 2)
+	s := cfg.Site
 	assert.Equal(t, [5]int{6, 4, 32, 3, 20}, [5]int{s.Shards, s.Batch, s.PerConn, s.Dispatches, s.OpenCap})
 	assert.Equal(t, [3]float64{5, 30000, 250}, [3]float64{s.Turn, s.ConnIdle, s.ConnectTimeout})
 	assert.Equal(t, map[string]int{"west": 0, "east": 1}, s.Zones)
 	assert.Equal(t, map[string]int{"report": 0, "board": 1, "fix": 2}, s.TypeIndex)
 	assert.Equal(t, [3]any{2, true, 2500.0}, [3]any{s.Types[0].Fetch, s.Types[2].Keyed, s.Types[2].RepeatWindow})
-	assert.Equal(t, 1500.0, told.Flat["tableType.1.target"])
+	assert.Equal(t, 1500.0, cfg.Flat["tableType.1.target"])
 }
 
-// When the file is read again, its discovery address takes precedence over the variable, and Differ names the changes
-// that require a restart.
+// When the file is read again, its discovery address takes precedence over the variable, and RestartKeys names the
+// changes that require a restart.
 func TestReread(t *testing.T) {
 	env := map[string]string{"GW_CONFIG": "testdata/start.json", "GW_DISCOVERY": "127.0.0.1:9", "GW_NAME": "b9"}
 	first, err := Read(func(k string) string { return env[k] })
@@ -118,11 +118,11 @@
 func TestNotesAreOff(t *testing.T) {
 	nobody := func(string) string { return "" }
 	for was, off := range map[string]int{`"peers": false`: 0, `"peers": true`: 1} {
-		told, err := Parse([]byte(strings.Replace(string(startFile(t)), `"peers": false`, was, 1)), nobody)
+		cfg, err := Parse([]byte(strings.Replace(string(startFile(t)), `"peers": false`, was, 1)), nobody)
 		require.NoError(t, err)
-		assert.Equal(t, false, told.Flat["limit.peers"])
-		if assert.Len(t, told.Off, off, was); off > 0 {
-			assert.Contains(t, told.Off[0], "ceilings.peers")
+		assert.Equal(t, false, cfg.Flat["limit.peers"])
+		if assert.Len(t, cfg.Off, off, was); off > 0 {
+			assert.Contains(t, cfg.Off[0], "ceilings.peers")
 		}
 	}
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery watches the list of nodes. An actor keeps one long-polling HTTP call open to the discovery agent and
-// delivers the updates that it receives; it makes no decisions of its own.
+// Package discovery watches the list of nodes. An actor keeps one long-polling HTTP call open to the discovery agent
+// and delivers the updates that it receives; it makes no decisions of its own.
 package discovery
 
 import (
@@ -91,8 +91,8 @@
 	return nodes
 }
 
-// Watch is the actor that follows the list. Only its goroutine makes calls and owns the connection. Its mailbox receives
-// the answers of the connection's reader and the requests of Ask and Move.
+// Watch is the actor that follows the list. Only its goroutine makes calls and owns the connection. Its mailbox
+// receives the answers of the connection's reader and the requests of Start and Move.
 type Watch struct {
 	addr    string
 	seq     int64 // version of the list delivered last
@@ -140,7 +140,7 @@
 // Options configure a Watch.
 type Options struct {
 	Since int64  // the version of the list that is already known
-	OnAsk bool   // pull mode: no call is made before Ask
+	OnAsk bool   // pull mode: no call is made before Start
 	Seed  uint64 // seed of the backoff jitter, which spreads the retries of many brokers
 }
 
@@ -151,7 +151,7 @@
 		first: make(chan struct{})}
 	w.retryTimer.Stop()
 	if o.OnAsk {
-		w.finishFirst() // in pull mode the first list comes only after Ask
+		w.finishFirst() // in pull mode the first list comes only after Start
 	} else {
 		w.Ask()
 	}
@@ -172,8 +172,8 @@
 	}
 }
 
-// Ask starts the watch. A started watch retries failed calls itself until Stop. A further Ask adds no call; otherwise a
-// discovery that is down would get an extra call for each failure.
+// Start starts the watch. A started watch retries failed calls itself until Stop. A further Start adds no call;
+// otherwise a discovery that is down would get an extra call for each failure.
 func (w *Watch) Ask() {
 	select {
 	case w.mailbox <- askMsg{}:
@@ -289,8 +289,8 @@
 	})})
 }
 
-// fail handles a failed call and schedules a retry. A change may have been lost with it, so the retry requests the whole
-// list, unless the call was refused: a refused call carried no data and is repeated as it was.
+// fail handles a failed call and schedules a retry. A change may have been lost with it, so the retry requests the
+// whole list, unless the call was refused: a refused call carried no data and is repeated as it was.
 func (w *Watch) fail(err error) {
 	w.hangUp()
 	w.requestWhole = w.requestWhole || !errors.Is(err, errRefused)
@@ -336,23 +336,23 @@
 // query returns the next call's query string and the timeout of its answer. A hanging agent is indistinguishable from a
 // list without changes. Short watches detect it, and a call without a hold time detects it fastest.
 func (w *Watch) query() (string, time.Duration) {
-	within, hold := immediateTimeout, watchHold
+	answerTimeout, hold := immediateTimeout, watchHold
 	if w.pull {
-		within = pullTimeout
+		answerTimeout = pullTimeout
 	}
 	switch {
 	case w.requestWhole:
-		return "", within
+		return "", answerTimeout
 	case w.resuming:
-		within = answerGrace // the watch is running
+		answerTimeout = answerGrace // the watch is running
 	case w.pull:
 		hold = firstPullHold
 	case !w.firstClosed:
 		hold = firstCallHold
 	default:
-		within = answerGrace
+		answerTimeout = answerGrace
 	}
-	return fmt.Sprintf("?since=%d&timeout_ms=%d", w.seq, hold.Milliseconds()), hold + within
+	return fmt.Sprintf("?since=%d&timeout_ms=%d", w.seq, hold.Milliseconds()), hold + answerTimeout
 }
 
 // read posts the answers that arrive on a connection to the mailbox, until the connection ends.
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -132,7 +132,7 @@
 	assert.Less(t, time.Since(begun), 2*time.Second, "a request for the whole list has a short timeout")
 }
 
-// In pull mode the first Ask starts the watch, and no later one adds a call.
+// In pull mode the first Start starts the watch, and no later one adds a call.
 func TestAsk(t *testing.T) {
 	a := watch(t, 41, true)
 	for range 50 {
@@ -208,8 +208,8 @@
 	assert.Equal(t, "/v1/servers?since=44&timeout_ms=3000", next(t, a.requests), "the watch continues")
 }
 
-// A list that the agent gets when discovery comes back must be known within half a second, and the agent does not answer
-// a call that was open before. Failed calls are retried quickly enough to meet that.
+// A list that the agent gets when discovery comes back must be known within half a second, and the agent does not
+// answer a call that was open before. Failed calls are retried quickly enough to meet that.
 func TestReturnOfDiscovery(t *testing.T) {
 	a := watch(t, 41, false)
 	next(t, a.requests)
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -71,8 +71,8 @@
 	Prefer   []string
 }
 
-// Watch holds alternative settings. A broker compares its decisions with those under these settings but does not apply
-// them. A nil pointer means the current value.
+// ShadowSettings holds alternative settings. A broker compares its decisions with those under these settings but does
+// not apply them. A nil pointer means the current value.
 type Watch struct {
 	SecondCopies, Cancelling, Notes *bool
 	Dispatches                      *float64
@@ -86,8 +86,8 @@
 	Window      time.Duration
 }
 
-// WatchedType holds the settings of one table type. Where is its position in the document, for errors found later: only
-// the start file has all names of table types.
+// ShadowTableType holds the settings of one table type. Where is its position in the document, for errors found later:
+// only the start file has all names of table types.
 type WatchedType struct {
 	Name, Effect, Where string
 	RepeatWindow        time.Duration
@@ -636,12 +636,12 @@
 }
 
 // inRange returns the number at a key, or a default if it is missing, and checks its range.
-func (c *validator) inRange(path []string, key string, x *float64, least, most, other float64) float64 {
+func (c *validator) inRange(path []string, key string, x *float64, lowest, highest, fallback float64) float64 {
 	if x == nil {
-		return other
+		return fallback
 	}
-	if !(*x >= least && *x <= most) {
-		c.fault(path, key, "%v is not from %v to %v", *x, least, most)
+	if !(*x >= lowest && *x <= highest) {
+		c.fault(path, key, "%v is not from %v to %v", *x, lowest, highest)
 	}
 	return *x
 }
@@ -758,8 +758,8 @@
 	return all
 }
 
-// Differ returns the blocks and keys that differ between d and other and take effect only after a restart. Keys of members
-// and sizes of limits take effect without one.
+// RestartChanges returns the blocks and keys that differ between d and other and take effect only after a restart. Keys
+// of members and sizes of limits take effect without one.
 func (d *Document) Differ(other *Document) (names []string) {
 	a, b := d.Sharing, other.Sharing
 	if (a == nil) != (b == nil) {
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -14,9 +14,9 @@
 const (
 	maxHeadBytes = 4 << 10         // maximum size of a request head in bytes, and the size of each connection's read buffer
 	writeTimeout = 2 * time.Second // write timeout of an answer
-	// lingerTimeout and maxLingerBytes bound, in time and bytes, how long the front reads from a connection after it shut down
-	// the write side. Closing a socket with unread bytes resets it, and the client then loses an answer that it has not
-	// read yet.
+	// lingerTimeout and maxLingerBytes bound, in time and bytes, how long the front reads from a connection after it
+	// shut down the write side. Closing a socket with unread bytes resets it, and the client then loses an answer that
+	// it has not read yet.
 	lingerTimeout  = time.Second
 	maxLingerBytes = 1 << 20
 )
@@ -74,7 +74,8 @@
 	c.front.mu.Unlock()
 }
 
-// enter sets the connection's stage and read deadline. It returns false if the front has already removed the connection.
+// enter sets the connection's stage and read deadline. It returns false if the front has already removed the
+// connection.
 func (c *client) enter(at stage, until time.Time) bool {
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
@@ -148,7 +149,8 @@
 }
 
 // answer writes an answer and reports whether the connection stays open. The connection closes if it was asked to or
-// the front needs its slot, but not while a further request has been read: the client would wait for its answer in vain.
+// the front needs its slot, but not while a further request has been read: the client would wait for its answer in
+// vain.
 func (c *client) answer(a answer, last bool) bool {
 	wanted := c.mustClose() || c.front.closeAfterAnswer.Load() || c.front.crowded()
 	last = last || wanted && !c.hasMore()
@@ -193,9 +195,9 @@
 	return false
 }
 
-// readHead waits for a complete request head and checks its raw bytes. It returns the status and text of an error answer,
-// or 0. If a request has two lengths, or a length and chunked encoding, http.ReadRequest uses one and drops the other,
-// which would allow request smuggling. Such requests are rejected.
+// readHead waits for a complete request head and checks its raw bytes. It returns the status and text of an error
+// answer, or 0. If a request has two lengths, or a length and chunked encoding, http.ReadRequest uses one and drops the
+// other, which would allow request smuggling. Such requests are rejected.
 func (c *client) readHead() (status int, why string) {
 	for n := 1; ; n++ {
 		n = max(n, c.in.Buffered())
--- a/internal/front/client_test.go
+++ b/internal/front/client_test.go
@@ -40,8 +40,8 @@
 	}, testTimeout, time.Millisecond)
 }
 
-// A connection that closes after its answer must not be closed with unread input: that would reset it, and a client that
-// has not read the answer yet would lose it.
+// A connection that closes after its answer must not be closed with unread input: that would reset it, and a client
+// that has not read the answer yet would lose it.
 func TestAnswerOutlivesItsConnection(t *testing.T) {
 	d := startFront(t, 10)
 	for name, more := range map[string]string{
@@ -100,7 +100,7 @@
 	assert.Empty(t, took)
 }
 
-// newFront returns a Front without a core; each test sets Take.
+// newFront returns a Front without a core; each test sets OnScan.
 func newFront(most int) *Front {
 	f := &Front{Most: most, Ample: most, ReadAhead: 1 << 20, ReadWithin: testTimeout, Now: func() float64 { return 1000 }, Log: zerolog.Nop()}
 	f.Site = testSite
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -332,7 +332,7 @@
 	_ = fourth
 }
 
-// Above Ample, connections close with their answer, and silent ones close soon; the others stay open.
+// Above SoftMaxConns, connections close with their answer, and silent ones close soon; the others stay open.
 func TestAmple(t *testing.T) {
 	d := startFront(t, 10)
 	d.front.mu.Lock()
@@ -345,7 +345,7 @@
 	require.Eventually(t, func() bool { return d.front.Conns() == 2 }, testTimeout, time.Millisecond)
 	third := d.dial().send(healthRequest)
 	_, _, res = third.response()
-	assert.True(t, res.Close, "three connections exceed Ample")
+	assert.True(t, res.Close, "three connections exceed the soft limit")
 	assert.True(t, third.closed())
 	require.Eventually(t, func() bool {
 		d.dial().send(healthRequest).response() // a new connection takes the silent one's slot
@@ -355,8 +355,8 @@
 	kept.send(healthRequest).response()
 }
 
-// During shutdown /healthz returns 503 while clients are still served for a while, on new connections too. Then accepted
-// scans are answered, connections close, and later scans are refused.
+// During shutdown /healthz returns 503 while clients are still served for a while, on new connections too. Then
+// accepted scans are answered, connections close, and later scans are refused.
 func TestStop(t *testing.T) {
 	d := startFront(t, 10)
 	idle := d.dial().send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
--- a/internal/front/http.go
+++ b/internal/front/http.go
@@ -185,8 +185,8 @@
 	Text *string `json:"text"`
 }
 
-// parseScan validates a scan request and converts it to the core's type. It returns an HTTP status and a text for invalid
-// requests.
+// parseScan validates a scan request and converts it to the core's type. It returns an HTTP status and a text for
+// invalid requests.
 func (f *Front) parseScan(req *http.Request, body []byte, at float64) (*core.Scan, int, string) {
 	bad := func(why string) (*core.Scan, int, string) { return nil, http.StatusBadRequest, why }
 	name, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -20,7 +20,7 @@
 
 const (
 	acceptRetryDelay  = 5 * time.Millisecond
-	silentTimeout     = 300 * time.Millisecond // above Ample, a connection without any request for this long is closed
+	silentTimeout     = 300 * time.Millisecond // above SoftMaxConns, a connection without any request for this long is closed
 	answerTimeDecay   = 0.99                   // decay of the slowest answer's time with each further answer
 	minIdleAge        = 100 * time.Millisecond // a connection younger than this probably has a request in transit
 	stopPollInterval  = 20 * time.Millisecond
@@ -28,24 +28,25 @@
 	maxYields         = 10 // how often the acceptor yields to other goroutines before it rejects a connection
 )
 
-// ClosingMost is the maximum number of closing connections, in addition to Most in service.
+// MaxClosingConns is the maximum number of closing connections, in addition to MaxConns in service.
 const ClosingMost = 16
 
-// Front serves clients. It calls Take with each scan, and Left with each scan whose client disconnected; both may block.
+// Front serves clients. It calls OnScan with each scan, and OnDisconnect with each scan whose client disconnected; both
+// may block.
 type Front struct {
 	Site terms.Site
 	Now  func() float64
 	Take func(*core.Scan)
 	Left func(*core.Scan)
 	Most int // maximum client connections in service
-	// Ample is the number of connections up to which the front keeps them open. Above it a connection closes with its next
-	// answer, and one that has sent no request closes soon: a client, or a machine in between, may count it against its
-	// own limit. At worst such a client has to connect again.
+	// SoftMaxConns is the number of connections up to which the front keeps them open. Above it a connection closes
+	// with its next answer, and one that has sent no request closes soon: a client, or a machine in between, may count
+	// it against its own limit. At worst such a client has to connect again.
 	Ample int
 	// ReadAhead is the total number of bytes of pipelined requests that all connections together may buffer.
 	ReadAhead int
-	// ReadWithin is the timeout of an idle connection and of reading a request. For the first request it counts from the
-	// accept; later from the last answer and from the request's first byte. Idle connections hold descriptors that
+	// ReadWithin is the timeout of an idle connection and of reading a request. For the first request it counts from
+	// the accept; later from the last answer and from the request's first byte. Idle connections hold descriptors that
 	// others need.
 	ReadWithin time.Duration
 	Log        zerolog.Logger
@@ -75,8 +76,8 @@
 // Ready makes /healthz report that the broker is ready.
 func (f *Front) Ready() { f.ready.Store(true) }
 
-// crowded reports whether connections should close with their next answer. It returns false during shutdown, when an open
-// connection may be the only one that a client has.
+// crowded reports whether connections should close with their next answer. It returns false during shutdown, when an
+// open connection may be the only one that a client has.
 func (f *Front) crowded() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,9 +113,9 @@
 	}
 }
 
-// Serve accepts connections until the listener closes. It does not wait for a free slot, because the time budgets of the
-// clients in the accept queue are running. At the limit it closes the connection that has been idle longest, else the
-// one with the oldest incomplete request; if all are processing requests it rejects the new one.
+// Serve accepts connections until the listener closes. It does not wait for a free slot, because the time budgets of
+// the clients in the accept queue are running. At the limit it closes the connection that has been idle longest, else
+// the one with the oldest incomplete request; if all are processing requests it rejects the new one.
 func (f *Front) Serve(ln net.Listener) error {
 	f.mu.Lock()
 	f.conns = map[*client]struct{}{}
@@ -171,8 +172,8 @@
 	return true
 }
 
-// freeDescriptor frees a descriptor when none is left: of a connection that is shut already, else of the one that has been idle
-// longest.
+// freeDescriptor frees a descriptor when none is left: of a connection that is shut already, else of the one that has
+// been idle longest.
 func (f *Front) freeDescriptor() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -181,9 +182,9 @@
 	}
 }
 
-// requestCloseOfOldest asks the connection to close that has been at the given stage longest, for at least atLeast. With silent it
-// considers only connections that have never sent a byte. The connection's goroutine decides, since it may just have
-// read the first bytes of a request. The caller holds the mutex.
+// requestCloseOfOldest asks the connection to close that has been at the given stage longest, for at least atLeast.
+// With silent it considers only connections that have never sent a byte. The connection's goroutine decides, since it
+// may just have read the first bytes of a request. The caller holds the mutex.
 func (f *Front) requestCloseOfOldest(at stage, atLeast time.Duration, silent bool) bool {
 	c := f.oldest(func(c *client) bool { return c.stage == at && !c.closeRequested && (c.noInput || !silent) })
 	if c == nil || time.Since(c.since) < atLeast {
@@ -196,8 +197,8 @@
 	return true
 }
 
-// closeOldestShut closes the connection that was shut longest ago and that its client has not closed yet. Its further input is
-// discarded in any case. The caller holds the mutex.
+// closeOldestShut closes the connection that was shut longest ago and that its client has not closed yet. Its further
+// input is discarded in any case. The caller holds the mutex.
 func (f *Front) closeOldestShut() bool {
 	c := f.oldest(func(c *client) bool { return c.stage == closing })
 	if c == nil {
--- a/internal/gossip/carrier.go
+++ b/internal/gossip/carrier.go
@@ -11,7 +11,8 @@
 	"gullstair/internal/sharing"
 )
 
-// Counts are a carrier's metrics. Dropped datagrams are only counted by cause and not logged, since anybody can send one.
+// Counts are a carrier's metrics. Dropped datagrams are only counted by cause and not logged, since anybody can send
+// one.
 type Counts struct {
 	Sent          int64 `json:"sent"`
 	Received      int64 `json:"received"`
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -121,7 +121,7 @@
 	e := sharing.Envelope{From: long, To: long, Member: &membership.Message{Seq: 1<<32 - 1, From: long, To: long}}
 	data, err = sharing.Marshal(&e)
 	require.NoError(t, err)
-	assert.LessOrEqual(t, len(data), 1400-membership.Standard().Room+80+200, "message header")
+	assert.LessOrEqual(t, len(data), 1400-membership.Standard().MaxMessageBytes+80+200, "message header")
 }
 
 // A correctly sealed body that is not an envelope is rejected without large allocations.
--- a/internal/gossip/seal.go
+++ b/internal/gossip/seal.go
@@ -11,13 +11,14 @@
 	"sync"
 )
 
-// A datagram consists of: version (1 byte), key number (1), number of the sending process (8), its datagram counter (8),
-// its wall clock in ms (8), the body, and the first 16 bytes of an HMAC-SHA256 over all of these. Numbers are big-endian.
+// A datagram consists of: version (1 byte), key number (1), number of the sending process (8), its datagram counter
+// (8), its wall clock in ms (8), the body, and the first 16 bytes of an HMAC-SHA256 over all of these. Numbers are
+// big-endian.
 const (
 	version    = 1
 	headerSize = 1 + 1 + 8 + 8 + 8
 	macSize    = 16
-	// Most is the maximum size of a datagram in bytes. It fits an MTU of 1,500 without fragmentation.
+	// MaxDatagram is the maximum size of a datagram in bytes. It fits an MTU of 1,500 without fragmentation.
 	Most = 1400
 	// windowBits is the size of the replay window: how far a counter may lag behind the newest of its sender.
 	windowBits       = 1024
@@ -26,7 +27,8 @@
 	defaultFreshness = 60000 // default clock tolerance in ms
 )
 
-// Key authenticates datagrams. Its number is part of the datagram, so that several keys can be in use during a rotation.
+// Key authenticates datagrams. Its number is part of the datagram, so that several keys can be in use during a
+// rotation.
 type Key struct {
 	Number uint8
 	Secret []byte
--- a/internal/membership/leaving.go
+++ b/internal/membership/leaving.go
@@ -7,20 +7,20 @@
 // rejoin starts an exchange with an address that should have a live member and has none: a seed, or the address of a
 // dead member. After a network partition heals, nothing else would merge the two sides.
 func (c *Core) rejoin() {
-	at := map[string]bool{}
+	liveAddrs := map[string]bool{}
 	for _, k := range c.members {
 		if k.Living() {
-			at[k.Addr] = true
+			liveAddrs[k.Addr] = true
 		}
 	}
 	var missing []string
 	for _, a := range c.seeds {
-		if !at[a] {
+		if !liveAddrs[a] {
 			missing = append(missing, a)
 		}
 	}
 	for _, name := range c.names() {
-		if k := c.members[name]; k.State == Dead && !at[k.Addr] && !slices.Contains(missing, k.Addr) {
+		if k := c.members[name]; k.State == Dead && !liveAddrs[k.Addr] && !slices.Contains(missing, k.Addr) {
 			missing = append(missing, k.Addr)
 		}
 	}
@@ -38,10 +38,10 @@
 	}
 }
 
-// reapMembers removes members that have been dead or left for longer than Timing.Forget.
+// reapMembers removes members that have been dead or left for longer than Timing.DeadRetention.
 func (c *Core) reapMembers() {
 	for name, k := range c.members {
-		if !k.Living() && c.now-k.stateSince > c.timing.Forget {
+		if !k.Living() && c.now-k.stateSince > c.timing.DeadRetention {
 			delete(c.members, name)
 			delete(c.updates, name)
 			c.sorted = nil
@@ -60,11 +60,11 @@
 	c.left = true
 	c.version++
 	c.self.State, c.self.By = Left, c.self.Name
-	c.leaveAt, c.gossipAt = c.now+c.timing.Linger, c.now
+	c.leaveAt, c.gossipAt = c.now+c.timing.LeaveDuration, c.now
 	c.probe, c.relays = nil, map[uint32]*relay{}
 }
 
-// announceLeave gossips that this member leaves, until Timing.Linger has passed.
+// announceLeave gossips that this member leaves, until Timing.LeaveDuration has passed.
 func (c *Core) announceLeave() {
 	if c.leaveAt == 0 {
 		return
@@ -80,5 +80,5 @@
 	}
 }
 
-// Gone reports whether this member has left and has announced it for Timing.Linger.
+// LeaveComplete reports whether this member has left and has announced it for Timing.LeaveDuration.
 func (c *Core) Gone() bool { return c.left && c.leaveAt == 0 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -92,20 +92,20 @@
 func New(self Member, timing Timing, seed uint64, cargo Cargo) *Core {
 	self.State, self.Weight = Alive, cmp.Or(max(self.Weight, 0), 1)
 	std := Standard()
-	for _, f := range [][2]*float64{{&timing.Probe, &std.Probe}, {&timing.Reply, &std.Reply}, {&timing.Gossip, &std.Gossip},
-		{&timing.Exchange, &std.Exchange}, {&timing.Rejoin, &std.Rejoin}, {&timing.Forget, &std.Forget}, {&timing.Linger, &std.Linger},
-		{&timing.Suspicion, &std.Suspicion}, {&timing.Patience, &std.Patience}} {
+	for _, f := range [][2]*float64{{&timing.ProbeInterval, &std.ProbeInterval}, {&timing.ProbeTimeout, &std.ProbeTimeout}, {&timing.Gossip, &std.Gossip},
+		{&timing.Exchange, &std.Exchange}, {&timing.RejoinInterval, &std.RejoinInterval}, {&timing.DeadRetention, &std.DeadRetention}, {&timing.LeaveDuration, &std.LeaveDuration},
+		{&timing.SuspicionMult, &std.SuspicionMult}, {&timing.MaxSuspicionMult, &std.MaxSuspicionMult}} {
 		*f[0] = cmp.Or(*f[0], *f[1])
 	}
-	for _, f := range [][2]*int{{&timing.Relays, &std.Relays}, {&timing.Fanout, &std.Fanout}, {&timing.Retell, &std.Retell},
-		{&timing.Room, &std.Room}, {&timing.Most, &std.Most}} {
+	for _, f := range [][2]*int{{&timing.IndirectProbes, &std.IndirectProbes}, {&timing.Fanout, &std.Fanout}, {&timing.RetransmitMult, &std.RetransmitMult},
+		{&timing.MaxMessageBytes, &std.MaxMessageBytes}, {&timing.MaxMembers, &std.MaxMembers}} {
 		*f[0] = cmp.Or(*f[0], *f[1])
 	}
 	return &Core{timing: timing, self: self, rng: rand.New(rand.NewPCG(seed, self.Boot)), cargo: cargo,
 		members: map[string]*memberEntry{}, relays: map[uint32]*relay{}, updates: updateQueue{}, suspects: map[string]*memberEntry{}}
 }
 
-// Version returns a counter that grows with each change of the result of Members, except changes of Seen.Heard.
+// Version returns a counter that grows with each change of the result of Members, except changes of MemberStatus.Heard.
 func (c *Core) Version() int { return c.version }
 
 // Self returns this member as it announces itself.
@@ -114,7 +114,7 @@
 // Health returns the local health score: 0 is healthy, 8 is the worst.
 func (c *Core) Health() int { return c.health }
 
-// Seen is a member and the local times of its last changes.
+// MemberStatus is a member and the local times of its last changes.
 type Seen struct {
 	Member
 	Since float64 `json:"since"` // when its state changed, by the local clock
@@ -131,8 +131,8 @@
 	return all
 }
 
-// Held returns the number of entries in memory: members, queued updates and relays. Timing.Most and the updates kept per
-// member bound it.
+// EntryCount returns the number of entries in memory: members, queued updates and relays. Timing.MaxMembers and the
+// updates kept per member bound it.
 func (c *Core) Held() int { return len(c.members) + len(c.updates) + len(c.relays) }
 
 // Living returns the number of members that are alive or suspect, including this one.
@@ -223,11 +223,11 @@
 		}
 	}
 	if c.now >= c.rejoinAt {
-		c.rejoinAt = c.now + c.timing.Rejoin
+		c.rejoinAt = c.now + c.timing.RejoinInterval
 		c.rejoin()
 	}
 	if c.now >= c.forgetAt {
-		c.forgetAt = c.now + c.timing.Forget/4
+		c.forgetAt = c.now + c.timing.DeadRetention/4
 		c.reapMembers()
 	}
 	if c.now >= c.gossipAt {
@@ -244,11 +244,11 @@
 // begin randomizes the first timers, so that members that start together do not act in step.
 func (c *Core) begin() {
 	c.started = true
-	c.probeAt = c.now + c.rng.Float64()*c.timing.Probe
+	c.probeAt = c.now + c.rng.Float64()*c.timing.ProbeInterval
 	c.gossipAt = c.now + c.rng.Float64()*c.timing.Gossip
 	c.exchangeAt = c.now + (0.5+c.rng.Float64())*c.timing.Exchange
 	c.rejoinAt = c.now
-	c.forgetAt = c.now + c.timing.Forget/4
+	c.forgetAt = c.now + c.timing.DeadRetention/4
 }
 
 // detectStall detects that this process was paused: a timer expired long ago and Step was not called. Answers may have
@@ -259,7 +259,7 @@
 		return
 	}
 	late := now - max(c.Due(), c.now)
-	if late <= c.timing.Reply {
+	if late <= c.timing.ProbeTimeout {
 		return
 	}
 	c.Counts.Stalls++
@@ -315,7 +315,7 @@
 		c.seq++
 		c.Counts.Relayed++
 		c.relays[c.seq] = &relay{requesterAddr: r.Addr, requester: m.From, requesterSeq: m.Seq, target: m.Target.Name,
-			nackAt: c.now + nackTimeoutRatio*c.timing.Reply, endBy: c.now + c.timing.Probe}
+			nackAt: c.now + nackTimeoutRatio*c.timing.ProbeTimeout, endBy: c.now + c.timing.ProbeInterval}
 		c.send(m.Target.Addr, Message{Kind: Ping, Seq: c.seq, To: m.Target.Name})
 	case Exchange:
 		c.exchange(ExchangeReply, r.Addr, m.From)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -97,12 +97,12 @@
 // own refutation ends the suspicion.
 func TestSuspicion(t *testing.T) {
 	std := Standard()
-	longest := std.Suspicion * std.Probe * std.Patience
+	longest := std.SuspicionMult * std.ProbeInterval * std.MaxSuspicionMult
 	for _, c := range []struct {
 		accusers int
 		dead     float64 // must be dead by then
 		alive    float64 // must still be suspect then
-	}{{1, longest + 50, 0.6 * longest}, {4, std.Suspicion*std.Probe + 50, std.Suspicion*std.Probe - 50}} {
+	}{{1, longest + 50, 0.6 * longest}, {4, std.SuspicionMult*std.ProbeInterval + 50, std.SuspicionMult*std.ProbeInterval - 50}} {
 		k := newCore("a")
 		var all []Member
 		for i := range 6 {
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -71,8 +71,8 @@
 
 // Cargo supplies and receives data of the layers above that is piggybacked on messages.
 type Cargo interface {
-	// Load returns at most room bytes for a message to a member, or nil if there is nothing to send.
-	Load(to string, room int) []byte
+	// Load returns at most maxBytes bytes for a message to a member, or nil if there is nothing to send.
+	Load(to string, maxBytes int) []byte
 	// Urgent reports whether to send messages even if there are no membership updates.
 	Urgent() bool
 	// Unload processes data received from a member.
@@ -81,31 +81,31 @@
 
 // Timing holds the intervals and timeouts, in ms, and the limits. A field that is 0 takes its value from Standard.
 type Timing struct {
-	Probe     float64 // interval between probes
-	Reply     float64 // timeout of a direct probe, after which relays are requested
-	Gossip    float64 // interval between gossip messages while updates are queued
-	Exchange  float64 // interval between full state exchanges
-	Rejoin    float64 // interval between attempts to rejoin addresses without a live member
-	Forget    float64 // how long dead members and those that left are kept
-	Linger    float64 // how long a leaving member announces it
-	Relays    int     // members that probe indirectly when a direct probe fails
-	Fanout    int     // members that receive queued updates per gossip interval
-	Retell    int     // times log10 of the member count: transmissions of each update
-	Suspicion float64 // times that logarithm and Probe: minimum suspicion timeout
-	Patience  float64 // times that minimum: maximum suspicion timeout, with a single accuser
-	Room      int     // maximum message size in bytes, as Size counts it
-	Most      int     // maximum number of known members
+	ProbeInterval    float64 // interval between probes
+	ProbeTimeout     float64 // timeout of a direct probe, after which relays are requested
+	Gossip           float64 // interval between gossip messages while updates are queued
+	Exchange         float64 // interval between full state exchanges
+	RejoinInterval   float64 // interval between attempts to rejoin addresses without a live member
+	DeadRetention    float64 // how long dead members and those that left are kept
+	LeaveDuration    float64 // how long a leaving member announces it
+	IndirectProbes   int     // members that probe indirectly when a direct probe fails
+	Fanout           int     // members that receive queued updates per gossip interval
+	RetransmitMult   int     // times log10 of the member count: transmissions of each update
+	SuspicionMult    float64 // times that logarithm and ProbeInterval: minimum suspicion timeout
+	MaxSuspicionMult float64 // times that minimum: maximum suspicion timeout, with a single accuser
+	MaxMessageBytes  int     // maximum message size in bytes, as Size counts it
+	MaxMembers       int     // maximum number of known members
 }
 
 // Standard returns the timing for a local network: all members detect a failure within seconds.
 func Standard() Timing {
-	return Timing{Probe: 1000, Reply: 300, Gossip: 200, Exchange: 15000, Rejoin: 3000, Forget: 120000, Linger: 600,
-		Relays: 3, Fanout: 3, Retell: 4, Suspicion: 3, Patience: 4, Room: 1200, Most: 1024}
+	return Timing{ProbeInterval: 1000, ProbeTimeout: 300, Gossip: 200, Exchange: 15000, RejoinInterval: 3000, DeadRetention: 120000, LeaveDuration: 600,
+		IndirectProbes: 3, Fanout: 3, RetransmitMult: 4, SuspicionMult: 3, MaxSuspicionMult: 4, MaxMessageBytes: 1200, MaxMembers: 1024}
 }
 
 // Scaled returns t with all intervals and timeouts multiplied by a factor.
 func (t Timing) Scaled(by float64) Timing {
-	for _, at := range []*float64{&t.Probe, &t.Reply, &t.Gossip, &t.Exchange, &t.Rejoin, &t.Forget, &t.Linger} {
+	for _, at := range []*float64{&t.ProbeInterval, &t.ProbeTimeout, &t.Gossip, &t.Exchange, &t.RejoinInterval, &t.DeadRetention, &t.LeaveDuration} {
 		*at *= by
 	}
 	return t
@@ -123,7 +123,7 @@
 // Join sets the seed addresses. An address is retried as long as no live member has it.
 type Join struct{ Addrs []string }
 
-// Leave starts the shutdown of this member, which it announces to the others for Timing.Linger.
+// Leave starts the shutdown of this member, which it announces to the others for Timing.LeaveDuration.
 type Leave struct{}
 
 // Output is a Send or a Changed.
--- a/internal/membership/probing.go
+++ b/internal/membership/probing.go
@@ -11,7 +11,7 @@
 	if p := c.probe; p != nil && !p.indirect && c.now >= p.replyBy {
 		p.indirect = true
 		if k := c.members[p.name]; k != nil {
-			for _, r := range c.sample(c.timing.Relays, func(o *memberEntry) bool { return o.State == Alive && o.Name != p.name }) {
+			for _, r := range c.sample(c.timing.IndirectProbes, func(o *memberEntry) bool { return o.State == Alive && o.Name != p.name }) {
 				p.relaysRequested++
 				c.send(r.Addr, Message{Kind: Relay, Seq: p.seq, To: r.Name, Target: k.Member})
 			}
@@ -35,16 +35,16 @@
 	if c.probe != nil || c.now < c.probeAt {
 		return
 	}
-	c.probeAt = c.now + c.timing.Probe
+	c.probeAt = c.now + c.timing.ProbeInterval
 	k := c.nextProbeTarget()
 	if k == nil {
 		return
 	}
-	slower := float64(c.health + 1)
+	factor := float64(c.health + 1)
 	c.seq++
 	c.Counts.Probes++
-	c.probe = &probe{name: k.Name, seq: c.seq, startedAt: c.now, replyBy: c.now + c.timing.Reply*slower,
-		endBy: c.now + c.timing.Probe*slower}
+	c.probe = &probe{name: k.Name, seq: c.seq, startedAt: c.now, replyBy: c.now + c.timing.ProbeTimeout*factor,
+		endBy: c.now + c.timing.ProbeInterval*factor}
 	c.send(k.Addr, Message{Kind: Ping, Seq: c.seq, To: k.Name})
 }
 
--- a/internal/membership/queue.go
+++ b/internal/membership/queue.go
@@ -30,11 +30,11 @@
 	q[key] = &queuedUpdate{member: m, queuedAt: now}
 }
 
-// take appends updates that fit into room bytes: the least transmitted first, then the newest. It removes an update
-// after the given number of transmissions.
-func (q updateQueue) take(news []Member, room, times int) ([]Member, int) {
+// take appends updates that fit into remaining bytes: the least transmitted first, then the newest. It removes an
+// update after the given number of transmissions.
+func (q updateQueue) take(updates []Member, remaining, maxTransmissions int) ([]Member, int) {
 	if len(q) == 0 {
-		return news, room
+		return updates, remaining
 	}
 	keys := make([]string, 0, len(q))
 	for k := range q {
@@ -46,14 +46,14 @@
 	})
 	for _, k := range keys {
 		p := q[k]
-		if size := Size(p.member); size <= room {
-			news, room = append(news, p.member), room-size
-			if p.transmissions++; p.transmissions >= times {
+		if size := Size(p.member); size <= remaining {
+			updates, remaining = append(updates, p.member), remaining-size
+			if p.transmissions++; p.transmissions >= maxTransmissions {
 				delete(q, k)
 			}
-		} else if room < memberBytes {
+		} else if remaining < memberBytes {
 			break
 		}
 	}
-	return news, room
+	return updates, remaining
 }
--- a/internal/membership/spreading.go
+++ b/internal/membership/spreading.go
@@ -20,7 +20,7 @@
 		if u.State >= Dead {
 			return // no tombstone for an unknown member
 		}
-		if len(c.members)+1 >= c.timing.Most {
+		if len(c.members)+1 >= c.timing.MaxMembers {
 			c.Counts.Dropped++
 			return
 		}
@@ -59,8 +59,8 @@
 	if u.State == Suspect {
 		n := c.Living()
 		scale := max(1, math.Log10(float64(max(n, 1))))
-		k.suspectedAt, k.minTimeout = c.now, c.timing.Suspicion*scale*c.timing.Probe
-		k.maxTimeout = k.minTimeout * c.timing.Patience
+		k.suspectedAt, k.minTimeout = c.now, c.timing.SuspicionMult*scale*c.timing.ProbeInterval
+		k.maxTimeout = k.minTimeout * c.timing.MaxSuspicionMult
 		k.accusersNeeded = min(max(n-2, 0), 3)
 		k.accusers = map[string]struct{}{u.By: {}}
 		c.suspects[u.Name] = k
@@ -102,40 +102,40 @@
 
 // sample returns up to n random members that qualify.
 func (c *Core) sample(n int, qualifies func(*memberEntry) bool) []*memberEntry {
-	some, seen := make([]*memberEntry, 0, n), 0
+	picked, seen := make([]*memberEntry, 0, n), 0
 	for _, name := range c.names() {
 		k := c.members[name]
 		if !qualifies(k) {
 			continue
 		}
-		if seen++; len(some) < n {
-			some = append(some, k)
+		if seen++; len(picked) < n {
+			picked = append(picked, k)
 		} else if at := c.rng.IntN(seen); at < n {
-			some[at] = k
+			picked[at] = k
 		}
 	}
-	return some
+	return picked
 }
 
 // send fills a message with queued updates and piggybacked data and outputs it.
 func (c *Core) send(addr string, m Message) {
 	m.From = c.self.Name
-	room := c.timing.Room - headerBytes - len(m.From) - len(m.To)
+	remaining := c.timing.MaxMessageBytes - headerBytes - len(m.From) - len(m.To)
 	if m.Target.Name != "" {
-		room -= Size(m.Target)
+		remaining -= Size(m.Target)
 	}
 	for _, u := range m.News {
-		room -= Size(u)
+		remaining -= Size(u)
 	}
 	if m.Kind != Exchange && m.Kind != ExchangeReply {
-		if k := c.members[m.To]; k != nil && k.State == Suspect && Size(k.Member) <= room {
+		if k := c.members[m.To]; k != nil && k.State == Suspect && Size(k.Member) <= remaining {
 			m.News = append(m.News, k.Member) // a suspect can refute only a suspicion that it receives
-			room -= Size(k.Member)
+			remaining -= Size(k.Member)
 		}
-		m.News, room = c.updates.take(m.News, room, c.transmitLimit())
+		m.News, remaining = c.updates.take(m.News, remaining, c.transmitLimit())
 	}
-	if c.cargo != nil && room > 16 {
-		m.Cargo = c.cargo.Load(m.To, room)
+	if c.cargo != nil && remaining > 16 {
+		m.Cargo = c.cargo.Load(m.To, remaining)
 	}
 	c.Counts.Sent++
 	c.out = append(c.out, Send{Addr: addr, Message: m})
@@ -143,16 +143,16 @@
 
 // transmitLimit returns how often each update is transmitted.
 func (c *Core) transmitLimit() int {
-	return c.timing.Retell * int(math.Ceil(math.Log10(float64(len(c.members)+2))))
+	return c.timing.RetransmitMult * int(math.Ceil(math.Log10(float64(len(c.members)+2))))
 }
 
 // exchange sends the full view, split over as many messages as needed.
 func (c *Core) exchange(kind Kind, addr, to string) {
-	room := c.timing.Room - headerBytes - len(c.self.Name) - len(to)
+	capacity := c.timing.MaxMessageBytes - headerBytes - len(c.self.Name) - len(to)
 	m, used := Message{Kind: kind, To: to, News: []Member{c.self}}, Size(c.self)
 	for _, name := range c.names() {
 		k := c.members[name]
-		if used+Size(k.Member) > room {
+		if used+Size(k.Member) > capacity {
 			c.send(addr, m)
 			m, used = Message{Kind: ExchangeReply, To: to}, 0 // only the first message of an exchange is answered
 		}
--- a/internal/netio/netio.go
+++ b/internal/netio/netio.go
@@ -93,7 +93,8 @@
 
 func (d datagrams) Close() error { return d.conn.Close() }
 
-// Quiet reports whether a connection has no unread input, neither bytes nor EOF. Another goroutine may be reading from it.
+// Quiet reports whether a connection has no unread input, neither bytes nor EOF. Another goroutine may be reading from
+// it.
 func Quiet(conn net.Conn) bool {
 	if q, ok := conn.(Quieter); ok {
 		return q.Quiet()
--- a/internal/node/connection.go
+++ b/internal/node/connection.go
@@ -32,10 +32,10 @@
 	// stalled means that the socket's send buffer is full because the node does not read; stalledAt is when that began.
 	stalled   bool
 	stalledAt time.Time
-	// retired means that the connection takes no new calls and closes when nothing is in flight. Either a part on it was
-	// canceled: its answer may never arrive, and it occupies a slot of the node until the node reads the cancellation,
-	// and a node whose slots are all occupied stops reading. Or the node sent an unsolicited answer, so its further
-	// answers are not trustworthy.
+	// retired means that the connection takes no new calls and closes when nothing is in flight. Either a part on it
+	// was canceled: its answer may never arrive, and it occupies a slot of the node until the node reads the
+	// cancellation, and a node whose slots are all occupied stops reading. Or the node sent an unsolicited answer, so
+	// its further answers are not trustworthy.
 	retired     bool
 	recentIDs   [maxRecentIDs]string // IDs of the last finished attempts: a late or duplicate answer to these is not an error
 	recentCount int
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -9,7 +9,7 @@
 	"gullstair/internal/core"
 )
 
-// Reach holds the limits and timeouts of connections to nodes.
+// ConnLimits holds the limits and timeouts of connections to nodes.
 type Reach struct {
 	PerConn        int // maximum parts in flight on one connection
 	MaxConns       int // maximum connections to all nodes together
@@ -40,8 +40,8 @@
 // Conns returns the number of connections to nodes that are open or being dialed.
 func (f *Fleet) Conns() int { return int(f.conns.Load()) }
 
-// Move informs a node's peer of the node's address, or that it drains or is gone. It does not block, and no move is lost:
-// a newer one replaces one that the peer has not processed yet.
+// Move informs a node's peer of the node's address, or that it drains or is gone. It does not block, and no move is
+// lost: a newer one replaces one that the peer has not processed yet.
 func (f *Fleet) Move(m core.Move) {
 	for host, p := range f.peers { // remove the peers of nodes that are gone
 		if p.closed() {
@@ -68,8 +68,8 @@
 	return p
 }
 
-// Call passes a call to its node's peer. It does not block: if the mailbox is full it returns false, and the parts count
-// as not sent.
+// Call passes a call to its node's peer. It does not block: if the mailbox is full it returns false, and the parts
+// count as not sent.
 func (f *Fleet) Call(c core.Call) bool {
 	return f.peerOf(c.Host, c.Addr).offer(c)
 }
@@ -85,7 +85,7 @@
 // Probe passes a probe to its node's peer, as Call passes a call.
 func (f *Fleet) Probe(v core.Probe) bool { return f.peerOf(v.Host, v.Addr).offer(v) }
 
-// GiveUp cancels an attempt. It does not block, and a cancellation is never lost: an attempt that is not written yet is
+// Cancel cancels an attempt. It does not block, and a cancellation is never lost: an attempt that is not written yet is
 // never written.
 func (f *Fleet) GiveUp(g core.GiveUp) {
 	if p := f.peers[g.Host]; p != nil {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -122,8 +122,8 @@
 	assert.Empty(t, k.frame(), "closed once nothing is in flight")
 }
 
-// A connection on which a part was canceled takes no further calls: the canceled part occupies a slot at the node, and a
-// node whose slots are all occupied stops reading, so it does not read the cancellation either.
+// A connection on which a part was canceled takes no further calls: the canceled part occupies a slot at the node, and
+// a node whose slots are all occupied stops reading, so it does not read the cancellation either.
 func TestRetired(t *testing.T) {
 	n := newStubNode(t)
 	f, ends := testFleet(t, Reach{})
@@ -140,8 +140,8 @@
 	assert.Empty(t, k.frame(), "closed after the remaining answer")
 }
 
-// Calls that arrive while others are in flight soon get a connection of their own, so that the failure of one connection
-// affects few parts. They do not wait for it while another connection is established.
+// Calls that arrive while others are in flight soon get a connection of their own, so that the failure of one
+// connection affects few parts. They do not wait for it while another connection is established.
 func TestSpread(t *testing.T) {
 	n := newStubNode(t)
 	f, ends := testFleet(t, Reach{})
@@ -317,8 +317,8 @@
 	assert.True(t, p.gone)
 }
 
-// Calls that are queued for a connection when the node starts draining or is gone are never written: they would reach the
-// node as new attempts long after the list excluded it. They end as withdrawn, so other nodes may get them.
+// Calls that are queued for a connection when the node starts draining or is gone are never written: they would reach
+// the node as new attempts long after the list excluded it. They end as withdrawn, so other nodes may get them.
 func TestDrainWithdraws(t *testing.T) {
 	for name, m := range map[string]core.Move{
 		"draining": {Host: "a", Draining: true},
@@ -345,8 +345,8 @@
 	}
 }
 
-// A node that does not read blocks nothing else: its other connections work, queued calls can be canceled, and a call that
-// is written once the node reads again carries the time that remains then.
+// A node that does not read blocks nothing else: its other connections work, queued calls can be canceled, and a call
+// that is written once the node reads again carries the time that remains then.
 func TestNodeThatReadsNothing(t *testing.T) {
 	n := newStubNode(t)
 	f, ends := testFleet(t, Reach{PerConn: 1 << 20})
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -195,8 +195,8 @@
 	}
 }
 
-// move applies a change of the node's address or state. When a node drains or is gone, unwritten attempts are withdrawn:
-// they would arrive as new attempts long after the list excluded the node.
+// move applies a change of the node's address or state. When a node drains or is gone, unwritten attempts are
+// withdrawn: they would arrive as new attempts long after the list excluded the node.
 func (p *peer) move(m core.Move) {
 	p.gone = m.Gone
 	if m.Addr != "" {
@@ -252,8 +252,9 @@
 }
 
 // pick returns the connection with the fewest attempts in flight, and of idle ones the longest idle. It returns nil if
-// none fits and no further one may be opened. The failure of a connection fails all parts on it, so pick opens a further
-// one as soon as none is idle. Calls do not wait for it while another is established, since a node may accept slowly.
+// none fits and no further one may be opened. The failure of a connection fails all parts on it, so pick opens a
+// further one as soon as none is idle. Calls do not wait for it while another is established, since a node may accept
+// slowly.
 func (p *peer) pick(fits func(*connection) bool) (best *connection) {
 	rising := false
 	for _, c := range p.conns {
@@ -478,8 +479,8 @@
 	return false
 }
 
-// sweep closes idle connections before the node's idle timeout, with a margin so that no frame crosses the node's close.
-// If the node has moved or is gone it closes them at once.
+// sweep closes idle connections before the node's idle timeout, with a margin so that no frame crosses the node's
+// close. If the node has moved or is gone it closes them at once.
 func (p *peer) sweep() {
 	idle := p.fleet.reach.Idle - max(p.fleet.reach.Idle/10, 2*sweepInterval)
 	for i := len(p.conns) - 1; i >= 0; i-- {
