--- a/internal/rig/limit.go
+++ b/internal/rig/limit.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// Span is something that was taken of a limit at some moment from From to To, as seen from outside, and was open from To to Ended at least. Times are ms
-// of one clock.
+// Span is one admission under a limit, as an outside observer sees it: it happened at some moment between From and To, and it was open at least from To to
+// Ended. Times are in ms of one clock.
 type Span struct{ From, To, Ended float64 }
 
-// Excess looks at every window: of what lies within it whole there may be rate x window + burst. It returns by how much that was passed at most; at or
-// below 0: never. Rate is per ms.
+// Excess checks every time window: at most rate x window + burst spans may lie wholly within it. It returns the largest violation of that bound; a result of
+// 0 or less means that the limit was kept. Rate is per ms.
 func Excess(all []Span, rate, burst float64) float64 {
 	if len(all) == 0 {
 		return -burst
@@ -35,7 +35,7 @@
 	return over
 }
 
-// MostOpen is how many were open at once at most, for certain.
+// MaxOpen returns the largest number of spans that were certainly open at the same time.
 func MostOpen(all []Span) float64 {
 	type edge struct {
 		at float64
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// Process is a process of the program. It is ended with whoever started it.
+// Process is a running child process. The kernel kills it when its parent dies.
 type Process struct {
 	cmd   *exec.Cmd
 	ended chan struct{}
 
 	mu        sync.Mutex
-	stoppedAt time.Time // zero: it is not stopped
+	stoppedAt time.Time // zero when the process is not stopped
 	stopped   time.Duration
 }
 
-// Launch starts one; what it writes goes to out. Env is beside the caller's own.
+// Launch starts a process and sends its output to out. Env is added to the caller's environment.
 func Launch(program, env []string, out *os.File) (*Process, error) {
 	cmd := exec.Command(program[0], program[1:]...)
 	cmd.Env = append(os.Environ(), env...)
@@ -36,7 +36,7 @@
 	return p, nil
 }
 
-// Running says whether it is there; a nil one is not.
+// Running reports whether the process is alive. It is false for a nil Process.
 func (p *Process) Running() bool {
 	if p == nil {
 		return false
@@ -49,27 +49,27 @@
 	}
 }
 
-// Ended is closed when it is gone.
+// Ended returns a channel that is closed when the process has exited.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// Code is what it ended with, once it is gone; -1: a signal ended it.
+// ExitCode waits for the process to exit and returns its exit code, or -1 if a signal killed it.
 func (p *Process) Code() int {
 	<-p.ended
 	return p.cmd.ProcessState.ExitCode()
 }
 
-// Pid is its number.
+// Pid returns the process ID.
 func (p *Process) Pid() int { return p.cmd.Process.Pid }
 
-// Signal sends it a signal, if it is there.
+// Signal sends a signal to the process if it is running.
 func (p *Process) Signal(s syscall.Signal) {
 	if p.Running() {
-		p.note(s)
+		p.recordStop(s)
 		p.cmd.Process.Signal(s)
 	}
 }
 
-// Kill ends it without a word, stopped or not, and returns what it took.
+// Kill sends SIGKILL, which also ends a stopped process, waits for the exit and returns the resource usage.
 func (p *Process) Kill() (u syscall.Rusage) {
 	if p == nil {
 		return u
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -1,6 +1,6 @@
-// Package rig starts a fleet of processes of the program on loopback and puts faults between them: processes are killed, stopped and started again, each
-// direction of each pair of members has a network of its own, connections to stores can be cut for one broker, clocks run wrong. Everything that it
-// starts is ended by its own id.
+// Package rig starts a fleet of processes of the program on loopback and injects faults: it kills, stops and restarts processes, degrades the network
+// separately for each direction of each pair of members, cuts one broker's connections to stores, and skews clocks. It ends each process that it starts by
+// its process ID.
 package rig
 
 import (
@@ -20,35 +20,35 @@
 	"gullstair/internal/control"
 )
 
-// Plan is of a fleet.
+// Config describes a fleet.
 type Plan struct {
-	Dir     string         // for all files; the caller removes it
-	Members int            // processes
-	Program []string       // how one is started, such as gullstair serve --log error; --features and its file follow
-	Env     []string       // beside the caller's own
-	Start   map[string]any // the start file but for name, listen and discovery
-	// Features is a member's document beside its sharing's listen, advertise and members and its control socket: text for within the sharing block, and
-	// text behind it.
+	Dir     string         // holds all files; the caller removes it
+	Members int            // number of processes
+	Program []string       // command line, such as gullstair serve --log error; --features and its file are appended
+	Env     []string       // added to the caller's environment
+	Start   map[string]any // the start file without name, listen and discovery
+	// Features returns additions to a member's features document, which already sets the control socket and, in the sharing block, listen, advertise and
+	// members: text inside the sharing block, and text after it.
 	Features func(m *Member) (sharing, rest string)
-	Log      *os.File // where the processes' logs go; nil: a file for each
-	Seed     uint64   // for the networks between them
+	Log      *os.File // receives the logs of all processes; nil gives each one a file
+	Seed     uint64   // for the network faults
 }
 
-// Member is one process and its files.
+// Member is one process of the fleet and its files.
 type Member struct {
 	Name      string
 	N         int
-	Listen    string // for clients
+	Listen    string // address for clients
 	Discovery string
-	UDP       string // where it receives members' datagrams
-	Advertise string // where the others send them: the switch
-	Listed    int    // so many members, the first ones, are in its document; 0: all
+	UDP       string // address where it receives datagrams of other members
+	Advertise string // address of the switch, to which the others send datagrams for it
+	Listed    int    // number of members, from the first, that its document lists; 0 lists all
 	fleet     *Fleet
 	*Process
 	log *os.File
 }
 
-// Fleet is a fleet of processes.
+// Fleet is a set of member processes with a Switch between them.
 type Fleet struct {
 	Plan
 	Members []*Member
@@ -56,22 +56,22 @@
 	agent   net.Listener
 }
 
-// Ports that are handed out lie below those that the kernel gives to connections: a client's connection once could take a member's port between two of its
-// processes. Each is handed out once by a process, and processes begin at different ones.
+// Allocated ports lie below the kernel's ephemeral range: a client's connection could otherwise take a member's port between a kill and a restart. A process
+// allocates each port once, and processes start at different offsets.
 const (
-	portsFrom = 20000
-	portsMost = 12000
+	firstPort = 20000
+	portCount = 12000
 )
 
 var ports atomic.Int64
 
 func init() { ports.Store(int64(os.Getpid()) * 61) }
 
-// Loopback finds a free port on loopback and lets it go again.
+// FreeAddr finds a free port on loopback, releases it and returns its address.
 func Loopback(network string) (string, error) {
 	var err error
-	for range portsMost {
-		addr := fmt.Sprintf("127.0.0.1:%d", portsFrom+ports.Add(1)%portsMost)
+	for range portCount {
+		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+ports.Add(1)%portCount)
 		var c io.Closer
 		if network == "udp" {
 			c, err = net.ListenPacket("udp", addr)
@@ -83,14 +83,14 @@
 			return addr, nil
 		}
 	}
-	return "", fmt.Errorf("rig: no port is free: %w", err)
+	return "", fmt.Errorf("rig: no free port: %w", err)
 }
 
-// New lays a fleet out: addresses, the switch and every file. Nothing runs yet.
+// New allocates the addresses of a fleet, opens its switch and writes its files. It starts no process.
 func New(p Plan) (*Fleet, error) {
 	f := &Fleet{Plan: p}
 	var err error
-	if f.agent, err = net.Listen("tcp", "127.0.0.1:0"); err != nil { // discovery that never answers: members go by the list they know
+	if f.agent, err = net.Listen("tcp", "127.0.0.1:0"); err != nil { // discovery that never answers: members use the list in their document
 		return nil, fmt.Errorf("rig: %w", err)
 	}
 	for i := range p.Members {
@@ -117,15 +117,15 @@
 	return f, nil
 }
 
-// Path is of one of a member's files, by its ending.
+// Path returns the path of a member's file with this extension.
 func (m *Member) Path(ending string) string {
 	return filepath.Join(m.fleet.Dir, m.Name+"."+ending)
 }
 
-// Socket is a member's control socket.
+// Socket returns the path of a member's control socket.
 func (m *Member) Socket() string { return m.Path("sock") }
 
-// Write writes a member's start file and features.
+// WriteFiles writes a member's start file and features document.
 func (m *Member) Write() error {
 	tree := map[string]any{}
 	for k, v := range m.fleet.Start {
@@ -158,7 +158,7 @@
 // Launch starts a member's process.
 func (m *Member) Launch() error {
 	if m.Running() {
-		return fmt.Errorf("rig: %s runs already", m.Name)
+		return fmt.Errorf("rig: %s is already running", m.Name)
 	}
 	out := m.fleet.Log
 	if out == nil {
@@ -176,7 +176,7 @@
 	return err
 }
 
-// End ends it as operators do, and waits; one that does not end by itself is killed.
+// Terminate sends SIGTERM as an operator does, waits for the exit, and kills the process after the timeout.
 func (m *Member) End(within time.Duration) {
 	m.Signal(syscall.SIGTERM)
 	select {
@@ -186,8 +186,8 @@
 	}
 }
 
-// Bend sets a member's clocks: the rate of the one that measures, and how far off the wall clock is. The rate counts from the next start on, the wall
-// clock at once. The program's test binary reads this; the program itself does not.
+// SkewClocks sets the rate of a member's monotonic clock and the offset of its wall clock. The rate takes effect at the next start, the offset at once. Only
+// the program's test binary reads this file, not the program itself.
 func (m *Member) Bend(rate float64, wall time.Duration) error {
 	path := m.Path("clock")
 	if err := os.WriteFile(path+".new", fmt.Appendf(nil, "%g %d\n", rate, wall.Nanoseconds()), 0o600); err != nil {
@@ -196,10 +196,10 @@
 	return os.Rename(path+".new", path)
 }
 
-// Ask reads a page of a member's control socket.
+// Query reads a page from a member's control socket.
 func (m *Member) Ask(page string, v any) error { return control.Get(m.Socket(), page, v) }
 
-// LaunchAll starts all that do not run.
+// LaunchAll starts all members that are not running.
 func (f *Fleet) LaunchAll() error {
 	for _, m := range f.Members {
 		if !m.Running() {
@@ -211,10 +211,10 @@
 	return nil
 }
 
-// ErrWaited: what was waited for did not come.
-var ErrWaited = errors.New("rig: it did not come in time")
+// ErrTimeout is returned by WaitUntil when the condition did not hold in time.
+var ErrWaited = errors.New("rig: the condition did not hold in time")
 
-// Until looks again and again until something holds.
+// WaitUntil polls a condition until it holds or the timeout passes.
 func Until(within time.Duration, holds func() bool) error {
 	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		if holds() {
@@ -226,7 +226,7 @@
 	}
 }
 
-// Close ends everything that the fleet has started.
+// Close kills all processes of the fleet and closes the switch.
 func (f *Fleet) Close() {
 	for _, m := range f.Members {
 		m.Kill()
--- a/internal/rig/schedule.go
+++ b/internal/rig/schedule.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// Event is one fault of a schedule: from At on, for For.
+// Event is one fault of a schedule. It begins At after the start and lasts For.
 type Event struct {
 	At, For time.Duration
 	Fault   string // one of Faults
-	Who     int    // the member; of a split, the members on one side, a bit each
-	Other   int    // of a cut: whom Who no longer reaches
+	Who     int    // index of the member; for a split, a bit set of the members on one side
+	Other   int    // for a cut, the index of the member that Who can no longer reach
 }
 
-// Faults that a schedule may have.
+// Faults lists the kinds of fault that a schedule may hold.
 var Faults = []string{"kill", "stop", "cut", "mute", "deaf", "split", "loss", "flip", "replay", "wall"}
 
-// Schedule is faults by time. It is printed a line each, and can be read again.
+// Schedule is a list of faults ordered by time. String writes one line for each, which Parse reads back.
 type Schedule []Event
 
-// Draw draws a schedule: so many faults at so many members within a span.
+// Draw generates a random schedule with the given number of faults within a span. Equal seeds give equal schedules.
 func Draw(seed uint64, members, faults int, span time.Duration) Schedule {
 	rnd := rand.New(rand.NewPCG(seed, 0x5ced))
 	var s Schedule
@@ -47,7 +47,7 @@
 	return b.String()
 }
 
-// Parse reads a schedule; an error names its line.
+// Parse reads a schedule in the format of String. An error names the line.
 func Parse(text string) (s Schedule, err error) {
 	for i, line := range strings.Split(strings.TrimSpace(text), "\n") {
 		var e Event
@@ -60,7 +60,7 @@
 			e.For, err = time.ParseDuration(span)
 		}
 		if err == nil && !slices.Contains(Faults, e.Fault) {
-			err = fmt.Errorf("there is no fault %q", e.Fault)
+			err = fmt.Errorf("unknown fault %q", e.Fault)
 		}
 		if err != nil {
 			return nil, fmt.Errorf("rig: line %d of the schedule: %w", i+1, err)
@@ -70,7 +70,7 @@
 	return s, nil
 }
 
-// Play plays a schedule on a fleet that runs, and heals everything at its end.
+// Play applies a schedule to a running fleet and repairs all faults at its end.
 func (f *Fleet) Play(s Schedule) error {
 	type edge struct {
 		at    time.Duration
@@ -89,10 +89,10 @@
 		if active[x.e] = x.begin; !x.begin {
 			delete(active, x.e)
 		}
-		if err := f.turn(x.e, x.begin, active); err != nil {
+		if err := f.applyToProcess(x.e, x.begin, active); err != nil {
 			return err
 		}
-		f.weather(active)
+		f.applyToLinks(active)
 	}
 	f.Switch.Heal()
 	for _, m := range f.Members {
@@ -104,10 +104,10 @@
 	return f.LaunchAll()
 }
 
-// turn begins or ends what a fault does to a process.
-func (f *Fleet) turn(e *Event, begin bool, active map[*Event]bool) error {
+// applyToProcess begins or ends the effect of a fault on a process.
+func (f *Fleet) applyToProcess(e *Event, begin bool, active map[*Event]bool) error {
 	m := f.Members[min(e.Who, len(f.Members)-1)]
-	held := func(fault string) bool { // another one of the kind goes on
+	overlapping := func(fault string) bool { // reports whether another fault of this kind is active at the member
 		for o := range active {
 			if o != e && o.Fault == fault && o.Who == e.Who {
 				return true
@@ -118,24 +118,24 @@
 	switch {
 	case e.Fault == "kill" && begin:
 		m.Kill()
-	case e.Fault == "kill" && !held("kill") && !m.Running():
+	case e.Fault == "kill" && !overlapping("kill") && !m.Running():
 		return m.Launch()
 	case e.Fault == "stop" && begin:
 		m.Signal(syscall.SIGSTOP)
-	case e.Fault == "stop" && !held("stop"):
+	case e.Fault == "stop" && !overlapping("stop"):
 		m.Signal(syscall.SIGCONT)
 	case e.Fault == "replay" && begin:
 		f.Switch.Replay()
 	case e.Fault == "wall" && begin:
 		return m.Bend(1, time.Hour)
-	case e.Fault == "wall" && !held("wall"):
+	case e.Fault == "wall" && !overlapping("wall"):
 		return m.Bend(1, 0)
 	}
 	return nil
 }
 
-// weather sets every link as the faults that go on have it.
-func (f *Fleet) weather(active map[*Event]bool) {
+// applyToLinks sets every link according to the active faults.
+func (f *Fleet) applyToLinks(active map[*Event]bool) {
 	for i := range f.Members {
 		for j := range f.Members {
 			var l Link
@@ -160,7 +160,8 @@
 	}
 }
 
-// Shrink looks for a smaller schedule that fails too: with a fault left out, then with shorter ones. Each try plays one; at most so many are made.
+// Shrink searches for a smaller schedule that still fails: first it removes faults, then it shortens them. It makes at most the given number of tries, each of
+// which plays one schedule.
 func Shrink(s Schedule, tries int, fails func(Schedule) bool) Schedule {
 	for again := true; again; {
 		again = false
--- a/internal/rig/schedule_test.go
+++ b/internal/rig/schedule_test.go
@@ -12,16 +12,16 @@
 
 func TestSchedules(t *testing.T) {
 	s := Draw(7, 5, 12, 10*time.Second)
-	assert.Equal(t, s, Draw(7, 5, 12, 10*time.Second), "a seed is a schedule")
+	assert.Equal(t, s, Draw(7, 5, 12, 10*time.Second), "equal seeds give equal schedules")
 	assert.NotEqual(t, s, Draw(8, 5, 12, 10*time.Second))
 	again, err := Parse(s.String())
 	require.NoError(t, err)
-	assert.Equal(t, s, again, "it is read as it is printed")
-	for text, want := range map[string]string{"1s 2s dance 1 2": `line 1 of the schedule: there is no fault "dance"`, "1s 1s kill 0 0\nx 1s kill 0 0": "line 2", "1s": "line 1"} {
+	assert.Equal(t, s, again, "Parse reads what String writes")
+	for text, want := range map[string]string{"1s 2s dance 1 2": `line 1 of the schedule: unknown fault "dance"`, "1s 1s kill 0 0\nx 1s kill 0 0": "line 2", "1s": "line 1"} {
 		_, err := Parse(text)
 		assert.ErrorContains(t, err, want)
 	}
-	// What fails is a kill of member 3 beside any split: the rest is left out, and what remains gets shorter.
+	// A schedule fails when it holds a kill of member 3 and any split: Shrink removes all other faults and shortens these two.
 	s = append(s, Event{For: 4 * time.Second, Fault: "kill", Who: 3}, Event{For: 4 * time.Second, Fault: "split", Who: 5})
 	fails := func(s Schedule) bool {
 		return slices.ContainsFunc(s, func(e Event) bool { return e.Fault == "kill" && e.Who == 3 }) &&
@@ -36,7 +36,7 @@
 	assert.Equal(t, 5, n)
 }
 
-// Each direction of each pair is a network of its own, and nobody sees that a switch is between.
+// Each direction of each pair of members has its own link, and a datagram arrives with the advertised address of its sender.
 func TestSwitch(t *testing.T) {
 	var conns []*net.UDPConn
 	var members []*Member
@@ -54,7 +54,7 @@
 		_, err := conns[from].WriteTo([]byte(text), to)
 		require.NoError(t, err)
 	}
-	heard := func(at int) (string, string) {
+	receive := func(at int) (string, string) {
 		buf := make([]byte, 64)
 		conns[at].SetReadDeadline(time.Now().Add(5 * time.Second))
 		n, from, err := conns[at].ReadFrom(buf)
@@ -62,42 +62,42 @@
 		return string(buf[:n]), from.String()
 	}
 	send(0, "one")
-	text, from := heard(1)
-	assert.Equal(t, [2]string{"one", members[0].Advertise}, [2]string{text, from}, "as if it came from the address that is told")
+	text, from := receive(1)
+	assert.Equal(t, [2]string{"one", members[0].Advertise}, [2]string{text, from}, "the source is the advertised address of the sender")
 	s.Set(0, 1, func(l *Link) { l.Cut = true })
 	send(0, "lost")
-	require.NoError(t, Until(5*time.Second, func() bool { // it has come to the switch, which another goroutine reads
+	require.NoError(t, Until(5*time.Second, func() bool { // the switch, which reads in another goroutine, has received it
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return len(s.old) == 2
+		return len(s.recorded) == 2
 	}))
 	send(1, "back")
-	text, _ = heard(0)
-	assert.Equal(t, "back", text, "the other way is whole")
+	text, _ = receive(0)
+	assert.Equal(t, "back", text, "the other direction still passes")
 	s.Heal()
 	s.Set(0, 1, func(l *Link) { l.Duplicate = 1 })
 	send(0, "two")
 	for range 2 {
-		text, _ = heard(1)
+		text, _ = receive(1)
 		assert.Equal(t, "two", text)
 	}
 	s.Heal()
 	s.Set(0, 1, func(l *Link) { l.Flip = 1 })
 	send(0, "three")
-	text, _ = heard(1)
+	text, _ = receive(1)
 	assert.NotEqual(t, "three", text)
 	assert.Len(t, text, 5)
 	s.Heal()
 	assert.Equal(t, 5, s.Replay())
 	var all []string
 	for range 4 {
-		text, _ = heard(1)
+		text, _ = receive(1)
 		all = append(all, text)
 	}
-	assert.ElementsMatch(t, []string{"one", "lost", "two", "three"}, all, "recorded before anything happened to them")
+	assert.ElementsMatch(t, []string{"one", "lost", "two", "three"}, all, "datagrams are recorded before faults apply to them")
 }
 
-// A way to a store goes wrong for the broker that uses it.
+// A TCPProxy delays, swallows or resets the connections of one broker to a store.
 func TestWire(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -138,7 +138,7 @@
 	w.Be(Slow, 50*time.Millisecond)
 	begun := time.Now()
 	assert.NoError(t, echo(5*time.Second))
-	assert.GreaterOrEqual(t, time.Since(begun), 100*time.Millisecond, "both ways")
+	assert.GreaterOrEqual(t, time.Since(begun), 100*time.Millisecond, "delayed in both directions")
 	w.Be(Silent, 0)
 	var late net.Error
 	assert.ErrorAs(t, echo(100*time.Millisecond), &late)
--- a/internal/rig/still.go
+++ b/internal/rig/still.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Still is what was known of a process's standing still up to a moment.
+// StallSnapshot holds the total time that a process has spent stalled up to a moment.
 type Still struct {
-	waited  map[string]time.Duration // by thread, for a processor: the kernel's figure
-	stopped time.Duration            // by Signal
+	runQueueDelay map[string]time.Duration // by thread: run-queue delay as the kernel counts it
+	stopped       time.Duration            // by SIGSTOP sent through Signal
 }
 
-// Still tells how long the process has stood still up to now.
+// Stalls returns how long the process has been stalled up to now.
 func (p *Process) Still() Still {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -22,26 +22,26 @@
 	if !p.stoppedAt.IsZero() {
 		stopped += time.Since(p.stoppedAt)
 	}
-	return Still{waitedOf(p.Pid()), stopped}
+	return Still{runQueueDelays(p.Pid()), stopped}
 }
 
-// StoodStill is how long the process stood still since then: while Signal had stopped it, and while one of its threads waited for a
-// processor. A program that runs Go code on one thread stands still with it.
+// StalledSince returns how long the process was stalled since a snapshot: while Signal had stopped it, and while one of its threads waited for a
+// processor. A program that runs Go code on one thread is stalled as long as that thread waits.
 func (p *Process) StoodStill(since Still) time.Duration {
 	now := p.Still()
-	return now.stopped - since.stopped + mostWaited(since.waited, now.waited)
+	return now.stopped - since.stopped + maxIncrease(since.runQueueDelay, now.runQueueDelay)
 }
 
-// OwnStill tells how long this process has waited up to now.
-func OwnStill() Still { return Still{waited: waitedOf(os.Getpid())} }
+// OwnStalls returns how long the threads of this process have waited for a processor up to now.
+func OwnStill() Still { return Still{runQueueDelay: runQueueDelays(os.Getpid())} }
 
-// OwnStoodStill is the most that one of this process's threads waited for a processor since then.
+// OwnStalledSince returns the longest time that one thread of this process waited for a processor since a snapshot.
 func OwnStoodStill(since Still) time.Duration {
-	return mostWaited(since.waited, waitedOf(os.Getpid()))
+	return maxIncrease(since.runQueueDelay, runQueueDelays(os.Getpid()))
 }
 
-// waitedOf is how long each of a process's threads has been ready to run without a processor. The kernel adds a wait once it is over.
-func waitedOf(pid int) map[string]time.Duration {
+// runQueueDelays returns how long each thread of a process has been ready to run without a processor. The kernel adds a delay only once it is over.
+func runQueueDelays(pid int) map[string]time.Duration {
 	out := map[string]time.Duration{}
 	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	for _, path := range paths {
@@ -57,15 +57,15 @@
 	return out
 }
 
-func mostWaited(before, after map[string]time.Duration) (most time.Duration) {
+func maxIncrease(before, after map[string]time.Duration) (most time.Duration) {
 	for thread, waited := range after {
 		most = max(most, waited-before[thread])
 	}
 	return most
 }
 
-// note keeps how long a process is stopped.
-func (p *Process) note(s syscall.Signal) {
+// recordStop tracks how long signals keep the process stopped.
+func (p *Process) recordStop(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
--- a/internal/rig/switch.go
+++ b/internal/rig/switch.go
@@ -12,33 +12,33 @@
 	"gullstair/internal/virtual"
 )
 
-// Link is how datagrams fare from one member to another.
+// Link holds the network conditions for datagrams from one member to another.
 type Link struct {
 	virtual.Weather
 	Cut  bool
-	Flip float64 // share in which a byte is flipped
+	Flip float64 // share of datagrams in which one bit is flipped
 }
 
-// Switch passes every datagram between two members; each direction of each pair is a Link of its own. It owns the addresses that members tell each
-// other, so that nobody gets past it.
+// Switch forwards every datagram between members; each direction of each pair has its own Link. It listens on the addresses that members advertise, so that
+// no datagram bypasses it.
 type Switch struct {
-	mu     sync.Mutex
-	rnd    *rand.Rand
-	links  [][]Link // from, to
-	ports  []*net.UDPConn
-	real   []netip.AddrPort
-	from   map[netip.AddrPort]int
-	old    [][]byte // recorded
-	oldWay [][2]int
-	passed int
-	ended  sync.WaitGroup
+	mu            sync.Mutex
+	rnd           *rand.Rand
+	links         [][]Link // from, to
+	ports         []*net.UDPConn
+	memberAddrs   []netip.AddrPort
+	memberByAddr  map[netip.AddrPort]int
+	recorded      [][]byte // a sample of datagrams, for Replay
+	recordedLinks [][2]int
+	passed        int
+	goroutines    sync.WaitGroup
 }
 
-const recordedMost = 4096
+const maxRecorded = 4096
 
-// NewSwitch opens an address for each member, where the others send what is for it, and puts it into its Advertise.
+// NewSwitch opens an address for each member, to which the others send its datagrams, and sets the member's Advertise to it.
 func NewSwitch(members []*Member, seed uint64) (*Switch, error) {
-	s := &Switch{rnd: rand.New(rand.NewPCG(seed, 0x519)), from: map[netip.AddrPort]int{}}
+	s := &Switch{rnd: rand.New(rand.NewPCG(seed, 0x519)), memberByAddr: map[netip.AddrPort]int{}}
 	for i, m := range members {
 		at, err := netip.ParseAddrPort(m.UDP)
 		if err != nil {
@@ -50,16 +50,16 @@
 			return nil, fmt.Errorf("rig: %w", err)
 		}
 		m.Advertise = conn.LocalAddr().String()
-		s.ports, s.real, s.from[at] = append(s.ports, conn), append(s.real, at), i
+		s.ports, s.memberAddrs, s.memberByAddr[at] = append(s.ports, conn), append(s.memberAddrs, at), i
 		s.links = append(s.links, make([]Link, len(members)))
 	}
 	for i := range s.ports {
-		s.ended.Go(func() { s.serve(i) })
+		s.goroutines.Go(func() { s.serve(i) })
 	}
 	return s, nil
 }
 
-// serve passes on what comes for one member.
+// serve forwards the datagrams that arrive for one member.
 func (s *Switch) serve(to int) {
 	buf := make([]byte, 2048)
 	for {
@@ -67,24 +67,24 @@
 		if err != nil {
 			return
 		}
-		if from, known := s.from[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]; known {
-			s.pass(from, to, append([]byte(nil), buf[:n]...))
+		if from, known := s.memberByAddr[netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())]; known {
+			s.forward(from, to, append([]byte(nil), buf[:n]...))
 		}
 	}
 }
 
-func (s *Switch) pass(from, to int, d []byte) {
+func (s *Switch) forward(from, to int, d []byte) {
 	s.mu.Lock()
 	l := s.links[from][to]
 	copies := 1
 	if l.Duplicate > 0 && s.rnd.Float64() < l.Duplicate {
 		copies = 2
 	}
-	if len(s.old) < recordedMost {
-		s.old, s.oldWay = append(s.old, d), append(s.oldWay, [2]int{from, to})
+	if len(s.recorded) < maxRecorded {
+		s.recorded, s.recordedLinks = append(s.recorded, d), append(s.recordedLinks, [2]int{from, to})
 	} else {
-		i := s.rnd.IntN(recordedMost)
-		s.old[i], s.oldWay[i] = d, [2]int{from, to}
+		i := s.rnd.IntN(maxRecorded)
+		s.recorded[i], s.recordedLinks[i] = d, [2]int{from, to}
 	}
 	var waits []time.Duration
 	for range copies {
@@ -101,9 +101,9 @@
 	s.mu.Unlock()
 	for _, wait := range waits {
 		if wait <= 0 {
-			s.ports[from].WriteToUDPAddrPort(d, s.real[to]) // as if the sender itself sent it
+			s.ports[from].WriteToUDPAddrPort(d, s.memberAddrs[to]) // the source is the sender's advertised address
 		} else {
-			time.AfterFunc(wait, func() { s.ports[from].WriteToUDPAddrPort(d, s.real[to]) })
+			time.AfterFunc(wait, func() { s.ports[from].WriteToUDPAddrPort(d, s.memberAddrs[to]) })
 		}
 	}
 }
@@ -124,10 +124,10 @@
 	}
 }
 
-// Heal makes every link whole again.
+// Heal removes the faults of every link.
 func (s *Switch) Heal() { s.All(func(l *Link) { *l = Link{} }) }
 
-// Split lets datagrams pass within each group only; members in none are alone. It undoes earlier splits and cuts.
+// Split partitions the network: datagrams pass only within each group, and a member of no group is isolated. It replaces earlier splits and cuts.
 func (s *Switch) Split(groups ...[]int) {
 	side := make([]int, len(s.ports))
 	for i := range side {
@@ -145,78 +145,78 @@
 	}
 }
 
-// Replay sends recorded datagrams again, as if from whom they came; it says how many.
+// Replay sends the recorded datagrams again with their original sources and returns their number.
 func (s *Switch) Replay() int {
 	s.mu.Lock()
-	old, ways := append([][]byte(nil), s.old...), append([][2]int(nil), s.oldWay...)
+	old, ways := append([][]byte(nil), s.recorded...), append([][2]int(nil), s.recordedLinks...)
 	s.mu.Unlock()
 	for i, d := range old {
-		s.ports[ways[i][0]].WriteToUDPAddrPort(d, s.real[ways[i][1]])
+		s.ports[ways[i][0]].WriteToUDPAddrPort(d, s.memberAddrs[ways[i][1]])
 	}
 	return len(old)
 }
 
-// Passed counts what has been let through.
+// Passed returns the number of forwarded datagrams.
 func (s *Switch) Passed() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.passed
 }
 
-// Close ends the switch.
+// Close closes the addresses of the switch and waits for its goroutines.
 func (s *Switch) Close() {
 	for _, p := range s.ports {
 		p.Close()
 	}
-	s.ended.Wait()
+	s.goroutines.Wait()
 }
 
-// Manner is how a Wire treats its connections.
+// ProxyMode is how a TCPProxy treats its connections.
 type Manner int
 
 const (
 	Whole  Manner = iota
-	Silent        // takes everything, passes nothing on
-	Reset         // resets what is open and what comes
-	Slow          // passes everything on late
+	Silent        // reads everything and forwards nothing
+	Reset         // resets open and new connections
+	Slow          // forwards with a delay
 )
 
-// Wire is a TCP way from one broker to a store or to discovery, on which things go wrong for that broker alone.
+// TCPProxy forwards TCP connections from one broker to a store or to discovery, and injects faults that affect that broker alone.
 type Wire struct {
-	Addr string // where the broker connects
-	to   string
-	ln   net.Listener
-	mu   sync.Mutex
-	how  Manner
-	late time.Duration
-	open map[net.Conn]bool
-	end  sync.WaitGroup
+	Addr       string // address to which the broker connects
+	target     string
+	ln         net.Listener
+	mu         sync.Mutex
+	mode       Manner
+	delay      time.Duration
+	open       map[net.Conn]bool
+	goroutines sync.WaitGroup
 }
 
-// NewWire opens a way to an address.
-func NewWire(to string) (*Wire, error) {
+// NewTCPProxy opens a proxy to a target address.
+func NewWire(target string) (*Wire, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("rig: %w", err)
 	}
-	w := &Wire{Addr: ln.Addr().String(), to: to, ln: ln, open: map[net.Conn]bool{}}
-	w.end.Go(func() {
+	w := &Wire{Addr: ln.Addr().String(), target: target, ln: ln, open: map[net.Conn]bool{}}
+	w.goroutines.Go(func() {
 		for {
 			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			w.end.Go(func() { w.carry(conn) })
+			w.goroutines.Go(func() { w.proxy(conn) })
 		}
 	})
 	return w, nil
 }
 
-// Be changes how it treats connections, those that are open too; late is for Slow.
+// SetMode changes the treatment of connections, open ones too. The delay applies to Slow.
 func (w *Wire) Be(how Manner, late time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.how, w.late = how, late
+	w.mode, w.delay = how, late
 	if how == Reset {
 		for c := range w.open {
 			reset(c)
@@ -231,15 +231,15 @@
 	c.Close()
 }
 
-func (w *Wire) manner() (Manner, time.Duration) {
+func (w *Wire) currentMode() (Manner, time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.how, w.late
+	return w.mode, w.delay
 }
 
-func (w *Wire) carry(conn net.Conn) {
-	far, err := net.Dial("tcp", w.to)
-	if how, _ := w.manner(); err != nil || how == Reset {
+func (w *Wire) proxy(conn net.Conn) {
+	far, err := net.Dial("tcp", w.target)
+	if how, _ := w.currentMode(); err != nil || how == Reset {
 		reset(conn)
 		if err == nil {
 			far.Close()
@@ -253,7 +253,7 @@
 		buf := make([]byte, 16<<10)
 		for {
 			n, err := from.Read(buf)
-			how, late := w.manner()
+			how, late := w.currentMode()
 			if how == Slow {
 				time.Sleep(late)
 			}
@@ -272,7 +272,7 @@
 		from.Close()
 		to.Close()
 	}
-	w.end.Go(func() { pass(far, conn) })
+	w.goroutines.Go(func() { pass(far, conn) })
 	pass(conn, far)
 	w.mu.Lock()
 	delete(w.open, conn)
@@ -280,7 +280,7 @@
 	w.mu.Unlock()
 }
 
-// Close ends it.
+// Close closes the listener and all connections and waits for the goroutines.
 func (w *Wire) Close() {
 	w.ln.Close()
 	w.mu.Lock()
@@ -288,5 +288,5 @@
 		c.Close()
 	}
 	w.mu.Unlock()
-	w.end.Wait()
+	w.goroutines.Wait()
 }
--- a/internal/rig/witness.go
+++ b/internal/rig/witness.go
@@ -18,33 +18,33 @@
 	"gullstair/internal/guard"
 )
 
-// Work is what a witness saw of the work under one fencing number: of all processes that did any.
+// Work is what a Witness observed of all processes that worked under one fencing number of a lease.
 type Work struct {
 	Lease       string
 	Fence       uint64
-	First, Last int64 // by guard.Now, as the workers themselves read it just before they spoke
+	First, Last int64 // guard.Now of the workers just before they reported
 	Pids        []int
-	Ended       bool // by itself
+	Ended       bool // a worker reported a regular end
 }
 
-// Witness stands outside the fleet, and is told by whoever works under a lease that it does: at its begin, again and again, at its end.
+// Witness observes work from outside the fleet: every worker under a lease reports to it at its start, periodically, and at its end.
 type Witness struct {
-	Addr string
-	ln   net.Listener
-	mu   sync.Mutex
-	work map[string]*Work
-	end  sync.WaitGroup
-	open map[net.Conn]bool
+	Addr       string
+	ln         net.Listener
+	mu         sync.Mutex
+	work       map[string]*Work
+	goroutines sync.WaitGroup
+	open       map[net.Conn]bool
 }
 
-// NewWitness opens one on loopback.
+// NewWitness opens a Witness on a loopback address.
 func NewWitness() (*Witness, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("rig: %w", err)
 	}
 	w := &Witness{Addr: ln.Addr().String(), ln: ln, work: map[string]*Work{}, open: map[net.Conn]bool{}}
-	w.end.Go(func() {
+	w.goroutines.Go(func() {
 		for {
 			conn, err := ln.Accept()
 			if err != nil {
@@ -53,10 +53,10 @@
 			w.mu.Lock()
 			w.open[conn] = true
 			w.mu.Unlock()
-			w.end.Go(func() {
+			w.goroutines.Go(func() {
 				defer conn.Close()
 				for lines := bufio.NewScanner(conn); lines.Scan(); {
-					w.hear(lines.Text())
+					w.record(lines.Text())
 				}
 			})
 		}
@@ -64,7 +64,7 @@
 	return w, nil
 }
 
-func (w *Witness) hear(line string) {
+func (w *Witness) record(line string) {
 	var word, lease string
 	var fence uint64
 	var pid int
@@ -87,7 +87,7 @@
 	k.Ended = k.Ended || word == "end"
 }
 
-// Seen lists all work so far, in the order in which it began.
+// Observed returns all work so far, ordered by its start.
 func (w *Witness) Seen() (all []Work) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -100,9 +100,9 @@
 	return all
 }
 
-// Left lists the processes of this work that are still there. Each is told by one look at its environment, which has the fencing number: a number of a
-// process alone is given to another one within minutes where tests start thousands, and asking first whether it is there and then whether it only waits
-// to be collected took one that was collected in between for one that goes on.
+// Remaining returns the IDs of this work's processes that still run. It recognizes each by a single read of its environment, which holds the fencing number:
+// the kernel reuses a process ID within minutes when tests start thousands of processes, and two separate checks (whether the process exists, then whether it
+// is a zombie) took a process that was reaped in between for a running one.
 func (k Work) Left() (pids []int) {
 	mark := fmt.Sprintf("\x00GULLSTAIR_FENCE=%d\x00", k.Fence)
 	for _, pid := range k.Pids {
@@ -113,7 +113,7 @@
 	return pids
 }
 
-// Judge says what was broken: work under two fencing numbers of one lease at one time, or a number that fell.
+// Violations returns the broken rules: work under two fencing numbers of one lease at the same time, or a fencing number that decreased.
 func (w *Witness) Judge() (faults []string) {
 	last := map[string]Work{}
 	for _, k := range w.Seen() {
@@ -131,7 +131,7 @@
 	return faults
 }
 
-// Close ends it.
+// Close closes the listener and all connections and waits for the goroutines.
 func (w *Witness) Close() {
 	w.ln.Close()
 	w.mu.Lock()
@@ -139,13 +139,14 @@
 		c.Close()
 	}
 	w.mu.Unlock()
-	w.end.Wait()
+	w.goroutines.Wait()
 }
 
-const beatEvery = 5 * time.Millisecond
+const reportInterval = 5 * time.Millisecond
 
-// Act is a worker's process: it tells a witness of its work for as long as it lasts. A stubborn one does not end when it is told to, and has a child
-// that leaves its session, closes what it was given and goes on for longer. With RIG_FENCE each word passes that fence first, and is said only if it does.
+// RunWorker is the main function of a worker process, which reports its work to a Witness until its time is up. A "stubborn" worker ignores signals and starts
+// a child that leaves the session, closes its standard files and works ten times as long. With RIG_FENCE each report is sent only if that fence accepts the
+// fencing number.
 func Act(args []string) int {
 	if len(args) < 3 {
 		return 2
@@ -173,19 +174,19 @@
 		return 3
 	}
 	number, _ := strconv.ParseUint(os.Getenv("GULLSTAIR_FENCE"), 10, 64)
-	say := func(word string) error {
+	report := func(word string) error {
 		_, err := fmt.Fprintf(conn, "%s %s %d %d %d\n", word, os.Getenv("GULLSTAIR_LEASE"), number, os.Getpid(), guard.Now())
 		return err
 	}
 	if path := os.Getenv("RIG_FENCE"); path != "" {
-		plain := say
-		say = func(word string) error { return fence.At(path).Pass(number, func() error { return plain(word) }) }
+		unfenced := report
+		report = func(word string) error { return fence.At(path).Pass(number, func() error { return unfenced(word) }) }
 	}
-	for begun := time.Now(); time.Since(begun) < span; time.Sleep(beatEvery) {
-		if say("beat") != nil {
+	for begun := time.Now(); time.Since(begun) < span; time.Sleep(reportInterval) {
+		if report("beat") != nil {
 			return 3
 		}
 	}
-	say("end")
+	report("end")
 	return 0
 }
--- a/internal/rig/witness_test.go
+++ b/internal/rig/witness_test.go
@@ -10,17 +10,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process is left while it goes on: not when it only waits to be collected, and not when its number has been given to a process of other work.
+// Remaining lists a process only while it runs: not when it is a zombie, and not when its process ID belongs to a process of other work.
 func TestLeft(t *testing.T) {
 	cmd := exec.Command("sleep", "60")
 	cmd.Env = append(os.Environ(), "GULLSTAIR_FENCE=7")
 	require.NoError(t, cmd.Start())
 	pid := cmd.Process.Pid
 	own, other := Work{Fence: 7, Pids: []int{pid}}, Work{Fence: 70, Pids: []int{pid}}
-	require.NoError(t, Until(10*time.Second, func() bool { return len(own.Left()) == 1 }), "its environment is there once the program has begun")
+	require.NoError(t, Until(10*time.Second, func() bool { return len(own.Left()) == 1 }), "the environment is readable once the program has started")
 	assert.Empty(t, other.Left())
 	require.NoError(t, cmd.Process.Kill())
-	require.NoError(t, Until(10*time.Second, func() bool { return len(own.Left()) == 0 }), "before it is collected")
+	require.NoError(t, Until(10*time.Second, func() bool { return len(own.Left()) == 0 }), "a zombie does not count")
 	require.Error(t, cmd.Wait())
 	assert.Empty(t, own.Left())
 }
