--- a/internal/drawn/drawn.go
+++ b/internal/drawn/drawn.go
@@ -1,5 +1,5 @@
-// Package drawn lets a package's tests draw their histories from a stated seed, so that the verdict of a run is the same
-// every time. It is for tests alone.
+// Package drawn makes pgregory.net/rapid use a fixed seed, so that property tests give the same result in every run. It is for
+// tests only.
 package drawn
 
 import (
@@ -8,16 +8,16 @@
 	"testing"
 )
 
-// Seed is used where the command line names none.
+// Seed is the default seed, used when the command line sets none.
 const Seed = "20261201"
 
-// Main is a package's TestMain: pgregory.net/rapid would else draw from another seed in each process.
+// Main is the body of a package's TestMain. Without it, rapid picks another seed in each process.
 func Main(m *testing.M) {
 	FromSeed()
 	os.Exit(m.Run())
 }
 
-// FromSeed has rapid draw from Seed unless -rapid.seed names another. It reads the command line.
+// FromSeed parses the command line and sets rapid's seed to Seed unless -rapid.seed sets another.
 func FromSeed() {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f != nil && f.Value.String() == "0" {
