--- a/internal/trial/draws_test.go
+++ b/internal/trial/draws_test.go
@@ -6,7 +6,7 @@
 	"gullstair/internal/virtual"
 )
 
-// drawnSplit puts each member on one of so many sides, by a draw, for a while.
+// drawnSplit partitions the network for a while. A draw assigns each member to one of the sides.
 func drawnSplit(t *rapid.T, net *virtual.Net, members, sides int, forMs float64) {
 	groups := make([][]string, sides)
 	for i := range members {
@@ -17,7 +17,7 @@
 	net.After(forMs, func() { net.Split() })
 }
 
-// cutFor stops what one member sends to another, one way, for a while.
+// cutFor drops the messages from one member to another, in this direction only, for a while.
 func cutFor(net *virtual.Net, from, to int, forMs float64) {
 	net.Cut(Name(from), Name(to))
 	net.After(forMs, func() { net.Heal(Name(from), Name(to)) })
--- a/internal/trial/leases.go
+++ b/internal/trial/leases.go
@@ -9,61 +9,61 @@
 	"gullstair/internal/virtual"
 )
 
-// LeaseRules are of a Leases world. Times in ms.
+// LeaseRules configures a LeaseWorld. Times are in ms.
 type LeaseRules struct {
 	Members int
-	Drift   float64 // what the members are told of their clocks, which run at both ends of it
+	Drift   float64 // bound on clock drift that the members assume; their clocks run at both ends of it
 	Fixed   []lease.Terms
-	Loose   []lease.Terms // leases that are asked for by name
-	Disk    bool          // votes are stored before they are told
-	Fsync   float64       // that storing takes
+	Named   []lease.Terms // leases that members request by name
+	Disk    bool          // members store votes before they send them
+	Fsync   float64       // longest duration of a write to disk
 	Weather virtual.Weather
 }
 
-// Leases is a world of lease cores alone, on disks or without, in which several ask for every lease and work goes on under each for
-// as long as it is held. What it judges is who holds itself entitled to act, at every moment of true time.
-type Leases struct {
-	Rules  LeaseRules
-	Net    *virtual.Net
-	Held   int // times that a lease came to be held
-	Faults []string
+// LeaseWorld simulates lease cores without the rest of a member, with or without disks. Several members request every lease, and work runs under a lease
+// for as long as it is held. The world checks at every moment of true time that at most one member considers itself the holder of a lease.
+type LeaseWorld struct {
+	Rules    LeaseRules
+	Net      *virtual.Net
+	Acquired int // number of acquisitions
+	Faults   []string
 
-	// Rosters are how many members each one's document lists, the first ones; of who is not in it: all.
+	// Rosters holds, by member, how many members its document lists, from the first. A member without an entry lists all.
 	Rosters map[string]int
 
-	messages, datagrams int // that member 0 sent
-	members             map[string]*holderNode
+	messages, datagrams int // sent by member 0
+	members             map[string]*leaseNode
 	disks               map[string][]lease.Record
 	rates               map[string]float64
-	walls               map[string]float64 // wall clocks, that floors come from, are off by so much: less than the shortest term apart
+	walls               map[string]float64 // offsets of the wall clocks, from which fencing floors come; they differ by less than the shortest term
 	boots               uint64
-	acts                map[string]map[string][]*entitled // by lease and machine
-	fences              map[string]uint64                 // the highest under which anybody acted
-	notes               map[string]uint64                 // the highest count that a majority has taken down, by lease
+	work                map[string]map[string][]*entitled // by lease and machine
+	fences              map[string]uint64                 // highest fencing number under which a member acted, by lease
+	recordedNotes       map[string]uint64                 // highest note number that a majority has recorded, by lease
 }
 
-// entitled is work on a machine, which looks at that machine's clock alone and outlives the member's process.
+// entitled is work that runs under a lease on a machine. It depends only on that machine's clock and outlives the member's process.
 type entitled struct {
 	fence uint64
 	until float64 // by the machine's clock
 }
 
-// perDatagram is how many messages without a note package sharing puts into one datagram at least.
+// perDatagram is the least number of messages without a note that package sharing puts into a full datagram.
 const perDatagram = 11
 
-type holderNode struct {
-	w       *Leases
+type leaseNode struct {
+	w       *LeaseWorld
 	name    string
 	core    *lease.Core
-	waiting []lease.Store // for its disk
+	pending []lease.Store // not yet written to its disk
 	writing bool
 	inbox   []lease.Input
 }
 
-// NewLeases makes a world in which nobody runs yet.
-func NewLeases(seed uint64, r LeaseRules) *Leases {
-	w := &Leases{Rules: r, Net: virtual.New(seed, r.Weather), members: map[string]*holderNode{}, disks: map[string][]lease.Record{},
-		Rosters: map[string]int{}, rates: map[string]float64{}, walls: map[string]float64{}, acts: map[string]map[string][]*entitled{}, fences: map[string]uint64{}, notes: map[string]uint64{}}
+// NewLeaseWorld creates a world without running members.
+func NewLeaseWorld(seed uint64, r LeaseRules) *LeaseWorld {
+	w := &LeaseWorld{Rules: r, Net: virtual.New(seed, r.Weather), members: map[string]*leaseNode{}, disks: map[string][]lease.Record{},
+		Rosters: map[string]int{}, rates: map[string]float64{}, walls: map[string]float64{}, work: map[string]map[string][]*entitled{}, fences: map[string]uint64{}, recordedNotes: map[string]uint64{}}
 	for i := range r.Members {
 		w.rates[Name(i)] = 1 + r.Drift*(float64(w.Net.Chance().IntN(3))-1)
 		w.walls[Name(i)] = 150 * (float64(w.Net.Chance().IntN(3)) - 1)
@@ -71,14 +71,14 @@
 	return w
 }
 
-// clock is a machine's; it goes on when its member does not run.
-func (w *Leases) clock(name string) float64 { return 1e6 + w.Net.Now()*w.rates[name] }
+// clock returns the time of a machine's clock, which also advances while its member does not run.
+func (w *LeaseWorld) clock(name string) float64 { return 1e6 + w.Net.Now()*w.rates[name] }
 
-// Start starts the i-th member; an earlier process of it is gone. With a disk it knows what that one stored.
-func (w *Leases) Start(i int) {
+// Start starts the i-th member in place of its earlier process. With a disk it restores what that process stored.
+func (w *LeaseWorld) Start(i int) {
 	w.boots++
 	name, rules := Name(i), lease.Rules{Drift: w.Rules.Drift, Most: 8, Fixed: w.Rules.Fixed}
-	for _, t := range w.Rules.Loose {
+	for _, t := range w.Rules.Named {
 		rules.Longest = max(rules.Longest, t.Term)
 	}
 	var roster []string
@@ -89,7 +89,7 @@
 	for j := range listed {
 		roster = append(roster, Name(j))
 	}
-	m := &holderNode{w: w, name: name, core: lease.New(name, w.boots, roster, rules, uint64(1e6+w.Net.Now()+w.walls[name]), w.Net.Chance().Float64)}
+	m := &leaseNode{w: w, name: name, core: lease.New(name, w.boots, roster, rules, uint64(1e6+w.Net.Now()+w.walls[name]), w.Net.Chance().Float64)}
 	if w.Rules.Disk {
 		m.core.Restore(w.disks[name], true)
 	}
@@ -97,51 +97,51 @@
 	w.Net.Start(name, m, w.clock(name), w.rates[name])
 }
 
-// Kill ends the i-th member without a word. Of what was being stored the first records last, so many.
-func (w *Leases) Kill(i int) {
+// Kill ends the i-th member without a farewell. Writes that have not completed are lost.
+func (w *LeaseWorld) Kill(i int) {
 	w.Net.Kill(Name(i))
 	delete(w.members, Name(i))
 }
 
-// Want has the i-th member ask for a lease, or ask no more.
-func (w *Leases) Want(i int, t lease.Terms, on bool) {
-	w.tell(Name(i), lease.Want{Lease: t.Name, Term: t.Term, On: on})
+// Want has the i-th member start or stop requesting a lease.
+func (w *LeaseWorld) Want(i int, t lease.Terms, on bool) {
+	w.input(Name(i), lease.Want{Lease: t.Name, Term: t.Term, On: on})
 }
 
-// Drop has the i-th member give up a lease, if it holds it, with its work over; silent leaves it to run out.
-func (w *Leases) Drop(i int, name string, silent bool) {
+// Drop has the i-th member end its work and release a lease that it holds. With silent, the lease expires instead.
+func (w *LeaseWorld) Drop(i int, name string, silent bool) {
 	if a := w.newest(name, Name(i)); a != nil && w.members[Name(i)] != nil {
 		if !silent {
 			a.until = math.Inf(-1)
 		}
-		w.tell(Name(i), lease.Drop{Lease: name, Fence: a.fence, Silent: silent})
+		w.input(Name(i), lease.Drop{Lease: name, Fence: a.fence, Silent: silent})
 	}
 }
 
-// Write has the i-th member leave a note with a lease that it holds.
-func (w *Leases) Write(i int, name string) {
+// Write has the i-th member write a note to a lease that it holds.
+func (w *LeaseWorld) Write(i int, name string) {
 	if a := w.newest(name, Name(i)); a != nil {
-		w.tell(Name(i), lease.Write{Lease: name, Fence: a.fence, Data: []byte(fmt.Sprint(w.Net.Now()))})
+		w.input(Name(i), lease.Write{Lease: name, Fence: a.fence, Data: []byte(fmt.Sprint(w.Net.Now()))})
 	}
 }
 
-// newest is what a machine's newest process is entitled to.
-func (w *Leases) newest(l, name string) *entitled {
-	if all := w.acts[l][name]; len(all) > 0 {
+// newest returns the most recent work on a machine under a lease, or nil.
+func (w *LeaseWorld) newest(l, name string) *entitled {
+	if all := w.work[l][name]; len(all) > 0 {
 		return all[len(all)-1]
 	}
 	return nil
 }
 
-func (w *Leases) tell(name string, in lease.Input) {
+func (w *LeaseWorld) input(name string, in lease.Input) {
 	if m := w.members[name]; m != nil {
 		m.inbox = append(m.inbox, in)
 		w.Net.Poke(name)
 	}
 }
 
-// Holder is the member that holds itself entitled to act under a lease; "": nobody does.
-func (w *Leases) Holder(name string) string {
+// Holder returns the member that considers itself the holder of a lease, or "" if there is none.
+func (w *LeaseWorld) Holder(name string) string {
 	for i := range w.Rules.Members {
 		if a := w.newest(name, Name(i)); a != nil && w.clock(Name(i)) < a.until {
 			return Name(i)
@@ -150,9 +150,9 @@
 	return ""
 }
 
-func (m *holderNode) Due() float64 { return m.core.Due() }
+func (m *leaseNode) Due() float64 { return m.core.Due() }
 
-func (m *holderNode) Step(now float64, in []virtual.Packet) []virtual.Packet {
+func (m *leaseNode) Step(now float64, in []virtual.Packet) []virtual.Packet {
 	inputs := m.inbox
 	m.inbox = nil
 	for _, p := range in {
@@ -172,12 +172,12 @@
 		case lease.Store:
 			m.store(v)
 		case lease.Held:
-			m.w.Held++
+			m.w.Acquired++
 			m.w.act(m.name, v.Lease, v.Fence, v.Until)
-			// Ages pass from clock to clock, each off by the drift.
+			// Members pass ages on by their own clocks, each of which errs by the drift.
 			known := (v.Blank-1e6)/m.w.rates[m.name] + 10 + 2*m.w.Rules.Drift*max(0, m.w.Net.Now()-(v.Blank-1e6))
-			if n, got := m.w.notes[v.Lease], noteNumber(v.Note); got < n && float64(n) > known {
-				m.w.fault("%s holds %s under %d with note %d, a majority had %d, and it is told that none is lost after %.0f", m.name, v.Lease,
+			if n, got := m.w.recordedNotes[v.Lease], noteNumber(v.Note); got < n && float64(n) > known {
+				m.w.fault("%s holds %s under %d with note %d, but a majority recorded %d, and its core reports no lost note after %.0f", m.name, v.Lease,
 					v.Fence, got, n, known)
 			}
 		case lease.Renewed:
@@ -186,7 +186,7 @@
 			m.w.extend(m.name, v.Lease, v.Fence, v.Until)
 			for _, x := range m.core.Views() {
 				if x.Lease == v.Lease {
-					m.w.notes[v.Lease] = max(m.w.notes[v.Lease], noteNumber(x.Note))
+					m.w.recordedNotes[v.Lease] = max(m.w.recordedNotes[v.Lease], noteNumber(x.Note))
 				}
 			}
 		}
@@ -194,48 +194,48 @@
 	return out
 }
 
-// noteNumber reads what Write left: the true time at which it was written.
+// noteNumber parses a note of Write: the true time at which it was written.
 func noteNumber(data []byte) uint64 {
 	var at float64
 	fmt.Sscan(string(data), &at)
 	return uint64(at)
 }
 
-func (m *holderNode) store(s lease.Store) {
-	m.waiting = append(m.waiting, s)
+func (m *leaseNode) store(s lease.Store) {
+	m.pending = append(m.pending, s)
 	if !m.writing {
 		m.write()
 	}
 }
 
-// write writes what waits, in one go and in its order; what comes in meanwhile goes into the next one.
-func (m *holderNode) write() {
-	batch := m.waiting
-	m.waiting, m.writing = nil, true
+// write writes all pending records as one batch, in order. Records that arrive meanwhile go into the next batch.
+func (m *leaseNode) write() {
+	batch := m.pending
+	m.pending, m.writing = nil, true
 	m.w.Net.After(m.w.Rules.Fsync*m.w.Net.Chance().Float64(), func() {
 		if m.w.members[m.name] != m {
-			return // the process ended before it was written
+			return // the process ended before the write completed
 		}
 		for _, s := range batch {
 			m.w.disks[m.name] = append(slices.Clip(m.w.disks[m.name]), s.Record)
 		}
-		if m.writing = false; len(m.waiting) > 0 {
+		if m.writing = false; len(m.pending) > 0 {
 			m.write()
 		}
-		m.w.tell(m.name, lease.Stored{Upto: batch[len(batch)-1].Number})
+		m.w.input(m.name, lease.Stored{Upto: batch[len(batch)-1].Number})
 	})
 }
 
-func (w *Leases) fault(format string, args ...any) {
+func (w *LeaseWorld) fault(format string, args ...any) {
 	if len(w.Faults) < 10 {
 		w.Faults = append(w.Faults, fmt.Sprintf("%.0f ms: ", w.Net.Now())+fmt.Sprintf(format, args...))
 	}
 }
 
-// act begins work under a lease, and judges: nobody else may hold itself entitled, by any machine's clock, and fencing numbers grow.
-func (w *Leases) act(name, l string, fence uint64, until float64) {
-	if w.acts[l] == nil {
-		w.acts[l] = map[string][]*entitled{}
+// act begins work under a lease. It checks that nobody else considers itself the holder, by any machine's clock, and that fencing numbers increase.
+func (w *LeaseWorld) act(name, l string, fence uint64, until float64) {
+	if w.work[l] == nil {
+		w.work[l] = map[string][]*entitled{}
 	}
 	if w.clock(name) < until {
 		if fence <= w.fences[l] {
@@ -244,28 +244,28 @@
 		w.fences[l] = max(w.fences[l], fence)
 	}
 	a := &entitled{fence, until}
-	w.acts[l][name] = append(slices.DeleteFunc(w.acts[l][name], func(o *entitled) bool { return w.clock(name) >= o.until }), a)
-	w.judge(a, name, l)
+	w.work[l][name] = append(slices.DeleteFunc(w.work[l][name], func(o *entitled) bool { return w.clock(name) >= o.until }), a)
+	w.checkExclusive(a, name, l)
 }
 
-func (w *Leases) extend(name, l string, fence uint64, until float64) {
+func (w *LeaseWorld) extend(name, l string, fence uint64, until float64) {
 	if a := w.newest(l, name); a != nil && a.fence == fence {
 		a.until = max(a.until, until)
-		w.judge(a, name, l)
+		w.checkExclusive(a, name, l)
 	}
 }
 
-// judge looks at the moment at which somebody comes to be entitled, or for longer: two that are entitled at any time are so when the later
-// one of them came to be. What an earlier process of the same machine began counts as another's.
-func (w *Leases) judge(a *entitled, name, l string) {
+// checkExclusive checks for other holders when work begins or is extended. That suffices: if two holders overlap at any time, they overlap at the
+// moment when the later one began. Work of an earlier process of the same machine counts as work of another holder.
+func (w *LeaseWorld) checkExclusive(a *entitled, name, l string) {
 	if w.clock(name) >= a.until {
 		return
 	}
 	for i := range w.Rules.Members {
 		other := Name(i)
-		for _, o := range w.acts[l][other] {
+		for _, o := range w.work[l][other] {
 			if o != a && w.clock(other) < o.until {
-				w.fault("%s under %d and %s under %d both hold themselves entitled under %s", name, a.fence, other, o.fence, l)
+				w.fault("%s under %d and %s under %d both act as holders of %s", name, a.fence, other, o.fence, l)
 			}
 		}
 	}
--- a/internal/trial/leases_test.go
+++ b/internal/trial/leases_test.go
@@ -10,8 +10,8 @@
 	"gullstair/internal/virtual"
 )
 
-// Leases under faults drawn by chance, with all members asking, clocks at both ends of their drift, disks and none: never two that
-// hold themselves entitled, fencing numbers that grow, no note lost that a majority had; and once all is well somebody holds each lease.
+// Under random faults, with all members requesting each lease, clocks at both ends of their drift, and with or without disks: a lease never has two
+// holders, fencing numbers increase, and no note that a majority recorded is lost. Once the faults end, each lease has a holder.
 func TestLeaseHistories(t *testing.T) {
 	t.Parallel()
 	held, plays := 0, 0
@@ -19,13 +19,13 @@
 		plays++
 		r := LeaseRules{Members: rapid.SampledFrom([]int{3, 4, 5}).Draw(t, "members"), Drift: 0.05,
 			Fixed: []lease.Terms{{Name: "x", Term: 1000}, {Name: "y", Term: 400}},
-			Loose: []lease.Terms{{Name: "d", Term: 600}, {Name: "e", Term: 300}},
+			Named: []lease.Terms{{Name: "d", Term: 600}, {Name: "e", Term: 300}},
 			Disk:  rapid.Bool().Draw(t, "disk"),
 			Fsync: rapid.SampledFrom([]float64{1, 100}).Draw(t, "fsync"),
 			Weather: virtual.Weather{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.SampledFrom([]float64{0, 30, 700}).Draw(t, "jitter"),
 				Loss: rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss"), Duplicate: rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "twice")}}
-		w := NewLeases(rapid.Uint64().Draw(t, "seed"), r)
-		all := append(append([]lease.Terms{}, r.Fixed...), r.Loose...)
+		w := NewLeaseWorld(rapid.Uint64().Draw(t, "seed"), r)
+		all := append(append([]lease.Terms{}, r.Fixed...), r.Named...)
 		who := func() int { return rapid.IntRange(0, r.Members-1).Draw(t, "whom") }
 		want := func(i int, on bool) {
 			for _, l := range all {
@@ -62,7 +62,7 @@
 			case "want":
 				w.Want(i, l, false)
 				w.Net.After(span, func() { w.Want(i, l, true) })
-			case "idle": // for so long that it is forgotten
+			case "idle": // long enough for the members to forget the lease
 				for j := range r.Members {
 					w.Drop(j, l.Name, false)
 					w.Want(j, l, false)
@@ -74,7 +74,7 @@
 			}
 			w.Net.Run(rapid.Float64Range(0, 1500).Draw(t, "wait"))
 		}
-		w.Net.Run(3000) // the last fault is over
+		w.Net.Run(3000) // past the end of the last fault
 		w.Net.Weather.Loss, w.Net.Weather.Jitter = 0, 5
 		for i := range r.Members {
 			want(i, true)
@@ -84,33 +84,33 @@
 			t.Fatalf("%v", w.Faults)
 		}
 		for _, l := range all {
-			for range 20 { // between two holders; a term of 300 ms is short for a disk that takes 100 ms
+			for range 20 { // the lease may be between two holders; a term of 300 ms is short for a disk that takes 100 ms
 				if w.Holder(l.Name) == "" {
 					w.Net.Run(100)
 				}
 			}
 			if w.Holder(l.Name) == "" {
-				t.Fatalf("nobody holds %s though all is well", l.Name)
+				t.Fatalf("nobody holds %s after all faults ended", l.Name)
 			}
 		}
-		held += w.Held
+		held += w.Acquired
 	})
-	assert.Greater(t, held, 5*plays, "a proof of leases that nobody holds is worth nothing")
+	assert.Greater(t, held, 5*plays, "the histories must acquire leases often enough to prove anything")
 }
 
-// Numbers rest on wall clocks alone: a member whose clock of elapsed time is fast holds a lease again and again for two minutes, then all memory is lost at
-// once and slower ones hold it. Numbers that went by that clock would go back.
+// Fencing numbers must derive from wall clocks. A member with a fast monotonic clock acquires a lease again and again for two minutes; then all members lose
+// their memory at once and slower ones acquire it. Numbers derived from the monotonic clock would decrease here.
 func TestNumbersOutliveAllMemory(t *testing.T) {
 	t.Parallel()
-	lasting := lease.Terms{Name: "x", Term: 400}
+	terms := lease.Terms{Name: "x", Term: 400}
 	for seed := uint64(1); seed <= 4; seed++ {
-		w := NewLeases(seed, LeaseRules{Members: 3, Drift: 0.05, Fixed: []lease.Terms{lasting}, Weather: virtual.Weather{Delay: 1}})
+		w := NewLeaseWorld(seed, LeaseRules{Members: 3, Drift: 0.05, Fixed: []lease.Terms{terms}, Weather: virtual.Weather{Delay: 1}})
 		for i := range 3 {
 			w.rates[Name(i)] = 1.05 - 0.05*float64(min(i, 1))
 			w.Start(i)
 		}
 		w.Net.Run(1000)
-		w.Want(0, lasting, true)
+		w.Want(0, terms, true)
 		for range 120 {
 			w.Net.Run(1000)
 			w.Drop(0, "x", false)
@@ -121,7 +121,7 @@
 			w.Kill(i)
 			w.Start(i)
 		}
-		w.Want(1, lasting, true)
+		w.Want(1, terms, true)
 		w.Net.Run(3000)
 		assert.Equal(t, Name(1), w.Holder("x"))
 		assert.Empty(t, w.Faults)
--- a/internal/trial/limits.go
+++ b/internal/trial/limits.go
@@ -9,32 +9,32 @@
 	"gullstair/internal/virtual"
 )
 
-// LimitRules are of a Limits world. Times in ms.
+// LimitRules configures a LimitWorld. Times are in ms.
 type LimitRules struct {
-	Members int
-	Drift   float64 // what the members are told of their clocks, which run at both ends of it
-	Limits  []shares.Limit
-	Way     Way
-	Weather virtual.Weather
-	Most    int
-	Disk    bool    // what is lent lasts
-	Fsync   float64 // that storing takes
+	Members  int
+	Drift    float64 // bound on clock drift that the members assume; their clocks run at both ends of it
+	Limits   []shares.Limit
+	Strategy Way
+	Weather  virtual.Weather
+	Most     int
+	Disk     bool    // loans are stored durably
+	Fsync    float64 // duration of a write to disk
 }
 
-// Way is how limits are shared.
+// Strategy is a way to share a limit among members.
 type Way string
 
-// The ways that were weighed.
+// The strategies that the simulation compares. The product uses Escrow.
 const (
 	Fixed  Way = "fixed share"
 	Escrow Way = "escrow"
 	Leader Way = "leader"
 	Gossip Way = "gossip"
-	Alone  Way = "each alone" // each takes the whole limit for itself
+	Alone  Way = "each alone" // each member applies the whole limit on its own
 )
 
-// sharer is one member's side of a way.
-type sharer interface {
+// strategyNode is the part of a strategy that runs at one member.
+type strategyNode interface {
 	Again(now float64, uses []shares.Use, lasts float64) shares.Verdict
 	Take(now float64, uses []shares.Use, lasts float64) shares.Verdict
 	Done(now float64, uses []shares.Use)
@@ -42,71 +42,71 @@
 	Due() float64
 }
 
-// Limits is a world of members that share limits. Scans come to them by a demand that the one who plays it sets; it judges what all of them together
-// took, by true time.
-type Limits struct {
-	Rules   LimitRules
-	Net     *virtual.Net
-	Faults  []string
-	Over    float64 // how far a bound was passed at most, in scans or units
-	Asked   int     // scans that came
-	Taken   int
-	TakenBy []int // by member
-	Each    func(member int, taken bool, after float64)
-	Rosters map[int]int     // how many members each one's document lists, the first ones; of who is not in it: all
-	Sizes   map[int]float64 // times the sizes of Rules in a member's document at its next start; of who is not in it: 1
-
-	members []*sharingNode
+// LimitWorld simulates members that share limits. Scans arrive at a rate that the caller sets with Demand. The world checks in true time what all members
+// together admit.
+type LimitWorld struct {
+	Rules       LimitRules
+	Net         *virtual.Net
+	Faults      []string
+	Excess      float64 // largest excess over a limit, in scans or units
+	Arrived     int     // scans that arrived
+	Admitted    int
+	AdmittedBy  []int // by member
+	OnDecision  func(member int, taken bool, after float64)
+	Rosters     map[int]int     // by member: how many members its document lists, from the first; without an entry, all
+	SizeFactors map[int]float64 // by member: factor on the sizes of Rules in its document from its next start; without an entry, 1
+
+	members []*limitNode
 	rates   []float64
-	demand  []float64 // scans a second of the first limit's key "", by member
-	buckets map[string]*judge
+	demand  []float64 // scans per second by member, for the uses given to Demand
+	buckets map[string]*checker
 	boots   uint64
 	living  []string
 	orders  []order
 	disks   []disk
 }
 
-// disk is what lasts of a member's loans.
+// disk is the durable part of a member's loans.
 type disk struct {
 	records []shares.Record
-	trusted bool // nothing is missing that may bind anybody
+	trusted bool // no record that may still bind a member is missing
 }
 
-// order is a larger size that the first limit had for a while, by true time.
+// order is a temporary increase of the first limit, in true time.
 type order struct{ from, to, size, burst float64 }
 
-// judge is a bucket by true time that starts full: what is taken of it without its running dry is within rate x window + burst in every window.
-type judge struct {
+// checker is a token bucket in true time that starts full. As long as it does not go below zero, every window holds at most rate x window + burst.
+type checker struct {
 	tokens, at float64
 	open       float64
 	openBy     map[int]float64
 }
 
-type sharingNode struct {
-	w       *Limits
-	i       int
-	way     sharer
-	paused  bool
-	waiting []func() // scans that wait for an owner's tokens
-	queue   []func() // arrivals that a member that stands still finds when it wakes
-	boot    uint64
-	storing []shares.Store // under way to its disk
+type limitNode struct {
+	w        *LimitWorld
+	i        int
+	strategy strategyNode
+	paused   bool
+	waiting  []func() // scans that wait for tokens of the key's owner
+	arrivals []func() // arrivals during a pause, handled when the member resumes
+	boot     uint64
+	writes   []shares.Store // writes to its disk in progress
 }
 
-// NewLimits makes a world in which nobody runs yet.
-func NewLimits(seed uint64, r LimitRules) *Limits {
-	w := &Limits{Rules: r, Net: virtual.New(seed, r.Weather), buckets: map[string]*judge{}, members: make([]*sharingNode, r.Members), rates: make([]float64, r.Members), Rosters: map[int]int{}, Sizes: map[int]float64{}, disks: make([]disk, r.Members),
-		demand: make([]float64, r.Members), TakenBy: make([]int, r.Members)}
+// NewLimitWorld creates a world without running members.
+func NewLimitWorld(seed uint64, r LimitRules) *LimitWorld {
+	w := &LimitWorld{Rules: r, Net: virtual.New(seed, r.Weather), buckets: map[string]*checker{}, members: make([]*limitNode, r.Members), rates: make([]float64, r.Members), Rosters: map[int]int{}, SizeFactors: map[int]float64{}, disks: make([]disk, r.Members),
+		demand: make([]float64, r.Members), AdmittedBy: make([]int, r.Members)}
 	for i := range r.Members {
 		w.rates[i] = 1 + r.Drift*(float64(w.Net.Chance().IntN(3))-1)
 	}
 	return w
 }
 
-func (w *Limits) clock(i int) float64 { return 1e6 + w.Net.Now()*w.rates[i] }
+func (w *LimitWorld) clock(i int) float64 { return 1e6 + w.Net.Now()*w.rates[i] }
 
-// Start starts the i-th member with nothing that an earlier process knew but what lasts on its disk.
-func (w *Limits) Start(i int) {
+// Start starts the i-th member in place of its earlier process, of which only the records on disk remain.
+func (w *LimitWorld) Start(i int) {
 	w.Kill(i)
 	w.boots++
 	var roster []string
@@ -117,26 +117,26 @@
 	for j := range listed {
 		roster = append(roster, Name(j))
 	}
-	n := &sharingNode{w: w, i: i, boot: w.boots}
+	n := &limitNode{w: w, i: i, boot: w.boots}
 	chance := w.Net.Chance().Float64
-	rules := shares.Rules{Self: Name(i), Boot: w.boots, Roster: roster, Drift: w.Rules.Drift, Most: max(w.Rules.Most, 64), After: 1000, Loans: w.Rules.Way == Escrow}
+	rules := shares.Rules{Self: Name(i), Boot: w.boots, Roster: roster, Drift: w.Rules.Drift, Most: max(w.Rules.Most, 64), After: 1000, Loans: w.Rules.Strategy == Escrow}
 	limits := slices.Clone(w.Rules.Limits)
-	if f, other := w.Sizes[i]; other {
+	if f, other := w.SizeFactors[i]; other {
 		for k := range limits {
 			limits[k].Size, limits[k].Burst = max(1, math.Floor(limits[k].Size*f)), max(1, math.Floor(limits[k].Burst*f))
 		}
 	}
-	switch w.Rules.Way {
+	switch w.Rules.Strategy {
 	case Leader:
-		n.way = newLeader(w, rules, limits[0])
+		n.strategy = newLeader(w, rules, limits[0])
 	case Gossip:
-		n.way = newGossip(w, rules, limits[0])
+		n.strategy = newGossip(w, rules, limits[0])
 	case Alone:
 		rules.Roster = roster[i : i+1]
-		n.way = &escrow{Core: shares.New(rules, limits, chance)}
+		n.strategy = &escrow{Core: shares.New(rules, limits, chance)}
 	default:
 		e := &escrow{Core: shares.New(rules, limits, chance)}
-		if n.way = e; w.Rules.Disk {
+		if n.strategy = e; w.Rules.Disk {
 			e.Restore(slices.Clone(w.disks[i].records), w.disks[i].trusted)
 		}
 	}
@@ -144,14 +144,14 @@
 	w.Net.Start(Name(i), n, w.clock(i), w.rates[i])
 }
 
-// Kill ends the i-th member without a word; what was open there is gone. Of what was being stored the first records last, so many.
-func (w *Limits) Kill(i int) {
+// Kill ends the i-th member without a farewell and drops its open scans. Of the writes in progress a random number, from the first, still completes.
+func (w *LimitWorld) Kill(i int) {
 	w.Net.Kill(Name(i))
 	if n := w.members[i]; n != nil {
-		for range w.Net.Chance().IntN(len(n.storing) + 1) {
-			n.lasts()
+		for range w.Net.Chance().IntN(len(n.writes) + 1) {
+			n.completeWrite()
 		}
-		n.storing = nil
+		n.writes = nil
 	}
 	w.members[i] = nil
 	for _, j := range w.buckets {
@@ -160,28 +160,29 @@
 	}
 }
 
-// LoseDisk ends the i-th member and leaves the first so many of what its disk held; a directory that was put back is found out, or is empty.
-func (w *Limits) LoseDisk(i, left int) {
+// LoseDisk ends the i-th member and keeps only the first records of its disk. The disk is no longer trusted: a restored directory is detected as such, or is
+// empty.
+func (w *LimitWorld) LoseDisk(i, left int) {
 	w.Kill(i)
 	d := &w.disks[i]
 	d.records, d.trusted = d.records[:min(left, len(d.records))], false
 }
 
-// lasts says that the first of what is being stored lasts.
-func (n *sharingNode) lasts() {
-	s, d := n.storing[0], &n.w.disks[n.i]
-	n.storing = n.storing[1:]
+// completeWrite makes the first write in progress durable.
+func (n *limitNode) completeWrite() {
+	s, d := n.writes[0], &n.w.disks[n.i]
+	n.writes = n.writes[1:]
 	d.records, d.trusted = append(d.records, s.Record), d.trusted || s.Trust
 }
 
-// store has records last after a while, one after the other; the process hears of it if it is still there.
-func (n *sharingNode) store(all []shares.Store) {
+// store writes records to the disk one after the other, each with a delay, and notifies the process if it still runs.
+func (n *limitNode) store(all []shares.Store) {
 	for _, s := range all {
-		n.storing = append(n.storing, s)
+		n.writes = append(n.writes, s)
 		n.w.Net.After(n.w.Rules.Fsync, func() {
 			if n.w.members[n.i] == n {
-				n.lasts()
-				e := n.way.(*escrow)
+				n.completeWrite()
+				e := n.strategy.(*escrow)
 				e.in = append(e.in, shares.Stored{Upto: s.Number})
 				n.w.Net.Poke(Name(n.i))
 			}
@@ -189,16 +190,16 @@
 	}
 }
 
-// Pause has the i-th member stand still; scans go on coming and wait.
-func (w *Limits) Pause(i int) {
+// Pause pauses the i-th member. Scans keep arriving and queue.
+func (w *LimitWorld) Pause(i int) {
 	if n := w.members[i]; n != nil {
 		n.paused = true
 		w.Net.Pause(Name(i))
 	}
 }
 
-// Resume wakes it. It finds what waited before or after what its clock says, by chance.
-func (w *Limits) Resume(i int) {
+// Resume resumes the i-th member. At random, the queued scans come before or after its first step.
+func (w *LimitWorld) Resume(i int) {
 	n := w.members[i]
 	if n == nil || !n.paused {
 		return
@@ -208,8 +209,8 @@
 	if !first {
 		w.Net.Resume(Name(i))
 	}
-	queue := n.queue
-	n.queue = nil
+	queue := n.arrivals
+	n.arrivals = nil
 	for _, do := range queue {
 		do()
 	}
@@ -218,13 +219,13 @@
 	}
 }
 
-// Order has an operator set the first limit's size at a member.
-func (w *Limits) Order(i int, size, burst, forMs float64) {
+// Order has an operator set the size of the first limit at a member.
+func (w *LimitWorld) Order(i int, size, burst, forMs float64) {
 	if n := w.members[i]; n != nil && !n.paused {
-		if e, is := n.way.(*escrow); is {
+		if e, is := n.strategy.(*escrow); is {
 			e.in = append(e.in, shares.Set{Limit: w.Rules.Limits[0].Name, Size: size, Burst: burst, For: forMs})
 			if size > w.Rules.Limits[0].Size || burst > w.Rules.Limits[0].Burst {
-				// Every clock has seen the time pass by then.
+				// By then the order has expired by every clock.
 				w.orders = append(w.orders, order{w.Net.Now(), w.Net.Now() + forMs, size, burst})
 			}
 			w.Net.Poke(Name(i))
@@ -232,8 +233,8 @@
 	}
 }
 
-// allowed is what the first limit's size may be at most between two moments, and its burst at the second.
-func (w *Limits) allowed(from, to float64) (size, burst float64) {
+// allowed returns the largest size of the first limit between two moments, and its largest burst at the second.
+func (w *LimitWorld) allowed(from, to float64) (size, burst float64) {
 	size, burst = w.Rules.Limits[0].Size, w.Rules.Limits[0].Burst
 	for _, o := range w.orders {
 		if o.from <= to && from <= o.to {
@@ -246,23 +247,23 @@
 	return size, burst
 }
 
-// See tells members which ones live.
-func (w *Limits) See(i int, living []string) {
+// SetLiving tells the i-th member which members are alive.
+func (w *LimitWorld) SetLiving(i int, living []string) {
 	if n := w.members[i]; n != nil {
-		if e, is := n.way.(*escrow); is {
+		if e, is := n.strategy.(*escrow); is {
 			e.in = append(e.in, shares.View{Living: living})
 			w.Net.Poke(Name(i))
 		}
 	}
 }
 
-// Demand has scans of one use come to the i-th member at so many a second, by chance, until the demand is set again. Each is open for so long.
-func (w *Limits) Demand(i int, perSecond float64, uses []shares.Use, lasts float64) {
+// Demand lets scans arrive at the i-th member at random, at the given rate per second, until the demand is set again. Each stays open for the given time.
+func (w *LimitWorld) Demand(i int, perSecond float64, uses []shares.Use, lasts float64) {
 	w.demand[i] = perSecond
 	w.arrive(i, perSecond, uses, lasts)
 }
 
-func (w *Limits) arrive(i int, perSecond float64, uses []shares.Use, lasts float64) {
+func (w *LimitWorld) arrive(i int, perSecond float64, uses []shares.Use, lasts float64) {
 	if perSecond <= 0 {
 		return
 	}
@@ -275,52 +276,52 @@
 	})
 }
 
-// Scan has one scan come to the i-th member.
-func (w *Limits) Scan(i int, uses []shares.Use, lasts float64) {
+// Scan lets one scan arrive at the i-th member.
+func (w *LimitWorld) Scan(i int, uses []shares.Use, lasts float64) {
 	n := w.members[i]
 	if n == nil {
 		return
 	}
 	if n.paused {
-		if len(n.queue) < 200 {
-			n.queue = append(n.queue, func() { w.Scan(i, uses, lasts) })
+		if len(n.arrivals) < 200 {
+			n.arrivals = append(n.arrivals, func() { w.Scan(i, uses, lasts) })
 		}
 		return
 	}
-	w.Asked++
-	v := n.way.Take(w.clock(i), uses, lasts/w.rates[i]*(1+w.Rules.Drift))
+	w.Arrived++
+	v := n.strategy.Take(w.clock(i), uses, lasts/w.rates[i]*(1+w.Rules.Drift))
 	w.Net.Poke(Name(i))
-	w.ruled(n, uses, lasts, v, w.Net.Now()+v.Wait/w.rates[i])
+	w.decided(n, uses, lasts, v, w.Net.Now()+v.Wait/w.rates[i])
 }
 
-// ruled takes a verdict on a scan; one that may wait is asked again when tokens for such scans have come.
-func (w *Limits) ruled(n *sharingNode, uses []shares.Use, lasts float64, v shares.Verdict, until float64) {
+// decided handles the decision on a scan. A scan that may wait is retried when tokens arrive.
+func (w *LimitWorld) decided(n *limitNode, uses []shares.Use, lasts float64, v shares.Verdict, until float64) {
 	i := n.i
 	if !v.Taken && w.Net.Now() < until-1 {
 		n.waiting = append(n.waiting, func() {
 			if w.members[i] == n && !n.paused && w.Net.Now() < until-1 {
-				v := n.way.Again(w.clock(i), uses, lasts/w.rates[i]*(1+w.Rules.Drift))
+				v := n.strategy.Again(w.clock(i), uses, lasts/w.rates[i]*(1+w.Rules.Drift))
 				w.Net.Poke(Name(i))
-				w.ruled(n, uses, lasts, v, until)
+				w.decided(n, uses, lasts, v, until)
 			}
 		})
 		return
 	}
-	if w.Each != nil {
-		w.Each(i, v.Taken, v.After)
+	if w.OnDecision != nil {
+		w.OnDecision(i, v.Taken, v.After)
 	}
 	if !v.Taken {
 		return
 	}
-	w.Taken++
-	w.TakenBy[i]++
+	w.Admitted++
+	w.AdmittedBy[i]++
 	for _, u := range uses {
-		w.take(i, u)
+		w.check(i, u)
 	}
 	boot := n.boot
 	w.Net.After(lasts, func() {
 		if m := w.members[i]; m != nil && m.boot == boot {
-			m.way.Done(w.clock(i), uses)
+			m.strategy.Done(w.clock(i), uses)
 			for _, u := range uses {
 				if j := w.buckets[fmt.Sprint(u.Limit, " ", u.Key)]; w.Rules.Limits[u.Limit].Kind == shares.Stock {
 					j.open -= u.Cost
@@ -331,12 +332,12 @@
 	})
 }
 
-// take judges what was taken.
-func (w *Limits) take(i int, u shares.Use) {
+// check compares an admitted use with its limit.
+func (w *LimitWorld) check(i int, u shares.Use) {
 	l, name := w.Rules.Limits[u.Limit], fmt.Sprint(u.Limit, " ", u.Key)
 	j := w.buckets[name]
 	if j == nil {
-		j = &judge{tokens: l.Burst, openBy: map[int]float64{}}
+		j = &checker{tokens: l.Burst, openBy: map[int]float64{}}
 		w.buckets[name] = j
 	}
 	over := 0.0
@@ -354,17 +355,17 @@
 		over = j.open - l.Size
 	}
 	if over > 1e-6 {
-		if w.Over = max(w.Over, over); len(w.Faults) < 10 {
-			w.Faults = append(w.Faults, fmt.Sprintf("%.0f ms: %s at %s is over its limit by %.3f", w.Net.Now(), l.Name+"/"+u.Key, Name(i), over))
+		if w.Excess = max(w.Excess, over); len(w.Faults) < 10 {
+			w.Faults = append(w.Faults, fmt.Sprintf("%.0f ms: %s at %s exceeds its limit by %.3f", w.Net.Now(), l.Name+"/"+u.Key, Name(i), over))
 		}
 	}
 }
 
-func (n *sharingNode) Due() float64 { return n.way.Due() }
+func (n *limitNode) Due() float64 { return n.strategy.Due() }
 
-func (n *sharingNode) Step(now float64, in []virtual.Packet) []virtual.Packet {
-	out := n.way.Step(now, in)
-	e, is := n.way.(*escrow)
+func (n *limitNode) Step(now float64, in []virtual.Packet) []virtual.Packet {
+	out := n.strategy.Step(now, in)
+	e, is := n.strategy.(*escrow)
 	if is {
 		n.store(e.Stores())
 	}
@@ -377,12 +378,12 @@
 			}
 		})
 	} else if len(n.waiting) > 256 {
-		n.waiting = n.waiting[len(n.waiting)-256:] // the rest has waited for too long
+		n.waiting = n.waiting[len(n.waiting)-256:] // the older ones have waited too long
 	}
 	return out
 }
 
-// escrow is package shares, with loans or with fixed shares alone.
+// escrow runs package shares, with loans or with fixed shares only.
 type escrow struct {
 	*shares.Core
 	in []shares.Input
@@ -410,13 +411,13 @@
 	return shares.Verdict{}
 }
 
-// bucket is the local side of the ways that were weighed and not taken.
+// bucket is the local token bucket of the strategies that the product does not use.
 type bucket struct {
 	limit      shares.Limit
 	drift      float64
 	share      float64
 	tokens, at float64
-	rate, seen float64 // demand a second
+	rate, seen float64 // estimated demand per second and the time of its last update
 }
 
 func (b *bucket) fill(now float64) {
@@ -443,7 +444,7 @@
 	b.tokens = min(b.tokens, share*b.limit.Burst)
 }
 
-// divide gives each what it wants or an equal part of what is left, the least first.
+// divide computes a max-min fair division: in order of rising demand, each gets its demand or an equal part of the remainder.
 func divide(whole float64, wants map[string]float64) map[string]float64 {
 	names := make([]string, 0, len(wants))
 	for n := range wants {
@@ -462,40 +463,40 @@
 		out[n] = min(wants[n], whole/float64(len(names)-k))
 		whole -= out[n]
 	}
-	for n := range out { // what is left goes to all
+	for n := range out { // the remainder goes to all equally
 		out[n] += whole / float64(len(names))
 	}
 	return out
 }
 
-// told is what a member of the ways not taken says: its demand as a share of the limit, or what it may use.
-type told struct {
+// report is a message of the strategies that the product does not use: a member's demand as a share of the limit, or the share granted to it.
+type report struct {
 	demand, share, sent float64
 	answer              bool
 }
 
-const tellMs = 200.0
+const reportInterval = 200.0
 
-// leader apportions by one member that holds a lease, as Doorman does; the world is its lease service, a perfect one: the lowest member that runs
-// and is on the larger side. A new one waits for a term.
+// leader divides the limit at one member that holds a lease, as Doorman does. The world is a perfect lease service: the first member of living that runs
+// leads, and living lists the larger side of a partition first. A new leader waits for a term before it grants.
 type leader struct {
 	bucket
-	w      *Limits
-	self   string
-	roster []string
-	next   float64
-	until  float64 // of the own share
-	wants  map[string]float64
-	wantAt map[string]float64
-	given  map[string]float64
-	upto   map[string]float64
-	lead   bool
-	since  float64
+	w            *LimitWorld
+	self         string
+	roster       []string
+	next         float64
+	until        float64 // expiry of this member's share
+	demands      map[string]float64
+	reportedAt   map[string]float64
+	granted      map[string]float64
+	grantedUntil map[string]float64
+	leading      bool
+	since        float64
 }
 
-func newLeader(w *Limits, r shares.Rules, l shares.Limit) *leader {
-	return &leader{bucket: bucket{limit: l, drift: r.Drift}, w: w, self: r.Self, roster: r.Roster, wants: map[string]float64{}, wantAt: map[string]float64{},
-		given: map[string]float64{}, upto: map[string]float64{}, since: math.Inf(1)}
+func newLeader(w *LimitWorld, r shares.Rules, l shares.Limit) *leader {
+	return &leader{bucket: bucket{limit: l, drift: r.Drift}, w: w, self: r.Self, roster: r.Roster, demands: map[string]float64{}, reportedAt: map[string]float64{},
+		granted: map[string]float64{}, grantedUntil: map[string]float64{}, since: math.Inf(1)}
 }
 
 func (l *leader) Take(now float64, _ []shares.Use, _ float64) shares.Verdict {
@@ -508,57 +509,57 @@
 func (l *leader) Due() float64               { return l.next }
 
 func (l *leader) Step(now float64, in []virtual.Packet) (out []virtual.Packet) {
-	kept := l.limit.Term * (1 + l.drift) / (1 - l.drift)
-	who := l.w.leads()
-	if lead := who == l.self; lead != l.lead {
-		l.lead, l.since = lead, now
-		clear(l.given)
+	longestTerm := l.limit.Term * (1 + l.drift) / (1 - l.drift)
+	who := l.w.currentLeader()
+	if lead := who == l.self; lead != l.leading {
+		l.leading, l.since = lead, now
+		clear(l.granted)
 	}
 	grant := func(name string, demand float64) float64 {
-		l.wants[name], l.wantAt[name] = demand, now
+		l.demands[name], l.reportedAt[name] = demand, now
 		fresh, others := map[string]float64{}, 0.0
-		for n, at := range l.wantAt {
+		for n, at := range l.reportedAt {
 			if now-at < l.limit.Term {
-				fresh[n] = l.wants[n]
+				fresh[n] = l.demands[n]
 			}
-			if n != name && now < l.upto[n] {
-				others += l.given[n]
+			if n != name && now < l.grantedUntil[n] {
+				others += l.granted[n]
 			}
 		}
-		if now < l.since+kept {
+		if now < l.since+longestTerm {
 			return 0
 		}
 		g := max(0, min(divide(1, fresh)[name], 1-others))
-		l.given[name] = max(g, 0)
-		l.upto[name] = now + kept
+		l.granted[name] = max(g, 0)
+		l.grantedUntil[name] = now + longestTerm
 		return g
 	}
 	for _, p := range in {
-		t := p.Data.(told)
+		t := p.Data.(report)
 		if t.answer {
 			if now < t.sent+l.limit.Term {
 				l.set(now, t.share)
 				l.until = t.sent + l.limit.Term
 			}
-		} else if l.lead {
-			out = append(out, virtual.Packet{To: p.From, Data: told{answer: true, share: grant(p.From, t.demand), sent: t.sent}, Size: 60})
+		} else if l.leading {
+			out = append(out, virtual.Packet{To: p.From, Data: report{answer: true, share: grant(p.From, t.demand), sent: t.sent}, Size: 60})
 		}
 	}
 	if now >= l.next {
-		l.next = now + tellMs
+		l.next = now + reportInterval
 		d := min(1, l.demand(now)*1.15/l.limit.Size)
-		if l.lead {
+		if l.leading {
 			l.set(now, grant(l.self, d))
 			l.until = now + l.limit.Term
 		} else if who != "" {
-			out = append(out, virtual.Packet{To: who, Data: told{demand: d, sent: now}, Size: 60})
+			out = append(out, virtual.Packet{To: who, Data: report{demand: d, sent: now}, Size: 60})
 		}
 	}
 	return out
 }
 
-// leads is the perfect lease service of the way by a leader.
-func (w *Limits) leads() string {
+// currentLeader returns the current leader of the Leader strategy, as a perfect lease service would.
+func (w *LimitWorld) currentLeader() string {
 	for _, name := range w.living {
 		for i, n := range w.members {
 			if n != nil && !n.paused && Name(i) == name {
@@ -569,18 +570,18 @@
 	return ""
 }
 
-// gossip has each tell all others its demand, and all do the same sum.
+// gossip lets each member send its demand to all others, and all compute the same division.
 type gossip struct {
 	bucket
-	self   string
-	roster []string
-	next   float64
-	wants  map[string]float64
-	wantAt map[string]float64
+	self       string
+	roster     []string
+	next       float64
+	demands    map[string]float64
+	reportedAt map[string]float64
 }
 
-func newGossip(_ *Limits, r shares.Rules, l shares.Limit) *gossip {
-	g := &gossip{bucket: bucket{limit: l, drift: r.Drift, share: 1 / float64(len(r.Roster))}, self: r.Self, roster: r.Roster, wants: map[string]float64{}, wantAt: map[string]float64{}}
+func newGossip(_ *LimitWorld, r shares.Rules, l shares.Limit) *gossip {
+	g := &gossip{bucket: bucket{limit: l, drift: r.Drift, share: 1 / float64(len(r.Roster))}, self: r.Self, roster: r.Roster, demands: map[string]float64{}, reportedAt: map[string]float64{}}
 	return g
 }
 
@@ -590,23 +591,23 @@
 
 func (g *gossip) Step(now float64, in []virtual.Packet) (out []virtual.Packet) {
 	for _, p := range in {
-		g.wants[p.From], g.wantAt[p.From] = p.Data.(told).demand, now
+		g.demands[p.From], g.reportedAt[p.From] = p.Data.(report).demand, now
 	}
 	if now < g.next {
 		return nil
 	}
-	g.next = now + tellMs
+	g.next = now + reportInterval
 	d := min(1, g.demand(now)*1.15/g.limit.Size)
-	g.wants[g.self], g.wantAt[g.self] = d, now
+	g.demands[g.self], g.reportedAt[g.self] = d, now
 	for _, name := range g.roster {
 		if name != g.self {
-			out = append(out, virtual.Packet{To: name, Data: told{demand: d}, Size: 60})
+			out = append(out, virtual.Packet{To: name, Data: report{demand: d}, Size: 60})
 		}
 	}
 	known := map[string]float64{}
 	for _, name := range g.roster {
-		if at, heard := g.wantAt[name]; heard && now-at < 1000 {
-			known[name] = g.wants[name]
+		if at, heard := g.reportedAt[name]; heard && now-at < 1000 {
+			known[name] = g.demands[name]
 		}
 	}
 	g.set(now, divide(1, known)[g.self])
--- a/internal/trial/limits_test.go
+++ b/internal/trial/limits_test.go
@@ -10,13 +10,13 @@
 	"gullstair/internal/virtual"
 )
 
-// Strict limits under faults drawn by chance: what the whole fleet takes never passes rate x window + burst, nor so many open, by true time.
+// Under random faults, strict limits hold in true time: the whole fleet never admits more than rate x window + burst, nor more open scans than allowed.
 func TestLimitHistories(t *testing.T) {
 	t.Parallel()
 	taken, asked, plays := 0, 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		plays++
-		r := LimitRules{Members: rapid.SampledFrom([]int{2, 3, 5}).Draw(t, "members"), Drift: rapid.SampledFrom([]float64{0, 0.05, 0.2}).Draw(t, "drift"), Way: Escrow, Most: 8,
+		r := LimitRules{Members: rapid.SampledFrom([]int{2, 3, 5}).Draw(t, "members"), Drift: rapid.SampledFrom([]float64{0, 0.05, 0.2}).Draw(t, "drift"), Strategy: Escrow, Most: 8,
 			Disk: rapid.Bool().Draw(t, "disk"), Fsync: rapid.SampledFrom([]float64{1, 60}).Draw(t, "fsync"),
 			Limits: []shares.Limit{
 				{Name: "rate", Kind: shares.Rate, Size: 100, Burst: rapid.SampledFrom([]float64{1, 3, 8}).Draw(t, "burst"), Term: 1000, Owners: rapid.SampledFrom([]int{0, 2}).Draw(t, "owners")},
@@ -24,13 +24,13 @@
 				{Name: "slow", Kind: shares.Rate, Size: 2, Burst: 20, Term: 200}},
 			Weather: virtual.Weather{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.SampledFrom([]float64{0, 30, 700}).Draw(t, "jitter"),
 				Loss: rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss"), Duplicate: rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "twice")}}
-		w := NewLimits(rapid.Uint64().Draw(t, "seed"), r)
+		w := NewLimitWorld(rapid.Uint64().Draw(t, "seed"), r)
 		for i := range r.Members {
 			w.Start(i)
 		}
 		keys := []string{"", "", "", "a"}
 		who := func() int { return rapid.IntRange(0, r.Members-1).Draw(t, "whom") }
-		// All is asked for all the time, but where an event says otherwise: a share that two use shows.
+		// Demand exceeds the limits throughout unless an event changes it, so that a share used by two members becomes visible.
 		which := rapid.IntRange(0, 2).Draw(t, "limits")
 		levels := make([]float64, r.Members)
 		ask := func(i int, level float64, key string) {
@@ -51,12 +51,12 @@
 			switch rapid.SampledFrom([]string{"split", "split", "cut", "pause", "crash", "all crash", "turn", "turn", "slow", "demand", "burst", "order", "document", "lose disk", "lends, and again", "lends, and again", "wait"}).Draw(t, "what") {
 			case "split":
 				drawnSplit(t, w.Net, r.Members, 2, span)
-				if rapid.Bool().Draw(t, "all ask") { // the lenders too, while the borrowers cannot hear of it
+				if rapid.Bool().Draw(t, "all ask") { // demand at the lenders too, while the borrowers cannot learn of it
 					for j := range r.Members {
 						ask(j, 310+float64(j), "")
 					}
 				}
-			case "turn": // who asked asks no more, who did not does
+			case "turn": // swaps members with and without demand
 				for j, level := range levels {
 					if level = 0; levels[j] == 0 {
 						level = 320 + float64(j)
@@ -86,7 +86,7 @@
 				if rapid.Bool().Draw(t, "and again") {
 					w.Net.After(span/10, func() { w.Start(i) })
 				}
-			case "lends, and again": // ended with loans out, and started again while they hold
+			case "lends, and again": // killed with open loans and restarted before they expire
 				for j := range r.Members {
 					ask(j, []float64{300, 0}[b2i(j == i)], "")
 				}
@@ -97,8 +97,8 @@
 				for j := range r.Members {
 					ask(j, 310+float64(j), "")
 				}
-			case "document": // started with one that allows less
-				w.Sizes[i] = rapid.SampledFrom([]float64{0.5, 0.4, 1}).Draw(t, "times")
+			case "document": // restarted with a document that allows less
+				w.SizeFactors[i] = rapid.SampledFrom([]float64{0.5, 0.4, 1}).Draw(t, "times")
 				w.Start(i)
 			case "demand":
 				demand(i)
@@ -115,10 +115,10 @@
 		if len(w.Faults) > 0 {
 			t.Fatalf("%v", w.Faults)
 		}
-		taken, asked = taken+w.Taken, asked+w.Asked
+		taken, asked = taken+w.Admitted, asked+w.Arrived
 	})
-	assert.Greater(t, taken, 10*plays, "a proof of limits under which nothing is taken is worth nothing")
-	t.Logf("%d of %d scans taken", taken, asked)
+	assert.Greater(t, taken, 10*plays, "the histories must admit enough scans to prove anything")
+	t.Logf("%d of %d scans admitted", taken, asked)
 }
 
 func b2i(b bool) int {
@@ -128,8 +128,8 @@
 	return 0
 }
 
-// The way that is taken is never over and beats a fixed share wherever demand is not spread evenly; the judge sees it where each takes the whole
-// limit for itself.
+// Escrow never exceeds the limit and uses at least as much of it as fixed shares, up to 4 points. The check can fail: it reports an excess when
+// each member applies the whole limit on its own.
 func TestWays(t *testing.T) {
 	t.Parallel()
 	for _, d := range Days(5, 200) {
@@ -139,7 +139,7 @@
 			assert.Zero(t, taken.Over)
 			assert.Greater(t, taken.Used, fixed.Used-0.04)
 			for _, side := range taken.Sides {
-				assert.Greater(t, side, 0.85, "of its members' share")
+				assert.Greater(t, side, 0.85, "each side uses its members' share")
 			}
 			if d.Moves == 0 && d.Faults == nil {
 				assert.Greater(t, taken.Used, 0.93)
@@ -151,23 +151,23 @@
 	}
 }
 
-// An available limit in a split 3-2: borrowed shares go on for linger, then each side has its members' share or alone, whichever is more; what the fleet
-// takes stays within the stated formula, before and after.
+// An available limit in a partition of 3 and 2 members: borrowed shares last for linger, then each side gets the larger of its members' share and
+// alone. Before and after, what the fleet admits stays within the documented formula.
 func TestAvailableInASplit(t *testing.T) {
 	t.Parallel()
 	const size, burst, linger, alone = 200.0, 100.0, 3000.0, 0.6
-	w := NewLimits(3, LimitRules{Members: 5, Drift: 0.01, Way: Escrow, Weather: virtual.Weather{Delay: 0.5, Jitter: 1},
+	w := NewLimitWorld(3, LimitRules{Members: 5, Drift: 0.01, Strategy: Escrow, Weather: virtual.Weather{Delay: 0.5, Jitter: 1},
 		Limits: []shares.Limit{{Name: "x", Size: size, Burst: burst, Term: 1000, Available: true, Linger: linger, Alone: alone}}})
 	uses := []shares.Use{{Cost: 1}}
 	for i := range 5 {
 		w.Start(i)
-		w.Demand(i, 2*size*float64(1-min(i, 1)), uses, 5) // all at the first one: it borrows the others' shares
+		w.Demand(i, 2*size*float64(1-min(i, 1)), uses, 5) // all demand is at the first member, which borrows the others' shares
 	}
 	w.Net.Run(4000)
 	rate := func(forMs float64) (all, left, right float64) {
-		before := append([]int{}, w.TakenBy...)
+		before := append([]int{}, w.AdmittedBy...)
 		w.Net.Run(forMs)
-		for i, n := range w.TakenBy {
+		for i, n := range w.AdmittedBy {
 			x := float64(n-before[i]) / forMs * 1000 / size
 			if all += x; i < 3 {
 				left += x
@@ -184,10 +184,10 @@
 		w.Demand(i, 2*size+float64(i), uses, 5)
 	}
 	all, left, _ := rate(linger)
-	assert.LessOrEqual(t, all, 2+burst/size/(linger/1000)+0.05, "for linger once more at most")
-	assert.Greater(t, left, 0.85, "who had borrowed goes on")
+	assert.LessOrEqual(t, all, 2+burst/size/(linger/1000)+0.05, "at most once more during linger")
+	assert.Greater(t, left, 0.85, "the borrower continues")
 	for i := range 5 {
-		w.See(i, [][]string{{Name(0), Name(1), Name(2)}, {Name(3), Name(4)}}[i/3])
+		w.SetLiving(i, [][]string{{Name(0), Name(1), Name(2)}, {Name(3), Name(4)}}[i/3])
 	}
 	w.Net.Run(1500)
 	all, left, right := rate(4000)
@@ -196,7 +196,7 @@
 	assert.LessOrEqual(t, all, 1+alone+0.02, "two sides")
 	w.Net.Split()
 	for i := range 5 {
-		w.See(i, []string{Name(0), Name(1), Name(2), Name(3), Name(4)})
+		w.SetLiving(i, []string{Name(0), Name(1), Name(2), Name(3), Name(4)})
 	}
 	w.Net.Run(1500)
 	all, _, _ = rate(4000)
--- a/internal/trial/limitsplay.go
+++ b/internal/trial/limitsplay.go
@@ -10,37 +10,37 @@
 	"gullstair/internal/virtual"
 )
 
-// Played is what a day of demand made of a limit under one way.
+// DayResult holds the measurements of one simulated Day under one strategy.
 type Played struct {
 	Way      Way
-	Used     float64 // share of what the limit allowed in the time measured
-	Worst    float64 // over 500 ms
+	Used     float64 // share of the limit that was used in the measured time
+	Worst    float64 // lowest use over 500 ms
 	Over     float64 // scans beyond rate x window + burst
 	Sides    []float64
-	Follow   float64 // ms until 0.9 of the limit is used again after demand has moved
-	Messages float64 // a member a second
-	// Taken are the scans a second in each SeriesStep of the day, all members', and by side where there are sides.
+	Follow   float64 // ms until use is back at 0.9 of the limit after the demand moves
+	Messages float64 // per member and second
+	// Taken holds the admitted scans per second of all members in each SeriesStep of the day. By holds the same for each side of a partition.
 	Taken []float64
 	By    [][]float64
 }
 
-// SeriesStep is that of Played.Taken, in ms.
+// SeriesStep is the interval of DayResult.Taken in ms.
 const SeriesStep = 100.0
 
-// Day is a day for a limit of so many scans a second.
+// Day is a load pattern, with faults, on a limit of Size scans per second.
 type Day struct {
 	Name    string
 	Members int
 	Size    float64
-	Demand  func(member int, at float64) float64 // scans a second, looked at every 100 ms
-	Faults  func(w *Limits)
+	Demand  func(member int, at float64) float64 // scans per second, sampled every 100 ms
+	Faults  func(w *LimitWorld)
 	Sides   [][]int
-	From    float64 // ms: measured from here
+	From    float64 // start of the measurement in ms
 	To      float64
-	Moves   float64 // ms between two moves of the demand; 0: it does not move
+	Moves   float64 // ms between two moves of the demand; 0 for demand that does not move
 }
 
-// Days are those that ways are weighed by. Demand is twice the limit where nothing else is said.
+// Days returns the load patterns by which the strategies are compared. Demand is twice the limit unless a pattern sets another.
 func Days(members int, size float64) []Day {
 	n := float64(members)
 	half := members / 2
@@ -52,7 +52,7 @@
 		}
 		sides[s] = append(sides[s], i)
 	}
-	split := func(w *Limits) {
+	split := func(w *LimitWorld) {
 		names := [2][]string{}
 		for s, all := range sides {
 			for _, i := range all {
@@ -83,33 +83,33 @@
 			return 0.2 * size / (n - 1)
 		}},
 		{Name: "split", Members: members, Size: size, From: 8000, To: 16000, Sides: sides[:], Demand: func(int, float64) float64 { return 2 * size / n },
-			Faults: func(w *Limits) { w.Net.After(5000, func() { split(w) }) }},
-		{Name: "split, loans out", Members: members, Size: size, From: 5000, To: 16000, Sides: sides[:], Faults: func(w *Limits) { w.Net.After(5000, func() { split(w) }) },
+			Faults: func(w *LimitWorld) { w.Net.After(5000, func() { split(w) }) }},
+		{Name: "split, loans out", Members: members, Size: size, From: 5000, To: 16000, Sides: sides[:], Faults: func(w *LimitWorld) { w.Net.After(5000, func() { split(w) }) },
 			Demand: func(i int, at float64) float64 {
 				if at >= 5000 || i == 1 {
 					return 2 * size
 				}
 				return 0
 			}},
-		{Name: "a third is lost", Members: members, Size: size, From: 4000, To: 14000, Faults: func(w *Limits) { w.Net.Weather.Loss = 1.0 / 3 }, Demand: func(i int, _ float64) float64 {
+		{Name: "a third is lost", Members: members, Size: size, From: 4000, To: 14000, Faults: func(w *LimitWorld) { w.Net.Weather.Loss = 1.0 / 3 }, Demand: func(i int, _ float64) float64 {
 			if i == 1 {
 				return 1.8 * size
 			}
 			return 0.2 * size / (n - 1)
 		}},
 		{Name: "one is killed, back after 2 s", Members: members, Size: size, From: 5000, To: 13000, Demand: func(int, float64) float64 { return 2 * size / n },
-			Faults: func(w *Limits) {
+			Faults: func(w *LimitWorld) {
 				w.Net.After(5000, func() { w.Kill(0); w.living = w.living[1:] })
 				w.Net.After(7000, func() { w.Start(0) })
 			}},
 	}
 }
 
-// Play plays a day under a way.
+// Play simulates a day under a strategy.
 func Play(seed uint64, d Day, way Way) Played {
-	r := LimitRules{Members: d.Members, Drift: 0.01, Way: way, Weather: virtual.Weather{Delay: 0.5, Jitter: 1},
+	r := LimitRules{Members: d.Members, Drift: 0.01, Strategy: way, Weather: virtual.Weather{Delay: 0.5, Jitter: 1},
 		Limits: []shares.Limit{{Name: "x", Kind: shares.Rate, Size: d.Size, Burst: max(d.Size/2, 1), Term: 1000}}}
-	w := NewLimits(seed, r)
+	w := NewLimitWorld(seed, r)
 	for i := range d.Members {
 		w.living = append(w.living, Name(i))
 	}
@@ -134,11 +134,11 @@
 	moved := math.Inf(1)
 	for now := 0.0; now < d.To; now += 100 {
 		if now == d.From {
-			before, at500, messages = w.Taken, w.Taken, sent()
-			copy(taken, w.TakenBy)
+			before, at500, messages = w.Admitted, w.Admitted, sent()
+			copy(taken, w.AdmittedBy)
 		} else if now > d.From && math.Mod(now-d.From, 500) == 0 {
-			p.Worst = min(p.Worst, float64(w.Taken-at500)/(d.Size/2))
-			at500 = w.Taken
+			p.Worst = min(p.Worst, float64(w.Admitted-at500)/(d.Size/2))
+			at500 = w.Admitted
 		}
 		if d.Moves > 0 && now >= d.From && math.Mod(now, d.Moves) == 0 {
 			moved = now
@@ -148,59 +148,60 @@
 				w.Demand(i, x, uses, 20)
 			}
 		}
-		had, hadBy := w.Taken, append([]int{}, w.TakenBy...)
+		had, hadBy := w.Admitted, append([]int{}, w.AdmittedBy...)
 		w.Net.Run(SeriesStep)
-		p.Taken = append(p.Taken, float64(w.Taken-had)*1000/SeriesStep)
+		p.Taken = append(p.Taken, float64(w.Admitted-had)*1000/SeriesStep)
 		if p.By == nil {
 			p.By = make([][]float64, len(d.Sides))
 		}
 		for k, side := range d.Sides {
 			n := 0
 			for _, i := range side {
-				n += w.TakenBy[i] - hadBy[i]
+				n += w.AdmittedBy[i] - hadBy[i]
 			}
 			p.By[k] = append(p.By[k], float64(n)*1000/SeriesStep)
 		}
-		if now >= moved && float64(w.Taken-had) >= 0.9*d.Size/10 {
+		if now >= moved && float64(w.Admitted-had) >= 0.9*d.Size/10 {
 			follows = append(follows, now+100-moved)
 			moved = math.Inf(1)
 		}
 	}
 	span := (d.To - d.From) / 1000
-	p.Used = float64(w.Taken-before) / (d.Size * span)
+	p.Used = float64(w.Admitted-before) / (d.Size * span)
 	for _, side := range d.Sides {
 		n := 0
 		for _, i := range side {
-			n += w.TakenBy[i] - taken[i]
+			n += w.AdmittedBy[i] - taken[i]
 		}
 		p.Sides = append(p.Sides, float64(n)/(d.Size*span)/(float64(len(side))/float64(d.Members)))
 	}
 	for _, f := range follows {
 		p.Follow = max(p.Follow, f)
 	}
-	p.Over = w.Over
+	p.Over = w.Excess
 	p.Messages = float64(sent()-messages) / span / float64(d.Members)
 	return p
 }
 
-// Crowd is what many keys of one limit cost.
-type Crowd struct {
+// TenantsResult holds the cost of many keys of one limit, as measured by Tenants.
+type TenantsResult struct {
 	Members, Keys    int
 	Taken, Asked     int
 	Over             float64 // scans
-	Most, Left       int     // accounts at the busiest member, and there half a minute after the last scan
-	Messages, Bytes  float64 // a member a second
+	Most, Left       int     // most accounts at one member under load, and one minute after the load
+	Messages, Bytes  float64 // per member and second
 	Datagrams        float64
-	BytesPerAccount  float64 // of memory
-	Again, AgainMost int     // scans taken at once of a key that was forgotten and has come back, and its burst
+	BytesPerAccount  float64 // heap bytes
+	Again, AgainMost int     // scans admitted at once for a key that returns after it was forgotten, and its burst
 }
 
-// Tenants has so many keys by a power law ask at all members, a tenth of them others each ten seconds (a minute, six times as fast).
-func Tenants(seed uint64, members, keys int) Crowd {
+// Tenants simulates scans at all members with keys that follow a power law. Every ten seconds another tenth of the keys is replaced by new ones, which is a
+// minute of real load at six times the speed.
+func Tenants(seed uint64, members, keys int) TenantsResult {
 	const size, burst = 5.0, 5.0
-	w := NewLimits(seed, LimitRules{Members: members, Drift: 0.01, Way: Escrow, Most: 4 * keys, Weather: virtual.Weather{Delay: 0.5, Jitter: 1},
+	w := NewLimitWorld(seed, LimitRules{Members: members, Drift: 0.01, Strategy: Escrow, Most: 4 * keys, Weather: virtual.Weather{Delay: 0.5, Jitter: 1},
 		Limits: []shares.Limit{{Name: "tenant", Size: size, Burst: burst, Term: 1000, Owners: 5}}})
-	x := Crowd{Members: members, Keys: keys, AgainMost: int(burst)}
+	x := TenantsResult{Members: members, Keys: keys, AgainMost: int(burst)}
 	var before runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -229,21 +230,21 @@
 		c := w.Net.Counts(Name(i))
 		x.Datagrams += float64(c.Sent) / float64(members) / span * 1000
 		x.Bytes += float64(c.Bytes) / float64(members) / span * 1000
-		n := w.members[i].way.(*escrow).Accounts()
+		n := w.members[i].strategy.(*escrow).Accounts()
 		x.Most, sum = max(x.Most, n), sum+n
 	}
 	x.BytesPerAccount = float64(after.HeapAlloc-before.HeapAlloc) / float64(sum)
 	w.Net.Run(60000)
 	for i := range members {
-		x.Left = max(x.Left, w.members[i].way.(*escrow).Accounts())
+		x.Left = max(x.Left, w.members[i].strategy.(*escrow).Accounts())
 	}
-	had := w.Taken
+	had := w.Admitted
 	for range 100 {
 		for i := range members {
 			w.Scan(i, []shares.Use{{Key: "tenant-0", Cost: 1}}, 10)
 		}
 	}
-	x.Again = w.Taken - had
-	x.Taken, x.Asked, x.Over = w.Taken, w.Asked, w.Over
+	x.Again = w.Admitted - had
+	x.Taken, x.Asked, x.Over = w.Admitted, w.Arrived, w.Excess
 	return x
 }
--- a/internal/trial/measure.go
+++ b/internal/trial/measure.go
@@ -10,21 +10,21 @@
 	"gullstair/internal/virtual"
 )
 
-// Membership is what Detect measured at one size and loss.
-type Membership struct {
+// DetectionResult holds the measurements of Detect at one fleet size and packet loss.
+type DetectionResult struct {
 	Members           int
 	Loss              float64
-	First, Last       float64 // ms from a kill until the first, and the last, of the others holds it for dead; medians
+	First, Last       float64 // median ms from a kill until the first and the last of the others considers the member dead
 	LastMost          float64
-	FalseSuspicions   float64 // a member an hour, of members that ran
+	FalseSuspicions   float64 // per member and hour, of running members
 	FalseDeaths       float64
-	Messages, Bytes   float64 // a member a second, sent, with nothing happening
+	Messages, Bytes   float64 // sent per member and second without faults
 	TurnsPerSecond    float64
 	Kills, Undetected int
 }
 
-// Detect kills members one by one, in a network that loses a share of its packets, and measures what the others see.
-func Detect(seed uint64, members int, loss float64, kills int) Membership {
+// Detect kills members one by one in a network that loses a share of its packets, and measures how fast the others detect it.
+func Detect(seed uint64, members int, loss float64, kills int) DetectionResult {
 	w := New(seed, Rules{Members: members, Timing: membership.Standard(), Period: 10000,
 		Weather: virtual.Weather{Delay: 0.5, Jitter: 1}})
 	w.Rules.Sizes = true
@@ -32,8 +32,8 @@
 	w.Net.Run(30000)
 	w.Net.Weather.Loss = loss
 	w.Net.Run(10000)
-	m := Membership{Members: members, Loss: loss, Kills: kills}
-	// At rest, and what is suspected wrongly.
+	m := DetectionResult{Members: members, Loss: loss, Kills: kills}
+	// Traffic and false suspicions without failures.
 	w.Changes = nil
 	sent, bytes, turns := w.total()
 	rest := 300000.0
@@ -48,7 +48,7 @@
 	suspected, dead := map[[2]string]bool{}, map[[2]string]bool{}
 	for _, c := range w.Changes {
 		switch c.Member.State {
-		case membership.Suspect: // one suspicion spreads to all: it counts once
+		case membership.Suspect: // one suspicion spreads to all members and counts once
 			suspected[[2]string{c.Member.Name, strconv.FormatUint(c.Member.Incarnation, 10)}] = true
 		case membership.Dead:
 			dead[[2]string{c.Member.Name, strconv.FormatUint(c.Member.Incarnation, 10)}] = true
@@ -95,23 +95,23 @@
 	return sent, bytes, w.Net.Turns
 }
 
-// Probes is what Share measured.
-type Probes struct {
+// SharingResult holds the measurements of Share.
+type SharingResult struct {
 	Members, Stores int
 	PerPeriod       float64 // probes of a store in a period
-	Alone           float64 // that it would get if every member probed everything
-	Moved, Ideal    float64 // share of the items that one death moves, and 1/n
-	Takeover        float64 // ms: the longest that a store waited for a probe after a kill, less a period
-	Messages, Bytes float64 // a member a second, with probing on
+	Alone           float64 // probes of a store in a period if every member probed every store
+	Moved, Ideal    float64 // share of the stores that change owner after one death, and the ideal 1/n
+	Takeover        float64 // longest time in ms that a store went without a probe after a kill, less one period
+	Messages, Bytes float64 // per member and second, with probing
 }
 
-// Share lets members share the probing of stores, kills one and looks at the stores.
-func Share(seed uint64, members, stores int, period float64) Probes {
+// Share measures how members share the probing of stores, before and after one of them is killed.
+func Share(seed uint64, members, stores int, period float64) SharingResult {
 	w := New(seed, Rules{Members: members, Stores: stores, Timing: membership.Standard(), Period: period,
 		Weather: virtual.Weather{Delay: 0.5, Jitter: 1}, Sizes: true})
 	w.StartAll()
 	w.Net.Run(3 * period)
-	p := Probes{Members: members, Stores: stores, Alone: float64(members), Ideal: 1 / float64(members)}
+	p := SharingResult{Members: members, Stores: stores, Alone: float64(members), Ideal: 1 / float64(members)}
 	from := w.Net.Now()
 	sent, bytes, _ := w.total()
 	w.Net.Run(5 * period)
@@ -130,7 +130,7 @@
 		}
 	}
 	p.Moved = float64(moved) / float64(stores)
-	_, wait := w.Longest(from - period)
+	_, wait := w.LongestGap(from - period)
 	p.Takeover = wait - period
 	return p
 }
--- a/internal/trial/race_test.go
+++ b/internal/trial/race_test.go
@@ -4,8 +4,8 @@
 
 import "flag"
 
-// The race detector makes virtual time ten times as dear, and finds nothing in it: one goroutine plays it. CI plays the histories without.
+// The race detector makes the simulation ten times as slow and finds nothing in it, since one goroutine runs it. CI runs the full histories without it.
 func init() {
-	many, seeds, rolls = 60, 1, 6
+	largeFleet, seeds, rosterRuns = 60, 1, 6
 	flag.Set("rapid.checks", "20")
 }
--- a/internal/trial/roster_test.go
+++ b/internal/trial/roster_test.go
@@ -11,16 +11,16 @@
 	"gullstair/internal/virtual"
 )
 
-// rolls are how many plays of a roster's changes are made.
-var rolls uint64 = 60
+// rosterRuns is the number of simulated roster changes.
+var rosterRuns uint64 = 60
 
-// rolled plays changes of the roster as operators make them, by restarts one after the other with another list, and returns what broke and how
-// often the lease came to be held. Splits come and go meanwhile.
-func rolled(seed uint64, disk bool, sizes []int) (faults []string, held int) {
+// simulateRosterChange simulates roster changes as operators make them, by rolling restarts with a new list, while partitions come and go. It returns the violations
+// and the number of acquisitions of the lease.
+func simulateRosterChange(seed uint64, disk bool, sizes []int) (faults []string, held int) {
 	chance := rand.New(rand.NewPCG(seed, 28))
 	r := LeaseRules{Members: 7, Drift: 0.05, Fixed: []lease.Terms{{Name: "x", Term: 1000}}, Disk: disk, Fsync: 5,
 		Weather: virtual.Weather{Delay: 1, Jitter: 10, Loss: 0.02}}
-	w := NewLeases(seed, r)
+	w := NewLeaseWorld(seed, r)
 	start := func(i, listed int) {
 		w.Rosters[Name(i)] = listed
 		w.Start(i)
@@ -54,35 +54,35 @@
 	}
 	w.Net.Split()
 	w.Net.Run(4000)
-	return w.Faults, w.Held
+	return w.Faults, w.Acquired
 }
 
-// The roster changes by restarts, one member more or less at a time: majorities of two lists that differ by one member always have a voter in
-// common. Two members at once break it, so the proof can fail.
+// Rolling restarts that change the roster by one member at a time are safe: majorities of two lists that differ by one member always share a voter.
+// Changes by several members at once must produce violations, which shows that the test can fail.
 func TestRosterByRestarts(t *testing.T) {
 	t.Parallel()
 	for _, disk := range []bool{true, false} {
 		held, broken := 0, 0
-		for seed := range rolls {
-			faults, n := rolled(seed, disk, []int{5, 6, 7, 6, 5, 4, 3})
+		for seed := range rosterRuns {
+			faults, n := simulateRosterChange(seed, disk, []int{5, 6, 7, 6, 5, 4, 3})
 			assert.Empty(t, faults, "seed %d", seed)
 			held += n
-			if faults, _ := rolled(seed, disk, []int{3, 7, 3}); len(faults) > 0 {
+			if faults, _ := simulateRosterChange(seed, disk, []int{3, 7, 3}); len(faults) > 0 {
 				broken++
 			}
 		}
-		assert.Greater(t, held, 7*int(rolls))
-		assert.Positive(t, broken, "four at once")
-		t.Logf("disks %v: held %d times; four members at once broke it in %d of %d", disk, held, broken, rolls)
+		assert.Greater(t, held, 7*int(rosterRuns))
+		assert.Positive(t, broken, "a change by four members at once")
+		t.Logf("disks %v: held %d times; four members at once broke it in %d of %d", disk, held, broken, rosterRuns)
 	}
 }
 
-// rolledLimits plays changes of the roster under load, from five to seven members and down to three, as docs/limits.md has them: those who stay are
-// restarted with the new list one after the other; whoever joins starts after them, whoever goes ends before them. In the other order nothing
-// keeps the sum of the home shares within the limit. It returns what broke and how many scans were taken.
-func rolledLimits(seed uint64, right bool) (faults []string, taken int) {
+// simulateLimitRosters simulates roster changes under load, from five to seven members and down to three, in the order of docs/limits.md: remaining members
+// restart with the new list one after the other, joining members start after them, and leaving members end before them. In the other order nothing
+// keeps the sum of the home shares within the limit. It returns the violations and the number of admitted scans.
+func simulateLimitRosters(seed uint64, right bool) (faults []string, taken int) {
 	chance := rand.New(rand.NewPCG(seed, 29))
-	w := NewLimits(seed, LimitRules{Members: 7, Drift: 0.05, Way: Escrow, Most: 64, Disk: seed%3 == 0, Fsync: 2, Weather: virtual.Weather{Delay: 1, Jitter: 10, Loss: 0.02},
+	w := NewLimitWorld(seed, LimitRules{Members: 7, Drift: 0.05, Strategy: Escrow, Most: 64, Disk: seed%3 == 0, Fsync: 2, Weather: virtual.Weather{Delay: 1, Jitter: 10, Loss: 0.02},
 		Limits: []shares.Limit{{Name: "rate", Size: 100, Burst: 8, Term: 500, Owners: int(seed%2) * 4}, {Name: "open", Kind: shares.Stock, Size: 9, Term: 500}}})
 	uses := []shares.Use{{Limit: 0, Cost: 1}, {Limit: 1, Cost: 1}}
 	start := func(i, listed int) {
@@ -123,22 +123,22 @@
 		}
 		w.Net.Run(2500)
 	}
-	return w.Faults, w.Taken
+	return w.Faults, w.Admitted
 }
 
-// A strict limit is kept while the roster grows and shrinks under load, in the stated order; in the other one it is passed.
+// A strict limit holds while the roster grows and shrinks under load in the documented order. The other order exceeds it.
 func TestLimitRosters(t *testing.T) {
 	t.Parallel()
 	taken, broken := 0, 0
-	for seed := range rolls {
-		faults, n := rolledLimits(seed, true)
+	for seed := range rosterRuns {
+		faults, n := simulateLimitRosters(seed, true)
 		assert.Empty(t, faults, "seed %d", seed)
 		taken += n
-		if faults, _ := rolledLimits(seed, false); len(faults) > 0 {
+		if faults, _ := simulateLimitRosters(seed, false); len(faults) > 0 {
 			broken++
 		}
 	}
-	assert.Greater(t, taken, 1000*int(rolls))
-	assert.Positive(t, broken, "the other order")
-	t.Logf("%d scans taken; the other order passed a limit in %d of %d", taken, broken, rolls)
+	assert.Greater(t, taken, 1000*int(rosterRuns))
+	assert.Positive(t, broken, "the other order must exceed the limit")
+	t.Logf("%d scans taken; the other order passed a limit in %d of %d", taken, broken, rosterRuns)
 }
--- a/internal/trial/spread.go
+++ b/internal/trial/spread.go
@@ -7,24 +7,24 @@
 	"gullstair/internal/virtual"
 )
 
-// Spread is how fast words go round and what that costs, at so many members and so much loss. Times in ms.
+// SpreadResult holds the latency and the traffic of the dissemination of verdicts at one fleet size and packet loss. Times are in ms.
 type Spread struct {
 	Members       int
 	Loss          float64
-	Verdict, Last float64 // from when observers were enough until all went by it: in the mean, and at most
-	Missed        int     // times that not all did within ten seconds
-	Order         float64 // from an order until the last one went by it, at most
-	Heal          float64 // from when a split healed until all went by one order, at most
-	Oldest        float64 // true age of the newest outcome under a verdict that was gone by, at most
-	Calm, Ill     float64 // bytes a member a second without a fault, and while one store in twenty fails
-	Messages      float64 // a member a second then
+	Verdict, Last float64 // from the moment a quorum observed the fault until all members applied the verdict: mean and maximum
+	Missed        int     // faults for which not all members applied the verdict within ten seconds
+	Order         float64 // maximum time from an operator's order until the last member applied it
+	Heal          float64 // maximum time from the end of a partition until all members applied the same order
+	Oldest        float64 // maximum true age of the newest outcome behind an applied verdict
+	Calm, Ill     float64 // bytes per member and second without a fault, and while one store in twenty fails
+	Messages      float64 // per member and second, while one store in twenty fails
 }
 
-// Spreads measures it over so many faults.
+// MeasureSpread runs the measurements over the given number of faults.
 func Spreads(seed uint64, members int, loss float64, faults int) Spread {
 	r := verdictRules(members, 20)
 	r.Rate, r.Weather.Loss = 10, loss
-	w := NewVerdicts(seed, r)
+	w := NewVerdictWorld(seed, r)
 	x := Spread{Members: members, Loss: loss}
 	traffic := func(forMs float64) (bytes, messages float64) {
 		var before, after virtual.Counts
@@ -44,12 +44,12 @@
 	x.Calm, _ = traffic(5000)
 	for n := range faults {
 		s := n % r.Stores
-		w.Ails = func(_, store int) bool { return store == s }
+		w.Fails = func(_, store int) bool { return store == s }
 		enough, all := math.Inf(1), math.Inf(1)
 		for begun := w.Net.Now(); w.Net.Now() < begun+10000 && math.IsInf(all, 1); w.Net.Run(5) {
 			zones := map[int]bool{}
 			for m := range members {
-				if w.lastBad[m][s] > begun {
+				if w.lastFailure[m][s] > begun {
 					zones[m%r.Zones] = true
 				}
 			}
@@ -58,11 +58,11 @@
 			}
 			resting := 0
 			for m := range members {
-				if v := w.Goes(m, s); v.Kind >= verdicts.Fails {
+				if v := w.Applied(m, s); v.Kind >= verdicts.Fails {
 					resting++
 					newest := math.Inf(-1)
 					for o := range members {
-						newest = max(newest, w.lastBad[o][s])
+						newest = max(newest, w.lastFailure[o][s])
 					}
 					x.Oldest = max(x.Oldest, w.Net.Now()-newest)
 				}
@@ -80,14 +80,14 @@
 			x.Verdict += took / float64(faults)
 			x.Last = max(x.Last, took)
 		}
-		w.Ails = func(int, int) bool { return false }
+		w.Fails = func(int, int) bool { return false }
 		w.Net.Run(12000)
-		// An order, which then ends.
+		// An order that expires.
 		given := w.Net.Now()
 		w.Order(n%members, verdicts.Set{Store: storeName(s), Do: verdicts.Drain, For: 6000, Reason: "measured"})
 		x.Order = max(x.Order, w.agreed(s, given))
 		w.Net.Run(8000)
-		// A split into halves, an order on one side.
+		// A partition into halves with an order on one side.
 		w.Net.Split(Names(0, members/2), Names(members/2, members))
 		w.Order(0, verdicts.Set{Store: storeName(s), Do: verdicts.Drain, For: 30000, Reason: "measured"})
 		w.Net.Run(6000)
@@ -99,12 +99,12 @@
 	return x
 }
 
-// agreed is how long after a moment all members go by a drain.
-func (w *Verdicts) agreed(store int, from float64) float64 {
+// agreed returns the time from a moment until all members apply a drain of the store.
+func (w *VerdictWorld) agreed(store int, from float64) float64 {
 	for w.Net.Now() < from+20000 {
 		n := 0
 		for m := range w.members {
-			if w.Goes(m, store).Drain {
+			if w.Applied(m, store).Drain {
 				n++
 			}
 		}
--- a/internal/trial/takeover.go
+++ b/internal/trial/takeover.go
@@ -8,26 +8,26 @@
 	"gullstair/internal/virtual"
 )
 
-// Takeovers is what Takeover measured: ms from a holder's end until another one holds the lease.
+// TakeoverResult holds the measurements of Takeover: the time in ms from a holder's end until another member holds the lease.
 type Takeovers struct {
 	Voters        int
 	Term          float64
 	P50, P99      float64
-	Bound         float64 // what follows from the term, the drift and the waits between two asks
+	Bound         float64 // upper bound from the term, the drift and the delay between two requests
 	Missed, Tries int
 }
 
-// Takeover ends the holder of a lease again and again and measures how long nobody holds it: killed without a word, or leaving in order.
+// Takeover repeatedly ends the holder of a lease and measures how long nobody holds it. The holder is killed or, if orderly, releases the lease.
 func Takeover(seed uint64, voters int, term float64, tries int, orderly bool) Takeovers {
 	t := Takeovers{Voters: voters, Term: term, Tries: tries}
 	r := LeaseRules{Members: voters, Drift: 0.01, Fixed: []lease.Terms{{Name: "x", Term: term}}, Disk: true, Fsync: 2, Weather: virtual.Weather{Delay: 0.5, Jitter: 1}}
-	w := NewLeases(seed, r)
+	w := NewLeaseWorld(seed, r)
 	for i := range voters {
 		w.Start(i)
 		w.Want(i, r.Fixed[0], true)
 	}
-	// A voter keeps to the longest term that clocks allow, a candidate asks a twentieth of a term later by chance; one try may come to nothing, a tenth
-	// of a term, and the next one follows within a fifth.
+	// A voter honors its vote for the longest time that a term may take by any clock, and a candidate adds a random delay of up to a twentieth of a term. One
+	// attempt may fail, which takes a tenth of a term, and the next one follows within a fifth.
 	t.Bound = term*(1+r.Drift)/(1-r.Drift)*(1+r.Drift) + 0.35*term
 	if orderly {
 		t.Bound = 0.35 * term
@@ -70,10 +70,10 @@
 	return t
 }
 
-// Gap restarts all voters at once and measures, in ms, for how long nobody holds a lease; with votes stored, or not.
+// RestartGap restarts all voters at once and returns for how many ms nobody holds a lease, with or without stored votes.
 func Gap(seed uint64, voters int, term float64, disk bool) float64 {
 	r := LeaseRules{Members: voters, Drift: 0.01, Fixed: []lease.Terms{{Name: "x", Term: term}}, Disk: disk, Fsync: 2, Weather: virtual.Weather{Delay: 0.5, Jitter: 1}}
-	w := NewLeases(seed, r)
+	w := NewLeaseWorld(seed, r)
 	start := func() {
 		for i := range voters {
 			w.Start(i)
@@ -88,21 +88,21 @@
 	begun := w.Net.Now()
 	w.Net.Run(100)
 	start()
-	// What the old holder was entitled to runs out meanwhile: it is the new one that counts.
-	before := w.Held
-	for w.Held == before && w.Net.Now()-begun < 10*term {
+	// The old holder's lease expires meanwhile, so the loop waits for a new acquisition.
+	before := w.Acquired
+	for w.Acquired == before && w.Net.Now()-begun < 10*term {
 		w.Net.Run(1)
 	}
 	return w.Net.Now() - begun
 }
 
-// Traffic holds so many leases at one of five members for a while: messages and datagrams a second that it sends, and bytes.
+// Traffic holds the given number of leases at one of five members and returns the messages and datagrams that it sends per second.
 func Traffic(seed uint64, leases int, term float64) (messages, datagrams float64) {
 	r := LeaseRules{Members: 5, Drift: 0.01, Disk: true, Fsync: 2, Weather: virtual.Weather{Delay: 0.5, Jitter: 1}}
 	for i := range leases {
 		r.Fixed = append(r.Fixed, lease.Terms{Name: fmt.Sprintf("task/x%04d/0", i), Term: term})
 	}
-	w := NewLeases(seed, r)
+	w := NewLeaseWorld(seed, r)
 	for i := range 5 {
 		w.Start(i)
 	}
--- a/internal/trial/takeover_test.go
+++ b/internal/trial/takeover_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// seeds are those that longer plays are drawn from.
+// seeds is the number of seeds for longer simulations.
 var seeds = uint64(3)
 
-// However many candidates ask at once, a lease whose holder is gone is held again within its bound, each time.
+// A lease whose holder is gone is acquired again within its bound, however many candidates compete for it.
 func TestTakeover(t *testing.T) {
 	t.Parallel()
 	for _, voters := range []int{3, 5, 9} {
@@ -20,7 +20,7 @@
 					for seed := range seeds {
 						x := Takeover(seed, voters, term, 30, orderly)
 						assert.Zero(t, x.Missed)
-						assert.LessOrEqual(t, x.P99, x.Bound, "the longest of 30")
+						assert.LessOrEqual(t, x.P99, x.Bound, "the longest of 30 takeovers")
 					}
 				})
 			}
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -15,15 +15,15 @@
 	"gullstair/internal/virtual"
 )
 
-// many is a large fleet.
-var many = 200
+// largeFleet is the size of a large fleet.
+var largeFleet = 200
 
-// Histories are drawn from one seed; -rapid.seed draws others.
+// Histories derive from a fixed seed; -rapid.seed sets another.
 func TestMain(m *testing.M) { drawn.Main(m) }
 
-// usual is four members, forty stores, a probe of each store in ten seconds, and a fenced duty every fifteen.
-func usual() Rules {
-	return Rules{Members: 4, Stores: 40, Period: 10000, Occurs: 15000, Term: 3000, Work: 800, Drift: 0.02,
+// defaultRules returns rules for four members and forty stores, with a probe of each store every ten seconds and a fenced task every fifteen.
+func defaultRules() Rules {
+	return Rules{Members: 4, Stores: 40, Period: 10000, TaskPeriod: 15000, Term: 3000, TaskDuration: 800, Drift: 0.02,
 		ClockSkew: 0.01, Timing: membership.Standard().Scaled(0.5), Weather: virtual.Weather{Delay: 1, Jitter: 2}}
 }
 
@@ -48,12 +48,12 @@
 
 func TestCalm(t *testing.T) {
 	t.Parallel()
-	w := settled(t, 1, usual())
+	w := settled(t, 1, defaultRules())
 	from := w.Net.Now()
 	w.Net.Run(100000)
 	assert.Empty(t, w.Judge())
 	assert.InDelta(t, 400, w.Probes(from), 20, "each store once in a period")
-	_, wait := w.Longest(from)
+	_, wait := w.LongestGap(from)
 	assert.Less(t, wait, 11000.0)
 	began := 0
 	for _, e := range w.Effects {
@@ -62,7 +62,7 @@
 		}
 	}
 	assert.GreaterOrEqual(t, began, 6, "the fenced duty in 130 s")
-	// Turns are spread: no second has more than three times its share.
+	// Probes are spread over time: no second has more than three times its share.
 	perSecond := map[int]int{}
 	for _, v := range w.Visits {
 		for _, x := range v {
@@ -77,13 +77,13 @@
 func TestOneKilledInMidCycle(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 5; seed++ {
-		w := settled(t, seed, usual())
+		w := settled(t, seed, defaultRules())
 		w.Net.Run(4700)
 		from := w.Net.Now()
 		w.Kill(int(seed) % 4)
 		w.Net.Run(60000)
 		assert.Empty(t, w.Judge(), "seed %d", seed)
-		store, wait := w.Longest(from - 10000)
+		store, wait := w.LongestGap(from - 10000)
 		assert.Less(t, wait, 20000.0, "seed %d: %s within one extra period", seed, store)
 	}
 }
@@ -93,20 +93,20 @@
 	for _, c := range []struct {
 		name  string
 		sides [][]string
-		most  float64 // periods that a store may wait while it is split
+		most  float64 // longest time without a probe during the partition, in periods
 	}{
 		{"2-2", [][]string{Names(0, 2), Names(2, 4)}, 3.6},
 		{"3-1", [][]string{Names(0, 3), Names(3, 4)}, 2.2},
 		{"2-1-1", [][]string{Names(0, 2), Names(2, 3), Names(3, 4)}, 3.6},
 	} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			r := usual()
+			r := defaultRules()
 			w := settled(t, seed, r)
 			w.Net.Split(c.sides...)
 			from := w.Net.Now()
 			w.Net.Run(120000)
-			_, wait := w.Longest(from)
-			assert.Less(t, wait, c.most*r.Period, "%s: nothing stops", c.name)
+			_, wait := w.LongestGap(from)
+			assert.Less(t, wait, c.most*r.Period, "%s: probing continues", c.name)
 			for _, side := range c.sides {
 				on := map[string]bool{}
 				for _, name := range side {
@@ -120,7 +120,7 @@
 						}
 					}
 				}
-				assert.Positive(t, probes, "%s: no side stops", c.name)
+				assert.Positive(t, probes, "%s: probing continues on each side", c.name)
 			}
 			w.Net.Split()
 			healed := w.Net.Now()
@@ -129,8 +129,8 @@
 			for i := range 4 {
 				assert.Equal(t, 4, w.Core(i).Members.Living(), "%s: healed", c.name)
 			}
-			_, wait = w.Longest(healed)
-			assert.Less(t, wait, 2*r.Period, "%s: after the split", c.name)
+			_, wait = w.LongestGap(healed)
+			assert.Less(t, wait, 2*r.Period, "%s: after the partition", c.name)
 		}
 	}
 }
@@ -161,13 +161,13 @@
 		{"one leaves with a word", func(w *World) { w.Leave(2) }, 2},
 	} {
 		for seed := uint64(1); seed <= 3; seed++ {
-			w := settled(t, seed, usual())
+			w := settled(t, seed, defaultRules())
 			w.Net.Run(2300)
 			from := w.Net.Now()
 			c.do(w)
 			w.Net.Run(90000)
 			assert.Empty(t, w.Judge(), "%s, seed %d", c.name, seed)
-			store, wait := w.Longest(from - 10000)
+			store, wait := w.LongestGap(from - 10000)
 			assert.Less(t, wait, c.most*10000, "%s, seed %d: %s", c.name, seed, store)
 			assert.Positive(t, len(w.Effects))
 			assert.Greater(t, w.Effects[len(w.Effects)-1].At, w.Net.Now()-35000, "%s: the fenced duty goes on", c.name)
@@ -175,13 +175,13 @@
 	}
 }
 
-// The holder stands still for long in the middle of its work, and wakes up believing in its lease: its child is gone by the end of the term,
-// the work goes to another member, and nothing is done under the old fencing number after that.
+// The holder pauses for long in the middle of its work and still believes in its lease when it resumes. Its worker ends by the end of the term, another
+// member takes over, and nothing happens under the old fencing number after that.
 func TestPausedHolder(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 5; seed++ {
-		r := usual()
-		r.Work = 9000
+		r := defaultRules()
+		r.TaskDuration = 9000
 		w := settled(t, seed, r)
 		for n := len(w.Effects); len(w.Effects) == n || !w.Effects[len(w.Effects)-1].First; {
 			w.Net.Run(10)
@@ -190,41 +190,41 @@
 		w.Net.Pause(last.By)
 		w.Net.Run(40000)
 		other := holder(w)
-		require.GreaterOrEqual(t, other, 0, "another one holds it")
+		require.GreaterOrEqual(t, other, 0, "another member holds the lease")
 		require.NotEqual(t, last.By, Name(other))
 		w.Net.Resume(last.By)
 		w.Net.Run(40000)
 		assert.Empty(t, w.Judge(), "seed %d", seed)
 		for _, e := range w.Effects {
-			assert.False(t, e.By == last.By && e.Fence == last.Fence && e.At > last.At+1.02*r.Term, "it did nothing under the old one")
+			assert.False(t, e.By == last.By && e.Fence == last.Fence && e.At > last.At+1.02*r.Term, "no effect under the old fencing number")
 		}
 	}
 }
 
-// The holder leaves with a word in the middle of its work, when the next occurrence is due already: its work is told to end and takes its whole grace, and
-// only then another member begins.
+// The holder leaves gracefully in the middle of its work, when the next occurrence is already due. Its worker is cancelled and uses its whole grace period, and
+// only then does another member begin.
 func TestLeavesInMidWork(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 5; seed++ {
-		r := usual()
-		r.Work = 20000
+		r := defaultRules()
+		r.TaskDuration = 20000
 		w := settled(t, seed, r)
 		for n := len(w.Effects); len(w.Effects) == n || !w.Effects[len(w.Effects)-1].First; {
 			w.Net.Run(10)
 		}
 		w.Net.Run(17000)
-		runs := len(w.Runs)
+		runs := len(w.TaskStarts)
 		w.Leave(holder(w))
 		w.Net.Run(8000)
-		assert.Greater(t, len(w.Runs), runs, "another member goes on")
+		assert.Greater(t, len(w.TaskStarts), runs, "another member takes over")
 		assert.Empty(t, w.Judge(), "seed %d", seed)
 	}
 }
 
-// A member that stood still for long condemns nobody when it wakes: nobody is held for dead by its word.
+// A member that resumes after a long pause must not report the others as dead.
 func TestPausedMemberBlamesNobody(t *testing.T) {
 	t.Parallel()
-	w := settled(t, 2, usual())
+	w := settled(t, 2, defaultRules())
 	w.Changes = nil
 	w.Net.Pause(Name(3))
 	w.Net.Run(30000)
@@ -233,7 +233,7 @@
 	for _, c := range w.Changes {
 		assert.False(t, c.Member.Name != Name(3) && c.Member.State == membership.Dead, "%+v", c)
 	}
-	assert.Equal(t, 4, w.Core(0).Members.Living(), "it is back")
+	assert.Equal(t, 4, w.Core(0).Members.Living(), "the member is alive again")
 }
 
 func TestBadNetworks(t *testing.T) {
@@ -252,34 +252,34 @@
 			}
 		}},
 	} {
-		r := usual()
+		r := defaultRules()
 		w := settled(t, 3, r)
 		w.Net.Weather = c.weather
 		from := w.Net.Now()
 		c.do(w)
 		w.Net.Run(150000)
 		assert.Empty(t, w.Judge(), c.name)
-		_, wait := w.Longest(from)
+		_, wait := w.LongestGap(from)
 		assert.Less(t, wait, 2*r.Period, c.name)
 	}
 }
 
 func TestManyMembers(t *testing.T) {
 	t.Parallel()
-	r := usual()
-	r.Members, r.Stores, r.Occurs = many, 60, 0
+	r := defaultRules()
+	r.Members, r.Stores, r.TaskPeriod = largeFleet, 60, 0
 	r.Timing = membership.Standard()
 	w := New(4, r)
 	w.StartAll()
 	w.Net.Run(20000)
-	for i := range many {
-		require.Equal(t, many, w.Core(i).Members.Living())
+	for i := range largeFleet {
+		require.Equal(t, largeFleet, w.Core(i).Members.Living())
 	}
 	w.Kill(17)
 	w.Net.Run(25000)
-	for i := range many {
+	for i := range largeFleet {
 		if i != 17 {
-			assert.Equal(t, many-1, w.Core(i).Members.Living())
+			assert.Equal(t, largeFleet-1, w.Core(i).Members.Living())
 		}
 	}
 	assert.Empty(t, w.Judge())
@@ -287,8 +287,8 @@
 
 func TestJoinStorm(t *testing.T) {
 	t.Parallel()
-	r := usual()
-	r.Members, r.Open, r.Occurs = 4, true, 0
+	r := defaultRules()
+	r.Members, r.Open, r.TaskPeriod = 4, true, 0
 	w := New(5, r)
 	w.StartAll()
 	w.Net.Run(20000)
@@ -301,29 +301,29 @@
 		require.Equal(t, 54, w.Core(i).Members.Living(), "member %d", i)
 	}
 	assert.Empty(t, w.Judge())
-	_, wait := w.Longest(from)
+	_, wait := w.LongestGap(from)
 	assert.Less(t, wait, 2*r.Period)
 }
 
-// Records pass from member to member; an age that is told too short at each hop would put turns off, more with every
-// member: a hundred of them once probed 0.8 times in a period.
+// Records pass from member to member. An age that shrinks at each hop would delay probes, more with every member: a hundred members once made 0.8 probes
+// per period.
 func TestAgesStayTrue(t *testing.T) {
 	t.Parallel()
-	r := usual()
-	r.Members, r.Stores, r.Occurs, r.ClockSkew = 40, 200, 0, 0
+	r := defaultRules()
+	r.Members, r.Stores, r.TaskPeriod, r.ClockSkew = 40, 200, 0, 0
 	w := settled(t, 8, r)
 	from := w.Net.Now()
 	w.Net.Run(50000)
 	assert.InDelta(t, 1000, w.Probes(from), 20)
 }
 
-// The list changes in mid-cycle, and half of the stores never answer: the others are probed as ever, what is gone never.
+// The list changes in mid-cycle and half of the stores never answer: the others are probed as before, and removed stores are not.
 func TestListChanges(t *testing.T) {
 	t.Parallel()
-	w := settled(t, 6, usual())
+	w := settled(t, 6, defaultRules())
 	gone := w.Stores()[:10]
 	for _, s := range w.Stores()[10:25] {
-		w.Mute[s] = true
+		w.Unresponsive[s] = true
 	}
 	var fresh []string
 	for i := range 10 {
@@ -334,19 +334,19 @@
 	from := w.Net.Now()
 	w.Net.Run(50000)
 	assert.Empty(t, w.Judge())
-	_, wait := w.Longest(from)
+	_, wait := w.LongestGap(from)
 	assert.Less(t, wait, 12000.0)
 	for _, s := range gone {
 		for _, v := range w.Visits[s] {
-			assert.Less(t, v.At, from+1, "%s is gone", s)
+			assert.Less(t, v.At, from+1, "%s was removed", s)
 		}
 	}
 }
 
 func TestOneDeathMovesItsItemsAlone(t *testing.T) {
 	t.Parallel()
-	r := usual()
-	r.Members, r.Stores, r.Occurs = 10, 2000, 0
+	r := defaultRules()
+	r.Members, r.Stores, r.TaskPeriod = 10, 2000, 0
 	w := settled(t, 7, r)
 	owners := func() map[string]string {
 		m := map[string]string{}
@@ -375,16 +375,16 @@
 	assert.NotZero(t, duties.Score("d", "i", "m", 1))
 }
 
-// Histories drawn by chance: splits, cuts, pauses, crashes and restarts overlap, under loss, duplicates, disorder and
-// clocks that run apart. Whatever happens, one alone works under the lease and a store sees three probes in a period at
-// most (two where faults don't overlap: the tests above); once all is well again every store is probed within three periods, and nothing that is kept has grown.
+// Random histories with overlapping partitions, cuts, pauses, crashes and restarts, under loss, duplication, reordering and clock drift. Only one member
+// works under the lease at a time, and a store receives at most three probes in a period (two where faults do not overlap: the tests above). Once the
+// faults end, every store is probed within three periods, and no member's state has grown.
 func TestHistories(t *testing.T) {
 	t.Parallel()
 	rapid.Check(t, func(t *rapid.T) {
-		r := usual()
+		r := defaultRules()
 		r.Members = rapid.IntRange(3, 5).Draw(t, "members")
-		r.Stores, r.Visits = 12, 3
-		r.Work = rapid.SampledFrom([]float64{800, 20000}).Draw(t, "work") // shorter than a term, longer than a period
+		r.Stores, r.MaxProbes = 12, 3
+		r.TaskDuration = rapid.SampledFrom([]float64{800, 20000}).Draw(t, "work") // shorter than a term, longer than a period
 		r.ClockSkew = rapid.SampledFrom([]float64{0, 0.01}).Draw(t, "skew")
 		r.Weather = virtual.Weather{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.Float64Range(0, 60).Draw(t, "jitter"),
 			Loss: rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss"), Duplicate: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "twice")}
@@ -408,7 +408,7 @@
 			case "crash":
 				w.Kill(i)
 				w.Net.After(for_, func() { w.Start(i) })
-			case "leave": // in the middle of its work, perhaps; at the latest it is killed
+			case "leave": // possibly in the middle of its work; it is killed later at the latest
 				w.Leave(i)
 				w.Net.After(for_, func() { w.Start(i) })
 			case "deaf":
@@ -423,7 +423,7 @@
 			}
 			w.Net.Run(rapid.Float64Range(0, 20000).Draw(t, "wait"))
 		}
-		w.Net.Run(26000) // the last fault is over
+		w.Net.Run(26000) // past the end of the last fault
 		w.Net.Weather.Loss = min(w.Net.Weather.Loss, 0.05)
 		w.Net.Run(30000)
 		well := w.Net.Now()
@@ -431,8 +431,8 @@
 		if faults := w.Judge(); len(faults) > 0 {
 			t.Fatalf("%v", faults)
 		}
-		if store, wait := w.Longest(well); wait > 3*r.Period || math.IsNaN(wait) {
-			t.Fatalf("%s waited for %.0f ms after all was well", store, wait)
+		if store, wait := w.LongestGap(well); wait > 3*r.Period || math.IsNaN(wait) {
+			t.Fatalf("%s went without a probe for %.0f ms after the last fault", store, wait)
 		}
 		for i := range r.Members {
 			c := w.Core(i)
@@ -440,10 +440,10 @@
 				t.Fatalf("member %d sees %d of %d", i, n, r.Members)
 			}
 			if c.Members.Held() > 3*r.Members+10 || c.Duties.Held() > 3*r.Stores+r.Members+100 {
-				t.Fatalf("member %d keeps %d and %d", i, c.Members.Held(), c.Duties.Held())
+				t.Fatalf("member %d keeps %d members and %d records", i, c.Members.Held(), c.Duties.Held())
 			}
 			if c.Members.Counts.Dropped > 0 || c.Leases.Counts.Odd > 0 {
-				t.Fatalf("member %d dropped news: %+v %+v", i, c.Members.Counts, c.Leases.Counts)
+				t.Fatalf("member %d dropped updates: %+v %+v", i, c.Members.Counts, c.Leases.Counts)
 			}
 		}
 	})
--- a/internal/trial/verdicts.go
+++ b/internal/trial/verdicts.go
@@ -9,64 +9,65 @@
 	"gullstair/internal/virtual"
 )
 
-// VerdictRules are of a Verdicts world. Times in ms.
+// VerdictRules configures a VerdictWorld. Times are in ms.
 type VerdictRules struct {
 	Members, Stores int
-	Zones           int     // members and stores are spread over them in turn
-	Sets            int     // stores of one set hold the same shards
-	Rate            float64 // scans a second at each member; each goes to a store by chance
-	Drift           float64 // of the members' clocks, at both ends of it
+	Zones           int     // members and stores are assigned to zones round robin
+	Sets            int     // replica sets; the stores of a set hold the same shards
+	Rate            float64 // scans per second at each member; each goes to a random store
+	Drift           float64 // members' clocks run at both ends of this drift
 	Words           verdicts.Rules
 	Weather         virtual.Weather
-	Alone           bool // nobody tells anybody
+	Alone           bool // members exchange no messages
 }
 
-// Verdicts is a world of members that come to verdicts on stores. What a store does to whom is set by who plays it; members send it parts unless they rest it by a verdict
-// or since it has just failed them. It judges what members go by: how old, how wide, and whose orders.
-type Verdicts struct {
-	Rules  VerdictRules
-	Net    *virtual.Net
-	Faults []string
-	Sent   int // parts that went out,
-	Lost   int // and that were lost to a store that failed
-	Wrong  int // parts that were kept from a store though it did well by this member, by others' word
-	// Ails says whether a store fails a member's part now.
-	Ails func(member, store int) bool
-	// Quiet says whether no scans come to a member; nil: to all.
-	Quiet func(member int) bool
+// VerdictWorld simulates members that reach verdicts on stores. The caller sets which stores fail which members. A member sends parts of scans to a store
+// unless a verdict excludes the store or the store has just failed the member. The world checks the applied verdicts: the age of their evidence, the share of
+// stores that they exclude, and operators' orders.
+type VerdictWorld struct {
+	Rules    VerdictRules
+	Net      *virtual.Net
+	Faults   []string
+	Sent     int // parts sent
+	Lost     int // parts sent to a store that failed them
+	Withheld int // parts withheld by a verdict from a store that would have served this member
+	// Fails reports whether a store currently fails a member's parts.
+	Fails func(member, store int) bool
+	// NoTraffic reports whether no scans arrive at a member. If nil, they arrive at all members.
+	NoTraffic func(member int) bool
 
-	members []*knower
-	rates   []float64
-	born    []float64 // of the stores' processes, true time
-	boots   uint64
-	lastBad [][]float64 // true time of the newest failure of a store at a member
-	orders  map[string][]given
+	members     []*verdictNode
+	rates       []float64
+	startedAt   []float64 // start of each store's process in true time
+	boots       uint64
+	lastFailure [][]float64 // true time of the last failure, by member and store
+	orders      map[string][]timedOrder
 }
 
-// given is an order as it was given, by true time.
-type given struct {
-	o        verdicts.Set
-	at, upto float64
+// timedOrder is an operator's order with its true start and end.
+type timedOrder struct {
+	order     verdicts.Set
+	at, until float64
 }
 
-type knower struct {
-	w    *Verdicts
-	i    int
-	core *verdicts.Core
-	in   []verdicts.Input
-	goes map[string]verdicts.Verdict // by what it goes
-	own  []float64                   // up to when it rests a store by its own word
-	// liar tells the contrary of what it sees.
+type verdictNode struct {
+	w          *VerdictWorld
+	i          int
+	core       *verdicts.Core
+	inbox      []verdicts.Input
+	applied    map[string]verdicts.Verdict // applied verdicts by store
+	avoidUntil []float64                   // by store: until when the member avoids it after a failure of its own
+	// liar makes the member report the opposite of each outcome.
 	liar bool
 }
 
-// NewVerdicts makes a world with all members running.
-func NewVerdicts(seed uint64, r VerdictRules) *Verdicts {
-	w := &Verdicts{Rules: r, Net: virtual.New(seed, r.Weather), members: make([]*knower, r.Members), rates: make([]float64, r.Members), born: make([]float64, r.Stores),
-		Ails: func(int, int) bool { return false }, orders: map[string][]given{}}
+// NewVerdictWorld creates a world with all members running.
+func NewVerdictWorld(seed uint64, r VerdictRules) *VerdictWorld {
+	w := &VerdictWorld{Rules: r, Net: virtual.New(seed, r.Weather), members: make([]*verdictNode, r.Members), rates: make([]float64, r.Members), startedAt: make([]float64, r.Stores),
+		Fails: func(int, int) bool { return false }, orders: map[string][]timedOrder{}}
 	for i := range r.Members {
 		w.rates[i] = 1 + r.Drift*(float64(w.Net.Chance().IntN(3))-1)
-		w.lastBad = append(w.lastBad, slices.Repeat([]float64{math.Inf(-1)}, r.Stores))
+		w.lastFailure = append(w.lastFailure, slices.Repeat([]float64{math.Inf(-1)}, r.Stores))
 	}
 	for i := range r.Members {
 		w.Start(i)
@@ -76,28 +77,28 @@
 
 func storeName(i int) string { return fmt.Sprintf("s-%04d", i) }
 
-func (w *Verdicts) clock(i int) float64 { return 1e6 + w.Net.Now()*w.rates[i] }
+func (w *VerdictWorld) clock(i int) float64 { return 1e6 + w.Net.Now()*w.rates[i] }
 
-// Start starts a member that knows nothing.
-func (w *Verdicts) Start(i int) {
+// Start starts a member without any state.
+func (w *VerdictWorld) Start(i int) {
 	w.Kill(i)
 	w.boots++
 	r := w.Rules.Words
 	r.Self, r.Zone, r.Run = Name(i), fmt.Sprint("zone-", i%w.Rules.Zones), w.boots
-	k := &knower{w: w, i: i, core: verdicts.New(r, w.Net.Chance().Float64), goes: map[string]verdicts.Verdict{}, own: make([]float64, w.Rules.Stores)}
+	k := &verdictNode{w: w, i: i, core: verdicts.New(r, w.Net.Chance().Float64), applied: map[string]verdicts.Verdict{}, avoidUntil: make([]float64, w.Rules.Stores)}
 	w.members[i] = k
-	k.in = append(k.in, w.list(), w.view(i))
+	k.inbox = append(k.inbox, w.list(), w.view(i))
 	w.Net.Start(Name(i), k, w.clock(i), w.rates[i])
-	w.ask(k)
+	w.scheduleScans(k)
 }
 
-// Kill ends one without a word.
-func (w *Verdicts) Kill(i int) {
+// Kill ends a member without a farewell.
+func (w *VerdictWorld) Kill(i int) {
 	w.Net.Kill(Name(i))
 	w.members[i] = nil
 }
 
-func (w *Verdicts) view(i int) (v verdicts.View) {
+func (w *VerdictWorld) view(i int) (v verdicts.View) {
 	for j := range w.Rules.Members {
 		if j != i {
 			v.Living = append(v.Living, verdicts.Member{Name: Name(j)})
@@ -106,65 +107,65 @@
 	return v
 }
 
-func (w *Verdicts) list() (s verdicts.Stores) {
+func (w *VerdictWorld) list() (s verdicts.Stores) {
 	for i := range w.Rules.Stores {
-		s.All = append(s.All, verdicts.Store{Name: storeName(i), Set: i % w.Rules.Sets, Born: w.born[i], Ready: true})
+		s.All = append(s.All, verdicts.Store{Name: storeName(i), Set: i % w.Rules.Sets, Born: w.startedAt[i], Ready: true})
 	}
 	return s
 }
 
-// Reborn has a store come back as another process under its name, and all that run told so.
-func (w *Verdicts) Reborn(i int) {
-	w.born[i] = w.Net.Now() + 1
+// ReplaceStore replaces a store by a new process of the same name and notifies all running members.
+func (w *VerdictWorld) ReplaceStore(i int) {
+	w.startedAt[i] = w.Net.Now() + 1
 	for j, k := range w.members {
-		w.lastBad[j][i] = math.Inf(-1)
+		w.lastFailure[j][i] = math.Inf(-1)
 		if k != nil {
-			k.give(w.list())
+			k.input(w.list())
 		}
 	}
 }
 
-// Order has an operator order something at a member.
-func (w *Verdicts) Order(i int, o verdicts.Set) {
+// Order has an operator give an order at a member.
+func (w *VerdictWorld) Order(i int, o verdicts.Set) {
 	if k := w.members[i]; k != nil && !w.Net.Paused(Name(i)) {
-		w.orders[o.Store] = append(w.orders[o.Store], given{o, w.Net.Now(), w.Net.Now() + o.For})
-		k.give(o)
+		w.orders[o.Store] = append(w.orders[o.Store], timedOrder{o, w.Net.Now(), w.Net.Now() + o.For})
+		k.input(o)
 	}
 }
 
-func (k *knower) give(in verdicts.Input) {
-	k.in = append(k.in, in)
+func (k *verdictNode) input(in verdicts.Input) {
+	k.inbox = append(k.inbox, in)
 	k.w.Net.Poke(Name(k.i))
 }
 
-// ask has scans come to a member by chance.
-func (w *Verdicts) ask(k *knower) {
+// scheduleScans lets scans arrive at a member at random.
+func (w *VerdictWorld) scheduleScans(k *verdictNode) {
 	w.Net.After(w.Net.Chance().ExpFloat64()*1000/w.Rules.Rate, func() {
 		if w.members[k.i] != k {
 			return
 		}
-		if !w.Net.Paused(Name(k.i)) && (w.Quiet == nil || !w.Quiet(k.i)) {
-			w.part(k, w.Net.Chance().IntN(w.Rules.Stores))
+		if !w.Net.Paused(Name(k.i)) && (w.NoTraffic == nil || !w.NoTraffic(k.i)) {
+			w.sendPart(k, w.Net.Chance().IntN(w.Rules.Stores))
 		}
-		w.ask(k)
+		w.scheduleScans(k)
 	})
 }
 
-const ownRest = 1000.0 // ms for which a member rests a store that has just failed it
+const avoidDuration = 1000.0 // ms for which a member avoids a store that has just failed it
 
-// part sends one to a store, unless it rests.
-func (w *Verdicts) part(k *knower, store int) {
+// sendPart sends one part to a store unless the member avoids the store.
+func (w *VerdictWorld) sendPart(k *verdictNode, store int) {
 	name, now := storeName(store), w.Net.Now()
-	v := k.goes[name]
-	bad := w.Ails(k.i, store)
+	v := k.applied[name]
+	bad := w.Fails(k.i, store)
 	switch {
-	case now < k.own[store]:
+	case now < k.avoidUntil[store]:
 		return
 	case v.Drain:
 		return
 	case v.Kind >= verdicts.Fails:
 		if !bad {
-			w.Wrong++
+			w.Withheld++
 		}
 		return
 	}
@@ -173,20 +174,20 @@
 	if bad {
 		w.Lost++
 		kind = verdicts.Fails
-		k.own[store] = now + ownRest
-		w.lastBad[k.i][store] = now
+		k.avoidUntil[store] = now + avoidDuration
+		w.lastFailure[k.i][store] = now
 	}
 	if k.liar {
 		kind = verdicts.Well + verdicts.Fails - kind
 	}
-	k.give(verdicts.Saw{Store: name, Kind: kind})
+	k.input(verdicts.Saw{Store: name, Kind: kind})
 }
 
-func (k *knower) Due() float64 { return k.core.Due() }
+func (k *verdictNode) Due() float64 { return k.core.Due() }
 
-func (k *knower) Step(now float64, in []virtual.Packet) (out []virtual.Packet) {
-	inputs := k.in
-	k.in = nil
+func (k *verdictNode) Step(now float64, in []virtual.Packet) (out []virtual.Packet) {
+	inputs := k.inbox
+	k.inbox = nil
 	for _, p := range in {
 		inputs = append(inputs, verdicts.Received{From: p.From, Message: p.Data.(verdicts.Message)})
 	}
@@ -197,14 +198,14 @@
 				out = append(out, virtual.Packet{To: v.To, Data: v.Message, Size: messageSize(v.Message)})
 			}
 		case verdicts.Verdict:
-			k.goes[v.Store] = v
-			k.w.judge(k, v)
+			k.applied[v.Store] = v
+			k.w.checkVerdict(k, v)
 		}
 	}
 	return out
 }
 
-// messageSize is about what a message takes on the wire.
+// messageSize estimates the encoded size of a message.
 func messageSize(m verdicts.Message) int {
 	n := 60
 	for _, w := range m.Words {
@@ -216,64 +217,64 @@
 	return n + 16*len(m.Known)
 }
 
-func (w *Verdicts) fault(format string, args ...any) {
+func (w *VerdictWorld) fault(format string, args ...any) {
 	if len(w.Faults) < 10 {
 		w.Faults = append(w.Faults, fmt.Sprintf("%.0f ms: ", w.Net.Now())+fmt.Sprintf(format, args...))
 	}
 }
 
-// judge looks at a verdict that a member goes by from now on: what it rests on may not be older than Fresh by any clock, as many observers as a verdict needs must have seen the
-// store fail since, and of no set may more rest than the stated share.
-func (w *Verdicts) judge(k *knower, v verdicts.Verdict) {
+// checkVerdict checks a verdict that a member starts to apply: its evidence is no older than Fresh by any clock, a quorum of observers saw the store fail
+// within that time, and the member excludes no more than the configured share of each replica set.
+func (w *VerdictWorld) checkVerdict(k *verdictNode, v verdicts.Verdict) {
 	if v.Kind < verdicts.Fails || w.ordered(v.Store) {
 		return
 	}
-	way := 4 * (w.Rules.Weather.Delay + w.Rules.Weather.Jitter) // the time on the way is in no age, and words pass from member to member
-	fresh := w.Rules.Words.Fresh*(1+3*w.Rules.Drift) + 300 + way
+	transit := 4 * (w.Rules.Weather.Delay + w.Rules.Weather.Jitter) // ages do not include transit time, and reports pass from member to member
+	fresh := w.Rules.Words.Fresh*(1+3*w.Rules.Drift) + 300 + transit
 	saw, newest := 0, math.Inf(-1)
 	for j := range w.Rules.Members {
 		for s := range w.Rules.Stores {
-			if storeName(s) == v.Store && w.Net.Now()-w.lastBad[j][s] <= fresh {
+			if storeName(s) == v.Store && w.Net.Now()-w.lastFailure[j][s] <= fresh {
 				saw++
-				newest = max(newest, w.lastBad[j][s])
+				newest = max(newest, w.lastFailure[j][s])
 			}
 		}
 	}
 	if saw < w.Rules.Words.Quorum {
-		w.fault("%s rests %s, which %d members have seen failing lately", Name(k.i), v.Store, saw)
+		w.fault("%s excludes %s, which only %d members saw fail lately", Name(k.i), v.Store, saw)
 	}
-	// What it is told is the age of the newest outcome; on the way ages only grow, by clocks that may be wrong.
-	if true1 := w.Net.Now() - newest; saw > 0 && v.Age*(1+3*w.Rules.Drift)+50+way < true1 {
-		w.fault("%s is told that %s failed %.0f ms ago, it was %.0f", Name(k.i), v.Store, v.Age, true1)
+	// A verdict carries the age of the newest outcome. Ages grow on the way by clocks that may drift.
+	if actualAge := w.Net.Now() - newest; saw > 0 && v.Age*(1+3*w.Rules.Drift)+50+transit < actualAge {
+		w.fault("the verdict of %s says that %s failed %.0f ms ago, but it was %.0f ms", Name(k.i), v.Store, v.Age, actualAge)
 	}
 	resting, all := map[int]int{}, map[int]int{}
 	for s := range w.Rules.Stores {
 		all[s%w.Rules.Sets]++
-		if g := k.goes[storeName(s)]; g.Kind >= verdicts.Fails && !w.ordered(storeName(s)) {
+		if g := k.applied[storeName(s)]; g.Kind >= verdicts.Fails && !w.ordered(storeName(s)) {
 			resting[s%w.Rules.Sets]++
 		}
 	}
 	for set, n := range resting {
 		if most := min(int(w.Rules.Words.Widest*float64(all[set])+1e-9), all[set]-1); n > most {
-			w.fault("%s rests %d of the %d stores of set %d by others' word", Name(k.i), n, all[set], set)
+			w.fault("%s excludes %d of the %d stores of set %d by verdicts", Name(k.i), n, all[set], set)
 		}
 	}
 }
 
-func (w *Verdicts) ordered(store string) bool { return len(w.orders[store]) > 0 }
+func (w *VerdictWorld) ordered(store string) bool { return len(w.orders[store]) > 0 }
 
-// Goes is what a member goes by for a store.
-func (w *Verdicts) Goes(i, store int) verdicts.Verdict {
+// Applied returns the verdict that a member applies to a store.
+func (w *VerdictWorld) Applied(i, store int) verdicts.Verdict {
 	if k := w.members[i]; k != nil {
-		return k.goes[storeName(store)]
+		return k.applied[storeName(store)]
 	}
 	return verdicts.Verdict{}
 }
 
-// Resting counts the members that rest a store by a verdict.
-func (w *Verdicts) Resting(store int) (n int) {
+// Excluding returns the number of members that exclude a store by a verdict.
+func (w *VerdictWorld) Excluding(store int) (n int) {
 	for i := range w.members {
-		if w.Goes(i, store).Kind >= verdicts.Fails {
+		if w.Applied(i, store).Kind >= verdicts.Fails {
 			n++
 		}
 	}
--- a/internal/trial/world.go
+++ b/internal/trial/world.go
@@ -1,6 +1,6 @@
-// Package trial plays shared duties in virtual time: members on a virtual network, stores that count what reaches them,
-// and a resource that only the holder of a lease may change. What it judges it sees at the stores and at the resource,
-// never in the members. Tests and the measuring command use it.
+// Package trial simulates the cores of duties, leases, limits and verdicts in virtual time, on a virtual network with faults, and checks their safety
+// rules from outside the members: at the stores, which count their probes, and at a resource that only the holder of a lease may change. It does no I/O.
+// Tests and cmd/measure use it.
 package trial
 
 import (
@@ -16,27 +16,27 @@
 	"gullstair/internal/virtual"
 )
 
-// The duty and the lease that a World plays.
+// Names of the duty and of the task with a lease in a World.
 const (
 	Probing = "probing"
 	Closing = "closing"
 )
 
-// Rules of a World; times in ms.
+// Rules configures a World. Times are in ms.
 type Rules struct {
-	Members   int
-	Stores    int
-	Period    float64 // of probing
-	Occurs    float64 // period of the fenced duty; 0: there is none
-	Term      float64 // of its lease
-	Work      float64 // that an occurrence takes
-	Drift     float64 // what the members are told of their clocks
-	Timing    membership.Timing
-	Open      bool // no roster: whoever joins
-	Weather   virtual.Weather
-	ClockSkew float64 // clocks run between 1-ClockSkew and 1+ClockSkew
-	Visits    int     // that a store may see in a period; 0: two
-	Sizes     bool    // measure messages as they would be on a wire
+	Members      int
+	Stores       int
+	Period       float64 // between two probes of a store
+	TaskPeriod   float64 // period of the fenced task; 0 disables it
+	Term         float64 // of its lease
+	TaskDuration float64 // duration of one occurrence
+	Drift        float64 // bound on clock drift that the members assume
+	Timing       membership.Timing
+	Open         bool // without a roster: any member may join
+	Weather      virtual.Weather
+	ClockSkew    float64 // clocks run between 1-ClockSkew and 1+ClockSkew
+	MaxProbes    int     // probes that a store may receive in a period; 0 means two
+	Sizes        bool    // measure the encoded size of messages
 }
 
 // Visit is a probe that reached a store.
@@ -45,26 +45,26 @@
 	By string
 }
 
-// Effect is a change of the fenced resource.
+// Effect is a change of the fenced resource by the worker of a lease.
 type Effect struct {
 	At    float64
 	By    string
 	Fence uint64
-	First bool // of its occurrence
+	First bool // first effect of its occurrence
 }
 
-// World is one trial.
+// World is one simulation of members that share the probing of stores and one fenced task.
 type World struct {
-	Rules   Rules
-	Net     *virtual.Net
-	Visits  map[string][]Visit
-	Effects []Effect
-	Runs    []float64       // when occurrences of the fenced duty were begun
-	Mute    map[string]bool // stores that never answer
-	Changes []Change
-	faults  []string
+	Rules        Rules
+	Net          *virtual.Net
+	Visits       map[string][]Visit
+	Effects      []Effect
+	TaskStarts   []float64       // start times of the occurrences of the fenced task
+	Unresponsive map[string]bool // stores that never answer
+	Changes      []Change
+	faults       []string
 
-	children map[uint64]*child // by fencing number
+	workers map[uint64]*worker // by fencing number
 
 	stores  []string
 	members map[string]*member
@@ -73,7 +73,7 @@
 	rates   map[string]float64
 }
 
-// Change is what a member saw of another.
+// Change is a state change of one member as another member saw it.
 type Change struct {
 	At        float64
 	By        string
@@ -89,25 +89,25 @@
 	inbox []sharing.Input
 }
 
-// New makes a world in which nobody runs yet.
+// New creates a world without running members.
 func New(seed uint64, r Rules) *World {
-	w := &World{Rules: r, Net: virtual.New(seed, r.Weather), Visits: map[string][]Visit{}, Mute: map[string]bool{},
-		children: map[uint64]*child{}, members: map[string]*member{}, offsets: map[string]float64{}, rates: map[string]float64{}}
+	w := &World{Rules: r, Net: virtual.New(seed, r.Weather), Visits: map[string][]Visit{}, Unresponsive: map[string]bool{},
+		workers: map[uint64]*worker{}, members: map[string]*member{}, offsets: map[string]float64{}, rates: map[string]float64{}}
 	for i := range r.Stores {
 		w.stores = append(w.stores, fmt.Sprintf("s-%04d", i))
 	}
 	for i := range r.Members {
-		// Wall clocks a little apart, running fast and slow in turn.
+		// Wall clocks differ a little, and run slow, exact and fast in turn.
 		w.offsets[Name(i)] = 1e9 + 50*w.Net.Chance().Float64()
 		w.rates[Name(i)] = 1 + r.ClockSkew*(2*float64(i%3)/2-1)
 	}
 	return w
 }
 
-// Name is the i-th member's, and its address.
+// Name returns the name of the i-th member, which is also its address.
 func Name(i int) string { return fmt.Sprintf("b%03d", i) }
 
-// Names are those of members from i up to j, without it.
+// Names returns the names of the members from i up to but not including j.
 func Names(i, j int) (all []string) {
 	for ; i < j; i++ {
 		all = append(all, Name(i))
@@ -115,7 +115,7 @@
 	return all
 }
 
-// Start starts the i-th member, knowing nothing; an earlier process of it is gone.
+// Start starts the i-th member without any state, in place of its earlier process.
 func (w *World) Start(i int) {
 	name := Name(i)
 	w.boots++
@@ -134,8 +134,8 @@
 			p.Roster[Name(j)] = Name(j)
 		}
 	}
-	if w.Rules.Occurs > 0 {
-		p.Tasks = []tasks.Task{{Name: Closing, Every: w.Rules.Occurs, Term: w.Rules.Term, Once: true}}
+	if w.Rules.TaskPeriod > 0 {
+		p.Tasks = []tasks.Task{{Name: Closing, Every: w.Rules.TaskPeriod, Term: w.Rules.Term, Once: true}}
 	}
 	m := &member{w: w, name: name, core: sharing.New(p)}
 	w.members[name] = m
@@ -143,25 +143,25 @@
 	w.Net.Start(name, m, wall, w.rates[name])
 }
 
-// StartAll starts all members of the rules at once.
+// StartAll starts all members at once.
 func (w *World) StartAll() {
 	for i := range w.Rules.Members {
 		w.Start(i)
 	}
 }
 
-// Kill ends the i-th member without a word.
+// Kill ends the i-th member without a farewell.
 func (w *World) Kill(i int) {
 	w.Net.Kill(Name(i))
 	delete(w.members, Name(i))
 }
 
-// Leave ends the i-th member's part with a word.
+// Leave has the i-th member leave gracefully.
 func (w *World) Leave(i int) {
-	w.tell(w.members[Name(i)], sharing.Leave{})
+	w.input(w.members[Name(i)], sharing.Leave{})
 }
 
-// Core is the i-th member's; nil when it does not run.
+// Core returns the core of the i-th member, or nil when it does not run.
 func (w *World) Core(i int) *sharing.Core {
 	if m := w.members[Name(i)]; m != nil {
 		return m.core
@@ -169,20 +169,20 @@
 	return nil
 }
 
-// List changes the stores at all members that run.
+// List changes the list of stores at all running members.
 func (w *World) List(stores []string) {
 	w.stores = stores
 	for i := range w.Rules.Members {
 		if m := w.members[Name(i)]; m != nil {
-			w.tell(m, duties.Items{Duty: Probing, Items: stores})
+			w.input(m, duties.Items{Duty: Probing, Items: stores})
 		}
 	}
 }
 
-// Stores are those on the list.
+// Stores returns the current list of stores.
 func (w *World) Stores() []string { return w.stores }
 
-func (w *World) tell(m *member, in sharing.Input) {
+func (w *World) input(m *member, in sharing.Input) {
 	if m == nil || w.members[m.name] != m {
 		return
 	}
@@ -214,14 +214,14 @@
 		case duties.Turn:
 			m.w.visit(m, v)
 		case tasks.Begin:
-			m.w.occur(m, v)
+			m.w.startWorker(m, v)
 		case tasks.Extend:
-			if c := m.w.children[v.Fence]; c != nil && c.name == m.name {
+			if c := m.w.workers[v.Fence]; c != nil && c.name == m.name {
 				c.until = v.Until
 			}
 		case tasks.Cancel:
-			if c := m.w.children[v.Fence]; c != nil && c.name == m.name {
-				// Told to end, it may take the whole grace.
+			if c := m.w.workers[v.Fence]; c != nil && c.name == m.name {
+				// A cancelled worker may use its whole grace period.
 				c.until = min(c.until, m.w.clock(m.name)+m.w.Rules.Term/4)
 			}
 		case membership.Changed:
@@ -231,7 +231,7 @@
 	return out
 }
 
-// copied lets a duplicate of a message be read as if it had come over a wire.
+// copied returns a copy of a message, so that duplicates share no memory, as if decoded from the wire.
 func copied(e sharing.Envelope) sharing.Envelope {
 	if e.Member != nil {
 		m := *e.Member
@@ -243,43 +243,43 @@
 func (w *World) visit(m *member, t duties.Turn) {
 	w.Visits[t.Item] = append(w.Visits[t.Item], Visit{w.Net.Now(), m.name})
 	wait := 2.0
-	if w.Mute[t.Item] {
+	if w.Unresponsive[t.Item] {
 		wait = 250
 	}
-	w.Net.After(wait, func() { w.tell(m, duties.Finished{Duty: t.Duty, Item: t.Item, Report: []byte{1}}) })
+	w.Net.After(wait, func() { w.input(m, duties.Finished{Duty: t.Duty, Item: t.Item, Report: []byte{1}}) })
 }
 
-// child is work under a lease: a process of its own on the member's machine, which goes on when the member is killed or stands still, up to
-// the moment that it was told last, by that machine's clock.
-type child struct {
+// worker is a worker process under a lease on the member's machine. It keeps running when the member is killed or paused, until the deadline that it
+// received last, by that machine's clock.
+type worker struct {
 	name   string
 	member *member
 	begin  tasks.Begin
 	until  float64
 }
 
-const effectEvery = 100.0 // ms between two effects of a child
+const effectInterval = 100.0 // ms between two effects of a child
 
-// occur lets a member's child work under its lease.
-func (w *World) occur(m *member, b tasks.Begin) {
-	w.Runs = append(w.Runs, w.Net.Now())
-	c := &child{name: m.name, member: m, begin: b, until: b.Until}
-	w.children[b.Fence] = c
-	w.effect(c, w.Net.Now()+w.Rules.Work, true)
+// startWorker starts a member's worker under its lease.
+func (w *World) startWorker(m *member, b tasks.Begin) {
+	w.TaskStarts = append(w.TaskStarts, w.Net.Now())
+	c := &worker{name: m.name, member: m, begin: b, until: b.Until}
+	w.workers[b.Fence] = c
+	w.effect(c, w.Net.Now()+w.Rules.TaskDuration, true)
 }
 
-// clock is a machine's, whether a member runs there or not.
+// clock returns the time of a machine's clock, whether its member runs or not.
 func (w *World) clock(name string) float64 { return w.offsets[name] + w.Net.Now()*w.rates[name] }
 
-func (w *World) effect(c *child, end float64, first bool) {
-	// What is in the way of a child's last effect is another's first: the judge sees both.
+func (w *World) effect(c *worker, end float64, first bool) {
+	// The worker checks its deadline before each effect. Judge compares the effects of all workers.
 	if w.clock(c.name) >= c.until || w.Net.Now() > end {
-		delete(w.children, c.begin.Fence)
-		w.tell(c.member, tasks.Ended{Lease: c.begin.Lease, Fence: c.begin.Fence})
+		delete(w.workers, c.begin.Fence)
+		w.input(c.member, tasks.Ended{Lease: c.begin.Lease, Fence: c.begin.Fence})
 		return
 	}
 	w.Effects = append(w.Effects, Effect{w.Net.Now(), c.name, c.begin.Fence, first})
-	w.Net.After(min(effectEvery, max(1, end-w.Net.Now()+0.01)), func() { w.effect(c, end, false) })
+	w.Net.After(min(effectInterval, max(1, end-w.Net.Now()+0.01)), func() { w.effect(c, end, false) })
 }
 
 func (w *World) fault(format string, args ...any) {
@@ -288,12 +288,12 @@
 	}
 }
 
-// Judge says what was broken so far, as seen from outside.
+// Judge returns the violations so far, as seen at the stores and at the resource.
 func (w *World) Judge() []string {
 	faults := slices.Clone(w.faults)
 	for _, store := range slices.Sorted(maps.Keys(w.Visits)) {
-		// Members' clocks differ, so a period is taken at its shortest.
-		v, window, most := w.Visits[store], w.Rules.Period*(1-w.Rules.ClockSkew)*0.94, cmp.Or(w.Rules.Visits, 2)
+		// Members' clocks differ, so the check uses the shortest period by any clock.
+		v, window, most := w.Visits[store], w.Rules.Period*(1-w.Rules.ClockSkew)*0.94, cmp.Or(w.Rules.MaxProbes, 2)
 		for i := most; i < len(v); i++ {
 			if v[i].At-v[i-most].At < window {
 				faults = append(faults, fmt.Sprintf("store %s was probed more than %d times within a period: %v", store, most, v[i-most:i+1]))
@@ -312,18 +312,18 @@
 		}
 		newest, holder[e.Fence] = max(newest, e.Fence), e.By
 	}
-	for i := 1; i < len(w.Runs); i++ {
-		// A begin is noted before it is made, and made within a term of that or not at all.
+	for i := 1; i < len(w.TaskStarts); i++ {
+		// A start is recorded before it happens, and happens within a term of that or not at all.
 		slack := w.Rules.Term
-		if w.Runs[i]-w.Runs[i-1] < w.Rules.Occurs*(1-2*w.Rules.ClockSkew)-slack-1 {
-			faults = append(faults, fmt.Sprintf("the fenced duty began at %.0f and again at %.0f ms", w.Runs[i-1], w.Runs[i]))
+		if w.TaskStarts[i]-w.TaskStarts[i-1] < w.Rules.TaskPeriod*(1-2*w.Rules.ClockSkew)-slack-1 {
+			faults = append(faults, fmt.Sprintf("the fenced duty began at %.0f and again at %.0f ms", w.TaskStarts[i-1], w.TaskStarts[i]))
 		}
 	}
 	return faults
 }
 
-// Longest is the longest that any store on the list has waited for a probe since a moment, the wait at the end counted.
-func (w *World) Longest(since float64) (store string, wait float64) {
+// LongestGap returns the longest time since a moment that any listed store went without a probe, including the time from its last probe until now.
+func (w *World) LongestGap(since float64) (store string, wait float64) {
 	for _, s := range w.stores {
 		last := since
 		check := func(at float64) {
@@ -342,7 +342,7 @@
 	return store, wait
 }
 
-// Probes counts what reached the stores since a moment.
+// Probes returns the number of probes that reached the stores since a moment.
 func (w *World) Probes(since float64) (n int) {
 	for _, v := range w.Visits {
 		for _, x := range v {
