--- a/internal/planted/control.go
+++ b/internal/planted/control.go
@@ -23,7 +23,7 @@
 	sectionsFile  = "internal/sections/sections.go"
 )
 
-// controlFaults are the rules of docs/control.md, each taken out.
+// controlFaults each disable one rule of docs/control.md.
 var controlFaults = []Fault{
 	{"control: an extra fourth voter", votersFile, "	needed := min(t.Seats(), staying+len(able))\n", "	needed := min(t.Seats()+1, staying+len(able))\n	if needed%2 == 0 {\n		return needed\n	}\n", "", ""},
 	{"control: no more voters than the losses need", votersFile, "fill(nil, met, odd(len(met)))", "fill(nil, met, odd(min(3, len(met))))", "odd(staying+settled)", "odd(needed+0*settled)"},
@@ -69,7 +69,7 @@
 	{"control: founded with other members", foundFile, "a.State.Value.Sequence > 0 || a.State.Value.Members.Equal(members)", "true", "", ""},
 }
 
-// controlProofs find them.
+// controlProofs are the proofs that must detect controlFaults.
 var controlProofs = []Proof{
 	{Name: "voters' cases", Package: "./internal/voters", Args: []string{"-test.run=TestPlan|TestFirst|TestGreaterHalf", "-test.timeout=120s"}, Among: "control: "},
 	{Name: "histories of losses", Package: "./internal/voters", Args: []string{"-test.run=TestHistoriesOfLosses", "-test.short", "-test.timeout=300s"}, Among: "control: "},
--- a/internal/planted/faults.go
+++ b/internal/planted/faults.go
@@ -17,7 +17,7 @@
 	coreFile  = "internal/core"
 )
 
-// Faults are the rules that leases and tasks stand on, each taken out.
+// Faults each disable one safety rule, of leases, tasks, limits, verdicts or the control state.
 var Faults = slices.Concat([]Fault{
 	{"drift left out", leaseFile, "return term * (1 + c.rules.Drift) / (1 - c.rules.Drift)", "return term", "", ""},
 	{"drift counted on one side", leaseFile, "return term * (1 + c.rules.Drift) / (1 - c.rules.Drift)", "return term * (1 + c.rules.Drift)", "", ""},
@@ -99,7 +99,7 @@
 	{"process: copy of votes taken for sound", votesFile, "case fresh || here != there:", "case fresh || here != there && false:", "case changed && touched-last > int64(touchedWithin):", "case changed && touched-last > int64(touchedWithin) && false:"},
 }, controlFaults)
 
-// Proofs are the tests that are to find them.
+// Proofs are the tests that must detect Faults.
 var Proofs = slices.Concat([]Proof{
 	{Name: "processes", Package: "./cmd/gullstair", Args: []string{"-test.run=TestLeaseFaults|TestLeasesWithoutDisks|TestMachineStandsStill", "-test.timeout=300s"}, Among: "process: "},
 	{Name: "explorer", Package: "./internal/explore", Args: []string{"-test.run=TestExplore$", "-test.timeout=300s"}},
--- a/internal/planted/planted.go
+++ b/internal/planted/planted.go
@@ -1,5 +1,6 @@
-// Package planted keeps versions of the program with one safety rule taken out, and has the proofs find them: a proof that can't fail
-// proves nothing. A version is made by the compiler's -overlay, so that no hook for it stays in the product.
+// Package planted runs mutation tests: it plants faults that each disable one safety rule of the program and checks that the proofs, which are tests,
+// detect them, since a proof that cannot fail proves nothing. It builds a faulty version with the compiler's -overlay flag, so that the product needs no
+// hooks. It reads source files, writes temporary ones and runs the go command.
 package planted
 
 import (
@@ -14,29 +15,28 @@
 	"time"
 )
 
-// Fault is one rule taken out: in a file, or in a package's folder, Old, which stands there once, is New; and where the
-// rule stands in two places Old2 is New2.
+// Fault disables one rule by a text replacement: Old, which occurs once in File (a file or a package's directory), becomes New. Old2 and New2 replace a
+// second place if the rule needs it.
 type Fault struct {
 	Name, File, Old, New, Old2, New2 string
 }
 
-// Proof is a test that may find faults.
+// Proof is a set of tests that may detect faults.
 type Proof struct {
 	Name, Package string
 	Args          []string
-	Among         string // for faults whose names begin with this; "": for those of no such proof
+	Among         string // applies to faults whose names have this prefix; if empty, to faults without a prefix
 }
 
-// Found is what a proof said of a fault.
+// Found is the result of running a proof on a fault.
 type Found struct {
 	Fault, Proof string
 	Found        bool
-	After        string // how much it had looked at
+	After        string // number of states, tests or schedules that the proof had checked
 	Seconds      float64
 }
 
-// Apply writes a fault's version of its file, or files, and an overlay that names them, into a directory, and returns the
-// overlay's path.
+// Apply writes the files with the fault planted, and an overlay file that lists them, into dir. It returns the path of the overlay.
 func Apply(root, dir string, f Fault) (string, error) {
 	texts, err := sources(filepath.Join(root, f.File))
 	if err != nil {
@@ -47,7 +47,7 @@
 		if change[0] == "" {
 			continue
 		}
-		path, err := holderOf(texts, change[0])
+		path, err := fileContaining(texts, change[0])
 		if err != nil {
 			return "", fmt.Errorf("planted: %s: %w", f.Name, err)
 		}
@@ -65,7 +65,7 @@
 	return at, os.WriteFile(at, overlay, 0o600)
 }
 
-// sources reads a file, or all files of a package but its tests, by path.
+// sources reads a file, or all files of a package except its tests, and returns the texts by path.
 func sources(path string) (map[string]string, error) {
 	paths := []string{path}
 	if !strings.HasSuffix(path, ".go") {
@@ -88,8 +88,8 @@
 	return texts, nil
 }
 
-// holderOf finds the one place where a text stands.
-func holderOf(texts map[string]string, text string) (string, error) {
+// fileContaining returns the path of the file that contains a text. It is an error if the text does not occur exactly once.
+func fileContaining(texts map[string]string, text string) (string, error) {
 	path, places := "", 0
 	for at, whole := range texts {
 		if n := strings.Count(whole, text); n > 0 {
@@ -97,14 +97,14 @@
 		}
 	}
 	if places != 1 {
-		return "", fmt.Errorf("%q stands there %d times, once is needed", text, places)
+		return "", fmt.Errorf("%q occurs %d times, want exactly once", text, places)
 	}
 	return path, nil
 }
 
-var after = regexp.MustCompile(`after (\d+ (?:states|tests|schedules))`)
+var progress = regexp.MustCompile(`after (\d+ (?:states|tests|schedules))`)
 
-// Try plants a fault and runs a proof.
+// Try plants a fault, runs a proof on the faulty version and reports whether the proof fails, that is, detects the fault.
 func Try(root string, f Fault, p Proof) (r Found, err error) {
 	dir, err := os.MkdirTemp("", "planted")
 	if err != nil {
@@ -132,10 +132,10 @@
 		return r, fmt.Errorf("planted: %s: %w", f.Name, err)
 	}
 	if strings.Contains(string(out), "test timed out") {
-		return r, fmt.Errorf("planted: %s: %s ran out of time: that is no verdict", f.Name, p.Name)
+		return r, fmt.Errorf("planted: %s: %s timed out, which is no result", f.Name, p.Name)
 	}
 	r.Found = err != nil
-	if m := after.FindStringSubmatch(string(out)); m != nil {
+	if m := progress.FindStringSubmatch(string(out)); m != nil {
 		r.After = m[1]
 	}
 	return r, nil
--- a/internal/planted/planted_test.go
+++ b/internal/planted/planted_test.go
@@ -15,14 +15,14 @@
 )
 
 var (
-	all  = flag.Bool("planted", false, "plant every fault and have the proofs find it, for minutes")
-	only = flag.String("fault", "", "plant those alone whose names begin so")
-	by   = flag.String("by", "", "only with this proof")
+	all  = flag.Bool("planted", false, "plant every fault and run the proofs on it (takes minutes)")
+	only = flag.String("fault", "", "plant only faults whose names have this prefix")
+	by   = flag.String("by", "", "run only the proof with this name")
 )
 
 const root = "../.."
 
-// Each fault's place is still there, so that the table in docs/results.md can be made again.
+// The text that each fault replaces still occurs exactly once, so that the table in docs/results.md can be regenerated.
 func TestFaultsFit(t *testing.T) {
 	names := map[string]bool{}
 	for _, f := range Faults {
@@ -34,10 +34,10 @@
 	}
 	assert.GreaterOrEqual(t, len(Faults), 15)
 	_, err := Apply(root, t.TempDir(), Fault{Name: "none", File: leaseFile, Old: "no such text"})
-	assert.ErrorContains(t, err, "0 times")
+	assert.ErrorContains(t, err, "occurs 0 times")
 }
 
-// With -planted: every fault is found by one of the proofs at least.
+// With -planted: at least one proof detects each fault.
 func TestPlanted(t *testing.T) {
 	if !*all && *only == "" {
 		t.Skip("only with -planted")
@@ -48,7 +48,7 @@
 	var mu sync.Mutex
 	found := map[string]Found{}
 	var wg sync.WaitGroup
-	room := make(chan struct{}, max(1, runtime.NumCPU()-2))
+	semaphore := make(chan struct{}, max(1, runtime.NumCPU()-2))
 	for _, f := range Faults {
 		if !strings.HasPrefix(f.Name, *only) {
 			continue
@@ -58,8 +58,8 @@
 				continue
 			}
 			wg.Go(func() {
-				room <- struct{}{}
-				defer func() { <-room }()
+				semaphore <- struct{}{}
+				defer func() { <-semaphore }()
 				r, err := Try(top, f, p)
 				assert.NoError(t, err)
 				mu.Lock()
@@ -77,16 +77,16 @@
 		line, any := f.Name, false
 		for _, p := range Proofs {
 			r := found[f.Name+p.Name]
-			if word := "-"; r.Found {
+			if cell := "-"; r.Found {
 				any = true
-				word = fmt.Sprintf("%s (%.1f s)", r.After, r.Seconds)
-				line += "\t" + word
+				cell = fmt.Sprintf("%s (%.1f s)", r.After, r.Seconds)
+				line += "\t" + cell
 			} else {
-				line += "\t" + word
+				line += "\t" + cell
 			}
 		}
 		fmt.Fprintln(w, line)
-		assert.True(t, any, "%s: none of the proofs finds it", f.Name)
+		assert.True(t, any, "%s: no proof detects it", f.Name)
 	}
 	w.Flush()
 }
