--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -158,7 +158,7 @@
 				restart(w, i, 1000+100*float64(i))
 			}
 		}, 2.6},
-		{"one leaves with a word", func(w *World) { w.Leave(2) }, 2},
+		{"one leaves gracefully", func(w *World) { w.Leave(2) }, 2},
 	} {
 		for seed := uint64(1); seed <= 3; seed++ {
 			w := settled(t, seed, defaultRules())
@@ -244,9 +244,9 @@
 		do      func(w *World)
 	}{
 		{"30% lost", virtual.Weather{Delay: 1, Jitter: 2, Loss: 0.3}, func(*World) {}},
-		{"twice and out of order", virtual.Weather{Delay: 1, Jitter: 120, Duplicate: 0.5}, func(*World) {}},
-		{"one way lost", virtual.Weather{Delay: 1, Jitter: 2}, func(w *World) { w.Net.Cut(Name(0), Name(1)) }},
-		{"one member hears nobody", virtual.Weather{Delay: 1, Jitter: 2}, func(w *World) {
+		{"duplicated and reordered", virtual.Weather{Delay: 1, Jitter: 120, Duplicate: 0.5}, func(*World) {}},
+		{"one direction cut", virtual.Weather{Delay: 1, Jitter: 2}, func(w *World) { w.Net.Cut(Name(0), Name(1)) }},
+		{"one member receives nothing", virtual.Weather{Delay: 1, Jitter: 2}, func(w *World) {
 			for i := 1; i < 4; i++ {
 				w.Net.Cut(Name(i), Name(0))
 			}
--- a/internal/trial/verdicts_test.go
+++ b/internal/trial/verdicts_test.go
@@ -74,12 +74,12 @@
 		{"one broker's link to one store", nil, func(m, s int) bool { return m == 2 && s == 1 }, -1, func(w *VerdictWorld) int { return w.Excluding(1) }, 0, 0},
 		{"one broker's link to all stores", nil, func(m, _ int) bool { return m == 2 }, -1, func(w *VerdictWorld) int { return w.Excluding(0) + w.Excluding(1) + w.Excluding(2) }, 0, 0},
 		{"one zone's link to a store", nil, func(m, s int) bool { return m%3 == 1 && s == 1 }, -1, func(w *VerdictWorld) int { return w.Excluding(1) }, 0, 0},
-		{"one that tells the contrary, and a store that fails", nil, func(_, s int) bool { return s == 1 }, 4, func(w *VerdictWorld) int { return w.Excluding(1) }, 7, 9},
-		{"one that tells the contrary, and nothing fails", nil, func(int, int) bool { return false }, 4, func(w *VerdictWorld) int { return w.Excluding(0) + w.Excluding(1) + w.Excluding(2) }, 0, 0},
-		{"one zone's link, and nothing comes to the others", func(m int) bool { return m%3 != 1 }, func(m, s int) bool { return m%3 == 1 && s == 1 }, -1, func(w *VerdictWorld) int { return w.Excluding(1) }, 0, 0},
+		{"one member reports the opposite, and a store fails", nil, func(_, s int) bool { return s == 1 }, 4, func(w *VerdictWorld) int { return w.Excluding(1) }, 7, 9},
+		{"one member reports the opposite, and nothing fails", nil, func(int, int) bool { return false }, 4, func(w *VerdictWorld) int { return w.Excluding(0) + w.Excluding(1) + w.Excluding(2) }, 0, 0},
+		{"one zone's link, and the others have no traffic", func(m int) bool { return m%3 != 1 }, func(m, s int) bool { return m%3 == 1 && s == 1 }, -1, func(w *VerdictWorld) int { return w.Excluding(1) }, 0, 0},
 		{"four of nine links", nil, func(m, s int) bool { return m < 4 && s == 1 }, -1, func(w *VerdictWorld) int { return w.Excluding(1) }, 0, 0},
-		{"two that reach no store, and nothing comes to the others", func(m int) bool { return m != 2 && m != 3 }, func(m, _ int) bool { return m == 2 || m == 3 }, -1, func(w *VerdictWorld) int { return w.Excluding(0) + w.Excluding(1) + w.Excluding(2) }, 0, 0},
-		{"a third of the stores, all of them holders of the same shards", nil, func(_, s int) bool { return s%2 == 0 && s < 8 }, -1, func(w *VerdictWorld) (n int) {
+		{"two members reach no store, and the others have no traffic", func(m int) bool { return m != 2 && m != 3 }, func(m, _ int) bool { return m == 2 || m == 3 }, -1, func(w *VerdictWorld) int { return w.Excluding(0) + w.Excluding(1) + w.Excluding(2) }, 0, 0},
+		{"a third of the stores, all in one replica set", nil, func(_, s int) bool { return s%2 == 0 && s < 8 }, -1, func(w *VerdictWorld) (n int) {
 			for s := range 12 {
 				if s%2 == 0 && w.Applied(0, s).Kind >= verdicts.Fails {
 					n++
