--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -125,7 +125,7 @@
 // Socket returns the path of a member's control socket.
 func (m *Member) Socket() string { return m.Path("sock") }
 
-// WriteFiles writes a member's start file and features document.
+// Write writes a member's start file and features document.
 func (m *Member) Write() error {
 	tree := map[string]any{}
 	for k, v := range m.fleet.Start {
