--- a/cmd/measure/capacity.go
+++ b/cmd/measure/capacity.go
@@ -150,9 +150,9 @@
 	r := &coreDriver{core: core.New(cfg.Site, cfg.Flat, cfg.Seed, known), now: coreClock}
 	r.step(0)
 	cost.listKB = (heapInUse() - before) / 1024
-	cost.wholeMs = nanosecondsPer(coreRepeats, func(int) { r.step(1, core.List{Kind: logic.ListWhole, Nodes: known}) }) / 1e6
+	cost.wholeMs = nanosecondsPer(coreRepeats, func(int) { r.step(1, core.List{Kind: logic.ListFull, Nodes: known}) }) / 1e6
 	cost.changeMs = nanosecondsPer(coreRepeats, func(i int) {
-		r.step(1, core.List{Kind: logic.ListChanges, Nodes: known[i : i+1]})
+		r.step(1, core.List{Kind: logic.ListDelta, Nodes: known[i : i+1]})
 	}) / 1e6
 	cost.queryUs = nanosecondsPer(queries, func(i int) { r.step(queryEvery, query(i, nodes, r.now)) }) / 1e3
 	r.step(answeredAfter)
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -156,14 +156,14 @@
 	if !b.started {
 		b.started = true
 		b.terms = b.newTerms()
-		return append(b.step(now, logic.Event{Kind: logic.Started, Seed: b.seed, Terms: b.terms}), b.reportInstances(now)...)
+		return append(b.step(now, logic.Event{Kind: logic.Started, Seed: b.seed, Settings: b.terms}), b.reportInstances(now)...)
 	}
 	return b.updateTerms(now)
 }
 
 func (b *Balancer) updateTerms(now float64) []Command {
 	b.terms = b.newTerms()
-	return b.step(now, logic.Event{Kind: logic.TermsChanged, Terms: b.terms})
+	return b.step(now, logic.Event{Kind: logic.SettingsChanged, Settings: b.terms})
 }
 
 // SetInstances replaces the list of known instances.
@@ -184,7 +184,7 @@
 		entries = append(entries, logic.Entry{Node: b.number(i.ID), Zone: b.zoneNumber(i.Zone), Kind: service, Cell: service,
 			Readiness: i.State, Units: float64(max(1, i.Slots))})
 	}
-	return b.step(now, logic.Event{Kind: logic.ListArrived, List: logic.ListWhole, Entries: entries})
+	return b.step(now, logic.Event{Kind: logic.ListArrived, List: logic.ListFull, Entries: entries})
 }
 
 // Arrive registers a request and returns its number.
@@ -314,8 +314,8 @@
 			commands = append(commands, Command{Kind: Refuse, Request: a.ID, After: a.After})
 		case logic.Abandon:
 			commands = append(commands, Command{Kind: Fail, Request: a.ID})
-		case logic.Tell:
-			b.notes = append(b.notes, Note{Text: a.Note, Wide: a.Wide})
+		case logic.SendNote:
+			b.notes = append(b.notes, Note{Text: a.Note, Wide: a.ToAll})
 		case logic.SetTimer:
 			heap.Push(&b.timers, timer{dueAt: b.now + a.After, number: a.Timer})
 		}
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -116,7 +116,7 @@
 	b := &Broker{startFile: t, clock: NewClock(), turn: t.Site.Turn, mailbox: make(chan core.Input, mailboxSize),
 		stop: make(chan struct{}), frontDone: make(chan struct{}), stopping: make(chan struct{}), ln: ln, log: log, fatal: make(chan error, 1), features: f, clocks: clocks}
 	nodeConns := t.Sockets / 4
-	b.fleet = node.NewFleet(node.Reach{PerConn: t.Site.PerConn, MaxConns: nodeConns,
+	b.fleet = node.NewFleet(node.Reach{PerConn: t.Site.PartsPerConn, MaxConns: nodeConns,
 		ConnectTimeout: ms(t.Site.ConnectTimeout), Idle: ms(t.Site.ConnIdle)}, b.clock.Now,
 		func(e core.Ended) { b.put(e) }, log)
 	b.front = &front.Front{Site: t.Site, Now: b.clock.Now, Take: func(s *core.Scan) { b.put(s) },
@@ -134,7 +134,7 @@
 		ln.Close()
 		return nil, err
 	}
-	b.watch = discovery.Follow(t.Discovery, discovery.Options{Since: t.Known.Seq, OnAsk: t.Site.AskList, Seed: t.Seed}, func(l core.List) { b.put(l) }, log)
+	b.watch = discovery.Follow(t.Discovery, discovery.Options{Since: t.Known.Seq, OnAsk: t.Site.SubscribeList, Seed: t.Seed}, func(l core.List) { b.put(l) }, log)
 	b.actorDone.Go(b.run)
 	go func() {
 		defer close(b.frontDone)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -24,7 +24,7 @@
 	MemoryMB, Sockets       int
 	Known                   discovery.Listing
 	Flat                    map[string]any // the settings, flattened to the decision module's keys
-	Site                    terms.Site
+	Site                    terms.Settings
 
 	Off []string // settings that this program does not support and has disabled, with the reasons
 
@@ -128,7 +128,7 @@
 				t.Flat["limit.peers"] = false
 				t.Off = append(t.Off, "settings: ceilings.peers: this program does not exchange notes between brokers; they are disabled")
 			}
-			if t.Site, err = terms.Read(t.Flat); err != nil {
+			if t.Site, err = terms.ReadSettings(t.Flat); err != nil {
 				return fmt.Errorf("settings: %w", err)
 			}
 			return nil
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,7 +28,7 @@
 	assert.EqualValues(t, 41, cfg.Known.Seq)
 	assert.Len(t, cfg.Known.Hosts, 2)
 	s := cfg.Site
-	assert.Equal(t, [5]int{6, 4, 32, 3, 20}, [5]int{s.Shards, s.Batch, s.PerConn, s.Dispatches, s.OpenCap})
+	assert.Equal(t, [5]int{6, 4, 32, 3, 20}, [5]int{s.Shards, s.Batch, s.PartsPerConn, s.Dispatches, s.OpenCap})
 	assert.Equal(t, [3]float64{5, 30000, 250}, [3]float64{s.Turn, s.ConnIdle, s.ConnectTimeout})
 	assert.Equal(t, map[string]int{"west": 0, "east": 1}, s.Zones)
 	assert.Equal(t, map[string]int{"report": 0, "board": 1, "fix": 2}, s.TypeIndex)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -74,7 +74,7 @@
 	limiter         Limiter
 	queued          []queuedScan // scans that wait for capacity of the shared limits
 
-	settings    terms.Site
+	settings    terms.Settings
 	module      logic.Broker
 	now         float64
 	out         []Output
@@ -110,11 +110,11 @@
 }
 
 // New returns a core whose first Step passes the start event and the cached list to the module.
-func New(settings terms.Site, flat map[string]any, seed uint64, known []Node) *Core {
+func New(settings terms.Settings, flat map[string]any, seed uint64, known []Node) *Core {
 	c := &Core{settings: settings, scans: map[int64]*scan{}, byClientID: map[string]*scan{}, parts: map[int64]*part{},
 		dispatches: map[int64]*dispatch{}, probes: map[int64]probe{},
 		numbers: map[string]int64{}, knownNodes: map[int64]*nodeState{}}
-	c.events = append(c.events, logic.Event{Kind: logic.Started, Seed: seed, Terms: flat})
+	c.events = append(c.events, logic.Event{Kind: logic.Started, Seed: seed, Settings: flat})
 	c.applyList(List{Kind: logic.ListCached, Nodes: known})
 	return c
 }
@@ -123,7 +123,7 @@
 // The differences are counted by kind and have no other effect. Call it before the first Step.
 func (c *Core) Watch(flat map[string]any) {
 	c.Counts.Differs = map[string]int{}
-	c.events[0].Watched, c.events[0].Differs = flat, c.Counts.Differs
+	c.events[0].ShadowSettings, c.events[0].ShadowDiffs = flat, c.Counts.Differs
 }
 
 // Due returns the time at which Step must be called next even without input; +Inf if there is none.
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -282,7 +282,7 @@
 			return core.Ended{Ref: p.Ref, How: core.ReadBroke, At: r.now}
 		},
 		"left": func(_ *harness, s *core.Scan, _ core.CallPart) core.Input { return core.Left{Scan: s} },
-		"gone": func(*harness, *core.Scan, core.CallPart) core.Input { return core.List{Kind: logic.ListWhole} },
+		"gone": func(*harness, *core.Scan, core.CallPart) core.Input { return core.List{Kind: logic.ListFull} },
 		"end":  func(*harness, *core.Scan, core.CallPart) core.Input { return core.Closing{} },
 	}
 	names := slices.Sorted(maps.Keys(events))
@@ -364,7 +364,7 @@
 // the repeat window that starts at the first dispatch.
 func TestKeyedCopy(t *testing.T) {
 	r := start(t, map[string]any{"limit.secondCopies": true})
-	r.step(10, core.List{Kind: logic.ListChanges, Nodes: []core.Node{{Host: "s-c", Addr: "127.0.0.1:4", Zone: "west",
+	r.step(10, core.List{Kind: logic.ListDelta, Nodes: []core.Node{{Host: "s-c", Addr: "127.0.0.1:4", Zone: "west",
 		Kind: "std", Readiness: logic.Ready, Units: 1}}}) // another holder of the shard
 	begun := r.now
 	sent := parts(r.step(0, r.scan(2, 4000, 0)))
@@ -397,7 +397,7 @@
 func TestGoneNodesAreForgotten(t *testing.T) {
 	r := start(t)
 	list := func(i int) core.List {
-		return core.List{Kind: logic.ListWhole, Nodes: []core.Node{{Host: fmt.Sprint("s-", i), Addr: "127.0.0.1:5", Zone: "west",
+		return core.List{Kind: logic.ListFull, Nodes: []core.Node{{Host: fmt.Sprint("s-", i), Addr: "127.0.0.1:5", Zone: "west",
 			Kind: "std", Readiness: logic.Ready, Units: 1}}}
 	}
 	r.step(10, list(0))
@@ -422,17 +422,17 @@
 		list core.List
 		want []core.Move
 	}{
-		"nothing new": {core.List{Kind: logic.ListChanges, Nodes: []core.Node{node("s-a", "127.0.0.1:2", logic.Ready)}}, nil},
-		"moved": {core.List{Kind: logic.ListChanges, Nodes: []core.Node{node("s-a", "127.0.0.1:9", logic.Ready)}},
+		"nothing new": {core.List{Kind: logic.ListDelta, Nodes: []core.Node{node("s-a", "127.0.0.1:2", logic.Ready)}}, nil},
+		"moved": {core.List{Kind: logic.ListDelta, Nodes: []core.Node{node("s-a", "127.0.0.1:9", logic.Ready)}},
 			[]core.Move{{Host: "s-a", Addr: "127.0.0.1:9"}}},
-		"draining": {core.List{Kind: logic.ListChanges, Nodes: []core.Node{node("s-a", "127.0.0.1:2", logic.Draining)}},
+		"draining": {core.List{Kind: logic.ListDelta, Nodes: []core.Node{node("s-a", "127.0.0.1:2", logic.Draining)}},
 			[]core.Move{{Host: "s-a", Addr: "127.0.0.1:2", Draining: true}}},
-		"gone": {core.List{Kind: logic.ListChanges, Nodes: []core.Node{node("s-a", "", logic.Gone)}},
+		"gone": {core.List{Kind: logic.ListDelta, Nodes: []core.Node{node("s-a", "", logic.Gone)}},
 			[]core.Move{{Host: "s-a", Addr: "127.0.0.1:2", Gone: true}}},
-		"left out of a whole list": {core.List{Kind: logic.ListWhole, Nodes: []core.Node{node("s-a", "127.0.0.1:2", logic.Ready)}},
+		"left out of a whole list": {core.List{Kind: logic.ListFull, Nodes: []core.Node{node("s-a", "127.0.0.1:2", logic.Ready)}},
 			[]core.Move{{Host: "s-b", Addr: "127.0.0.1:3", Gone: true}}},
 		"failed":       {core.List{Kind: logic.ListFailed}, nil},
-		"empty, whole": {core.List{Kind: logic.ListWhole}, []core.Move{{Host: "s-a", Addr: "127.0.0.1:2", Gone: true}, {Host: "s-b", Addr: "127.0.0.1:3", Gone: true}}},
+		"empty, whole": {core.List{Kind: logic.ListFull}, []core.Move{{Host: "s-a", Addr: "127.0.0.1:2", Gone: true}, {Host: "s-b", Addr: "127.0.0.1:3", Gone: true}}},
 	} {
 		r := start(t)
 		assert.ElementsMatch(t, c.want, pick[core.Move](r.step(0, c.list)), name)
@@ -441,8 +441,8 @@
 	r.step(100, core.List{Kind: logic.ListFailed})
 	assert.Equal(t, []core.Output{core.Watch{}}, r.until(r.now+5000), "the module asks for the list once more")
 	odd := core.Node{Host: "s-c", Addr: "127.0.0.1:4", Zone: "moon", Kind: "odd", Cell: 99, Readiness: logic.Ready}
-	assert.Len(t, pick[core.Log](r.step(0, core.List{Kind: logic.ListChanges, Nodes: []core.Node{odd}})), 2, "unknown zones and kinds are logged")
-	assert.Empty(t, pick[core.Call](r.step(0, core.List{Kind: logic.ListChanges, Nodes: []core.Node{
+	assert.Len(t, pick[core.Log](r.step(0, core.List{Kind: logic.ListDelta, Nodes: []core.Node{odd}})), 2, "unknown zones and kinds are logged")
+	assert.Empty(t, pick[core.Call](r.step(0, core.List{Kind: logic.ListDelta, Nodes: []core.Node{
 		node("s-a", "127.0.0.1:2", logic.Draining), node("s-a", "127.0.0.1:2", logic.Draining)}}, r.scan(1, 3000, 0))),
 		"no new dispatch to a draining node")
 }
@@ -450,10 +450,10 @@
 // Nodes have the same number at every broker; otherwise the brokers' turns at cold nodes would coincide.
 func TestSameNumbers(t *testing.T) {
 	a, b := start(t), start(t)
-	list := core.List{Kind: logic.ListChanges, Nodes: []core.Node{{Host: "s-x", Addr: "127.0.0.1:7", Zone: "west",
+	list := core.List{Kind: logic.ListDelta, Nodes: []core.Node{{Host: "s-x", Addr: "127.0.0.1:7", Zone: "west",
 		Kind: "std", Readiness: logic.Ready, Units: 1, Born: 1e12 - 1}}}
 	a.step(0, list)
-	b.step(0, core.List{Kind: logic.ListWhole, Nodes: []core.Node{{Host: "s-y", Addr: "127.0.0.1:8", Zone: "west",
+	b.step(0, core.List{Kind: logic.ListFull, Nodes: []core.Node{{Host: "s-y", Addr: "127.0.0.1:8", Zone: "west",
 		Kind: "std", Readiness: logic.Ready, Units: 1}}}, list)
 	assert.Equal(t, a.c.Number("s-x"), b.c.Number("s-x"))
 	assert.NotZero(t, a.c.Number("s-x"))
--- a/internal/core/dispatches.go
+++ b/internal/core/dispatches.go
@@ -33,14 +33,14 @@
 			c.emit(Watch{})
 		case logic.Probe:
 			c.probe(a.Node, false)
-		case logic.Short:
+		case logic.FleetBudgetDenied:
 			if c.limiter != nil {
 				c.Counts.Short++
 				c.limiter.Further() // the result does not matter: the request records that this broker needs more budget
 			}
-		case logic.Tell:
+		case logic.SendNote:
 			c.emit(Tell{Note: a.Note})
-		case logic.Judged:
+		case logic.OutcomeRecorded:
 			if at := c.knownNodes[a.Node]; at != nil {
 				how := logic.Overdue // no answer: the module's timeout has passed
 				if a.Whole {
@@ -50,7 +50,7 @@
 				}
 				c.emit(Judged{Host: at.host, Outcome: how, Late: a.Late})
 			}
-		case logic.Note:
+		case logic.WriteLog:
 			c.emit(Log{Text: a.Text})
 		case logic.Fatal:
 			c.emit(Log{Text: a.Text, Fatal: true})
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -192,7 +192,7 @@
 		return
 	}
 	if left := c.limiter.Left(); !math.IsInf(left, 1) {
-		c.events = append(c.events, logic.Event{Kind: logic.FurtherLeft, Amount: left})
+		c.events = append(c.events, logic.Event{Kind: logic.FleetBudgetChanged, Amount: left})
 	}
 }
 
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -23,7 +23,7 @@
 		"tableType.0.name": "board", "tableType.0.target": 500.0, "tableType.0.timeout": 2000.0, "tableType.0.benefit": 1.0,
 		"tableType.0.effect": "replayable", "layout.need.0": 1.0, "layout.floor.0": 1.0, "areas.count": 1.0, "areas.0": "z", "kinds.count": 1.0,
 		"kinds.0": "std"}
-	site, err := terms.Read(flat)
+	site, err := terms.ReadSettings(flat)
 	require.NoError(t, err)
 	var nodes []Node
 	for i := range 8 {
@@ -92,7 +92,7 @@
 			nodes[i].Readiness = logic.Gone
 		}
 	}
-	c.Step(1010, []Input{List{Kind: logic.ListWhole, Nodes: nodes}})
+	c.Step(1010, []Input{List{Kind: logic.ListFull, Nodes: nodes}})
 	var away []string
 	for _, o := range c.Step(1015, []Input{board("x", "bad"), board("y", "good")}) {
 		if r, is := o.(Reply); is {
--- a/internal/core/nodes.go
+++ b/internal/core/nodes.go
@@ -34,7 +34,7 @@
 		e.Entries = append(e.Entries, logic.Entry{Node: num, Zone: c.index(c.settings.Zones, n.Zone),
 			Kind: c.index(c.settings.Kinds, n.Kind), Cell: n.Cell, Readiness: n.Readiness, Units: n.Units, Born: n.Born})
 	}
-	if l.Kind == logic.ListWhole || l.Kind == logic.ListCached {
+	if l.Kind == logic.ListFull || l.Kind == logic.ListCached {
 		for num, at := range c.knownNodes {
 			if !named[num] && !at.gone {
 				at.gone, at.ready = true, false
@@ -89,11 +89,11 @@
 			c.drained[v.Host] = true
 		}
 		if known && !c.knownNodes[num].gone {
-			c.applyList(List{Kind: logic.ListChanges, Nodes: []Node{c.knownNodes[num].node}})
+			c.applyList(List{Kind: logic.ListDelta, Nodes: []Node{c.knownNodes[num].node}})
 		}
 	}
 	if known && !c.knownNodes[num].gone && v.Outcome != 0 {
-		c.events = append(c.events, logic.Event{Kind: logic.VerdictHeard, Node: num, Outcome: v.Outcome, Age: v.Age})
+		c.events = append(c.events, logic.Event{Kind: logic.VerdictReceived, Node: num, Outcome: v.Outcome, Age: v.Age})
 	}
 }
 
--- a/internal/core/shared_test.go
+++ b/internal/core/shared_test.go
@@ -24,7 +24,7 @@
 // brokers; the result of another broker goes to the module with its age.
 func TestSharedProbes(t *testing.T) {
 	list := []Node{{Host: "s-a", Addr: "127.0.0.1:2", Readiness: logic.Ready}, {Host: "s-b", Addr: "127.0.0.1:3", Readiness: logic.Draining}}
-	k := New(terms.Site{ConnectTimeout: 250}, nil, 1, list)
+	k := New(terms.Settings{ConnectTimeout: 250}, nil, 1, list)
 	assert.Equal(t, Listed{Hosts: []string{"s-a"}, Nodes: list}, k.Share())
 	step(k, 1000)
 	for _, host := range []string{"s-b", "s-x"} {
@@ -50,7 +50,7 @@
 	require.Len(t, k.events, 1, "results for an unknown node are dropped")
 	e := k.events[0]
 	assert.Equal(t, [3]any{logic.Completed, 40.0, k.Number("s-a")}, [3]any{e.Outcome, e.Age, e.Node})
-	out = step(k, 1700, List{Kind: logic.ListChanges, Nodes: []Node{{Host: "s-a", Readiness: logic.Gone}}})
+	out = step(k, 1700, List{Kind: logic.ListDelta, Nodes: []Node{{Host: "s-a", Readiness: logic.Gone}}})
 	assert.Contains(t, out, Listed{Nodes: list[1:]}, "the list is emitted")
 }
 
@@ -58,17 +58,17 @@
 // nodes, reach the module.
 func TestOperatorDrain(t *testing.T) {
 	list := []Node{{Host: "s-a", Addr: "127.0.0.1:2", Readiness: logic.Ready}}
-	k := New(terms.Site{}, nil, 1, list)
+	k := New(terms.Settings{}, nil, 1, list)
 	k.Share()
 	step(k, 1000)
 	k.applyVerdict(Held{Host: "s-a", Outcome: logic.Errored, Age: 30, Drained: true})
 	require.Len(t, k.events, 2)
 	assert.Equal(t, logic.Draining, k.events[0].Entries[0].Readiness)
-	assert.Equal(t, [4]any{logic.VerdictHeard, k.Number("s-a"), logic.Errored, 30.0}, [4]any{k.events[1].Kind, k.events[1].Node, k.events[1].Outcome, k.events[1].Age})
+	assert.Equal(t, [4]any{logic.VerdictReceived, k.Number("s-a"), logic.Errored, 30.0}, [4]any{k.events[1].Kind, k.events[1].Node, k.events[1].Outcome, k.events[1].Age})
 	assert.Empty(t, k.nodeList().Hosts, "it is not probed")
 	assert.Equal(t, list, k.nodeList().Nodes, "other brokers get what the list reports")
 	k.events = nil
-	k.applyList(List{Kind: logic.ListWhole, Nodes: list})
+	k.applyList(List{Kind: logic.ListFull, Nodes: list})
 	assert.Equal(t, logic.Draining, k.events[0].Entries[0].Readiness, "whatever the list reports")
 	k.events = nil
 	k.applyVerdict(Held{Host: "s-a", Outcome: logic.Completed})
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -278,9 +278,9 @@
 		return
 	}
 	defer w.finishFirst()
-	kind := logic.ListChanges
+	kind := logic.ListDelta
 	if l.Whole {
-		kind = logic.ListWhole
+		kind = logic.ListFull
 	} else if len(l.Hosts) == 0 {
 		return
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -91,11 +91,11 @@
 	a := watch(t, 41, false)
 	assert.Equal(t, "/v1/servers?since=41&timeout_ms=1", next(t, a.requests), "the first call is answered at once")
 	a.replies <- body(`{"seq":43,"whole":false,"hosts":[` + fmt.Sprintf(line, "DRAINING") + `]}`)
-	assert.Equal(t, core.List{Kind: logic.ListChanges, Nodes: []core.Node{{Host: "s-1", Addr: "127.0.0.1:8000", Zone: "a",
+	assert.Equal(t, core.List{Kind: logic.ListDelta, Nodes: []core.Node{{Host: "s-1", Addr: "127.0.0.1:8000", Zone: "a",
 		Kind: "m2", Cell: 3, Readiness: logic.Draining, Units: 1.5, Born: 7}}}, next(t, a.updates))
 	assert.Equal(t, since(43), next(t, a.requests))
 	a.replies <- "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{\"s\r\n" + "1f\r\neq\":44,\"whole\":true,\"hosts\":[]}\r\n0\r\n\r\n"
-	assert.Equal(t, core.List{Kind: logic.ListWhole}, next(t, a.updates), "an empty whole list is a list")
+	assert.Equal(t, core.List{Kind: logic.ListFull}, next(t, a.updates), "an empty whole list is a list")
 	assert.Equal(t, since(44), next(t, a.requests))
 	a.replies <- body(`{"seq":44,"whole":false,"hosts":[]}`)
 	assert.Equal(t, since(44), next(t, a.requests), "an empty change is not delivered")
@@ -103,12 +103,12 @@
 	assert.Equal(t, logic.ListFailed, next(t, a.updates).Kind, "the body is not JSON")
 	assert.Equal(t, "/v1/servers", next(t, a.requests), "a change may be lost, so the whole list is requested")
 	a.replies <- body(`{"seq":44,"whole":true,"hosts":[]}`)
-	assert.Equal(t, logic.ListWhole, next(t, a.updates).Kind)
+	assert.Equal(t, logic.ListFull, next(t, a.updates).Kind)
 	assert.Equal(t, since(44), next(t, a.requests))
 	a.replies <- body(`{"seq":40,"whole":false,"hosts":[` + fmt.Sprintf(line, "SERVING") + `]}`)
 	assert.Equal(t, "/v1/servers", next(t, a.requests), "a version that goes backwards: the whole list is requested")
 	a.replies <- body(`{"seq":40,"whole":true,"hosts":[` + fmt.Sprintf(line, "SERVING") + `]}`)
-	assert.Equal(t, logic.ListWhole, next(t, a.updates).Kind, "the list with the lower version is not delivered")
+	assert.Equal(t, logic.ListFull, next(t, a.updates).Kind, "the list with the lower version is not delivered")
 	assert.Equal(t, since(40), next(t, a.requests))
 	a.replies <- "" // closed during a watch: the whole list is requested at once, since a change may be lost
 	assert.Equal(t, "/v1/servers", next(t, a.requests))
@@ -202,7 +202,7 @@
 	case <-time.After(3 * answerGrace): // the answer is late
 	}
 	a.replies <- body(`{"seq":44,"whole":true,"hosts":[]}`)
-	assert.Equal(t, logic.ListWhole, next(t, a.updates).Kind)
+	assert.Equal(t, logic.ListFull, next(t, a.updates).Kind)
 	assert.Equal(t, "/v1/servers?since=44&timeout_ms=1000", next(t, a.requests), "discovery may start a watch late")
 	a.replies <- body(`{"seq":44,"whole":false,"hosts":[]}`)
 	assert.Equal(t, "/v1/servers?since=44&timeout_ms=3000", next(t, a.requests), "the watch continues")
@@ -223,7 +223,7 @@
 	a.replies <- ""
 	next(t, a.requests)
 	a.replies <- body(`{"seq":42,"whole":true,"hosts":[]}`)
-	assert.Equal(t, logic.ListWhole, next(t, a.updates).Kind)
+	assert.Equal(t, logic.ListFull, next(t, a.updates).Kind)
 	assert.Less(t, time.Since(back), 500*time.Millisecond)
 }
 
--- a/internal/emulator/plain.go
+++ b/internal/emulator/plain.go
@@ -106,7 +106,7 @@
 		case core.Ended:
 			p.ended(v)
 		case core.List:
-			if v.Kind == logic.ListWhole {
+			if v.Kind == logic.ListFull {
 				clear(p.nodes)
 			}
 			for _, n := range v.Nodes {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -31,7 +31,7 @@
 // Gullstair makes the real broker: core and decision module as they are.
 func Gullstair(f *Fleet, ordinal, zone int, seed uint64, known []core.Node) (Decider, error) {
 	flat := f.settings(ordinal, zone)
-	site, err := terms.Read(flat)
+	site, err := terms.ReadSettings(flat)
 	if err != nil {
 		return nil, err
 	}
@@ -748,7 +748,7 @@
 		w.live.told(s, e)
 		return
 	}
-	w.tell(s, s.boot, core.List{Kind: logic.ListChanges, Nodes: []core.Node{e}})
+	w.tell(s, s.boot, core.List{Kind: logic.ListDelta, Nodes: []core.Node{e}})
 }
 
 // tellAll gives every broker the whole list, as discovery does when it is back.
@@ -777,5 +777,5 @@
 			s.told = append(s.told, e)
 		}
 	}
-	w.tell(s, s.boot, core.List{Kind: logic.ListWhole, Nodes: slices.Clone(s.told)})
+	w.tell(s, s.boot, core.List{Kind: logic.ListFull, Nodes: slices.Clone(s.told)})
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -25,7 +25,7 @@
 
 const testTimeout = 20 * time.Second // 5 s was too short on four loaded cores
 
-var testSite = terms.Site{Shards: 12, Types: []terms.TableType{{Name: "board"}, {Name: "fix", Keyed: true}},
+var testSite = terms.Settings{Shards: 12, Types: []terms.TableType{{Name: "board"}, {Name: "fix", Keyed: true}},
 	TypeIndex: map[string]int{"board": 0, "fix": 1}}
 
 // harness is a Front whose scans go to the test instead of a core.
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -34,7 +34,7 @@
 // Front serves clients. It calls OnScan with each scan, and OnDisconnect with each scan whose client disconnected; both
 // may block.
 type Front struct {
-	Site terms.Site
+	Site terms.Settings
 	Now  func() float64
 	Take func(*core.Scan)
 	Left func(*core.Scan)
--- a/internal/simwire/notes_test.go
+++ b/internal/simwire/notes_test.go
@@ -26,7 +26,7 @@
 	}
 	var out bytes.Buffer
 	w := bufio.NewWriter(&out)
-	WriteAction(w, 3, logic.Action{Kind: logic.Tell, Note: []byte("hi 7")})
+	WriteAction(w, 3, logic.Action{Kind: logic.SendNote, Note: []byte("hi 7")})
 	w.Flush()
 	assert.Equal(t, "NOTIFY brokerId=3 peer=* contents=68692037\n", out.String())
 }
--- a/internal/simwire/read.go
+++ b/internal/simwire/read.go
@@ -132,7 +132,7 @@
 		return
 	case "LAUNCH":
 		turn.Stopped, turn.Events = true, nil
-		e.Kind, e.Seed, e.Terms = logic.Started, uint64(f.integer("prng", true)), f.terms("options")
+		e.Kind, e.Seed, e.Settings = logic.Started, uint64(f.integer("prng", true)), f.terms("options")
 	case "ANNOUNCE":
 		e.Kind, e.List = logic.ListArrived, enumValue(f, "kind", listKindNames)
 		if f.err == nil && e.List != logic.ListFailed {
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -44,7 +44,7 @@
 	assert.True(t, b.Turns[1].Stopped)
 	require.Len(t, b.Turns[1].Events, 1, "events before the stop are dropped")
 	assert.Equal(t, map[string]any{"tableType.count": 1.0, "tableType.0.target": 2000.0,
-		"tableType.0.effect": "keyed", "tableType.0.name": "a b=c"}, b.Turns[1].Events[0].Terms)
+		"tableType.0.effect": "keyed", "tableType.0.name": "a b=c"}, b.Turns[1].Events[0].Settings)
 	b, err = r.Next()
 	require.NoError(t, err)
 	assert.Empty(t, b.Turns)
--- a/internal/simwire/values.go
+++ b/internal/simwire/values.go
@@ -14,7 +14,7 @@
 
 var (
 	readinessNames = map[string]logic.Readiness{"ready": logic.Ready, "draining": logic.Draining, "gone": logic.Gone}
-	listKindNames  = map[string]logic.ListKind{"delta": logic.ListChanges, "full": logic.ListWhole,
+	listKindNames  = map[string]logic.ListKind{"delta": logic.ListDelta, "full": logic.ListFull,
 		"cached": logic.ListCached, "failed": logic.ListFailed}
 	outcomeNames = map[string]logic.Outcome{"completed": logic.Completed, "errored": logic.Errored,
 		"saturated": logic.Saturated, "overdue": logic.Overdue, "refused_conn": logic.ConnRefused,
--- a/internal/simwire/write.go
+++ b/internal/simwire/write.go
@@ -62,10 +62,10 @@
 	case logic.Subscribe:
 		begin("KEEP_INFORMED")
 		flag("on", true)
-	case logic.Tell:
+	case logic.SendNote:
 		begin("NOTIFY")
 		w.WriteString(" peer=* contents=" + hex.EncodeToString(a.Note))
-	case logic.Note:
+	case logic.WriteLog:
 		begin("WRITE_LOG")
 		w.WriteString(" bodyText=" + singleLine(a.Text))
 	case logic.Fatal:
--- a/internal/terms/site.go
+++ b/internal/terms/site.go
@@ -7,16 +7,16 @@
 
 // Settings holds the start settings that the sockets need: the indexes that the module uses in place of names, and the
 // limits on connections. Times are in milliseconds.
-type Site struct {
-	Types                      []TableType
-	TypeIndex                  map[string]int
-	Zones, Kinds, Tenants      map[string]int
-	Shards, Cells, Reach       int
-	Batch, PerConn             int // most parts in one call; most concurrent parts on one connection
-	Dispatches, OpenCap        int // most dispatches of a part; most open scans and parts, 0: not set
-	Turn                       float64
-	ConnIdle, ConnectTimeout   float64
-	RetryAfterAllowed, AskList bool // answers may carry a retry time; the node list must be requested
+type Settings struct {
+	Types                            []TableType
+	TypeIndex                        map[string]int
+	Zones, Kinds, Tenants            map[string]int
+	Shards, Cells, Reach             int
+	Batch, PartsPerConn              int // most parts in one call; most concurrent parts on one connection
+	Dispatches, OpenCap              int // most dispatches of a part; most open scans and parts, 0: not set
+	Turn                             float64
+	ConnIdle, ConnectTimeout         float64
+	RetryAfterAllowed, SubscribeList bool // answers may carry a retry time; the node list must be requested
 }
 
 // TableType holds the settings of a table type that the sockets need.
@@ -29,7 +29,7 @@
 }
 
 // ReadSettings extracts Settings from the module's map. Its error names the first value that is missing or invalid.
-func Read(flat map[string]any) (Site, error) {
+func ReadSettings(flat map[string]any) (Settings, error) {
 	var fault error
 	num := func(name string, least, most, other float64) float64 {
 		x, ok := flat[name].(float64)
@@ -52,10 +52,10 @@
 		}
 		return m
 	}
-	s := Site{TypeIndex: index("tableType"), Zones: index("areas"), Kinds: index("kinds"), Tenants: index("tenant"),
+	s := Settings{TypeIndex: index("tableType"), Zones: index("areas"), Kinds: index("kinds"), Tenants: index("tenant"),
 		Shards: int(num("layout.shards", 1, 1e6, -1)), Cells: int(num("layout.cells", 1, 1e6, -1)),
 		Reach: int(num("layout.reach", 1, 1e6, -1)), Batch: int(num("layout.batch", 1, 1e5, -1)),
-		PerConn: int(num("limit.multiplex", 1, 1e6, 1)), Dispatches: int(num("limit.dispatches", 1, 1e6, -1)),
+		PartsPerConn: int(num("limit.multiplex", 1, 1e6, 1)), Dispatches: int(num("limit.dispatches", 1, 1e6, -1)),
 		OpenCap: int(num("limit.openCap", 0, 1e9, 0)), Turn: num("turn", 0, 1e4, -1),
 		ConnIdle: num("limit.connIdle", 1, 1e9, 15000), ConnectTimeout: num("limit.connectTimeout", 1, 1e6, 250)}
 	// Settings that only the module reads are checked too, so that a fault prevents the start instead of failing scans.
@@ -73,7 +73,7 @@
 		}
 	}
 	s.RetryAfterAllowed, _ = flat["limit.retryAfter"].(bool)
-	s.AskList = flat["discovery"] == "subscribe"
+	s.SubscribeList = flat["discovery"] == "subscribe"
 	for i := range int(num("tableType.count", 1, 1e5, -1)) {
 		name, _ := flat[fmt.Sprintf("tableType.%d.name", i)].(string)
 		s.Types = append(s.Types, TableType{Name: name, Keyed: flat[fmt.Sprintf("tableType.%d.effect", i)] == "keyed",
--- a/logic/dispatch.go
+++ b/logic/dispatch.go
@@ -102,7 +102,7 @@
 	}
 	why := b.blockedBy(p, &b.settings)
 	if why == "fleet" {
-		b.emit(Action{Kind: Short})
+		b.emit(Action{Kind: FleetBudgetDenied})
 	}
 	return why == ""
 }
--- a/logic/gossip.go
+++ b/logic/gossip.go
@@ -13,7 +13,7 @@
 	}
 	b.compareShadowNotes()
 	for i := 0; i < len(b.records) && b.flag("limit.peers"); i += noteMaxSize {
-		b.emit(Action{Kind: Tell, Note: b.records[i:min(i+noteMaxSize, len(b.records))], Wide: wide})
+		b.emit(Action{Kind: SendNote, Note: b.records[i:min(i+noteMaxSize, len(b.records))], ToAll: wide})
 	}
 }
 
--- a/logic/health.go
+++ b/logic/health.go
@@ -30,7 +30,7 @@
 		return false
 	}
 	if b.flag("share.verdicts") {
-		b.emit(Action{Kind: Judged, Node: b.nodeID[n], Whole: success, Late: late})
+		b.emit(Action{Kind: OutcomeRecorded, Node: b.nodeID[n], Whole: success, Late: late})
 	}
 	if !success {
 		b.records = appendRecord(b.records, b.nodeID[n], noteFailure)
--- a/logic/helpers_test.go
+++ b/logic/helpers_test.go
@@ -43,7 +43,7 @@
 
 func startBroker(_ *testing.T, changes map[string]any, list []Entry) *testBroker {
 	r := &testBroker{now: 50000}
-	r.step(0, Event{Kind: Started, Seed: 7, Terms: testSettings(changes)},
+	r.step(0, Event{Kind: Started, Seed: 7, Settings: testSettings(changes)},
 		Event{Kind: ListArrived, List: ListCached, Entries: list})
 	return r
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -77,13 +77,13 @@
 			}
 		case StreamBegan:
 			b.streamBegan(e)
-		case TermsChanged:
+		case SettingsChanged:
 			b.applySettings(e)
 		case PeerNote:
 			b.applyNote(e.Note)
-		case VerdictHeard:
+		case VerdictReceived:
 			b.applyVerdict(e)
-		case FurtherLeft:
+		case FleetBudgetChanged:
 			b.fleetBudget = e.Amount
 		case TimerDue:
 			if b.markDirty(b.scanByNum[e.Timer]); e.Timer == listTimer {
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -178,10 +178,10 @@
 		list Event
 		gets []int64 // nodes that may get shard 0
 	}{
-		{"draining", Event{List: ListChanges, Entries: one(100, Draining)}, []int64{101}},
-		{"gone", Event{List: ListChanges, Entries: one(101, Gone)}, []int64{100}},
-		{"missing from a whole list", Event{List: ListWhole, Entries: one(101, Ready)}, []int64{101}},
-		{"empty list", Event{List: ListWhole}, nil},
+		{"draining", Event{List: ListDelta, Entries: one(100, Draining)}, []int64{101}},
+		{"gone", Event{List: ListDelta, Entries: one(101, Gone)}, []int64{100}},
+		{"missing from a whole list", Event{List: ListFull, Entries: one(101, Ready)}, []int64{101}},
+		{"empty list", Event{List: ListFull}, nil},
 		{"failed call: the old list stays", Event{List: ListFailed}, []int64{100, 101}},
 	} {
 		r := startBroker(t, nil, ringOfNodes(4))
@@ -198,7 +198,7 @@
 	r := startBroker(t, nil, nil) // without a list the part waits, and leaves once the list arrives
 	r.step(1, append(scanEvents(1, 3, 6000, 0, 99), scanEvents(2, 0, 6000, 0, 99)...)...)
 	assert.Empty(t, filterActions(r.actions, Dispatch))
-	r.step(50, Event{Kind: ListArrived, List: ListWhole, Entries: ringOfNodes(4)})
+	r.step(50, Event{Kind: ListArrived, List: ListFull, Entries: ringOfNodes(4)})
 	assert.Len(t, filterActions(r.step(100, timerEvent(1)), Dispatch), 1, "the part of a shard without a holder keeps waiting")
 	assert.Empty(t, filterActions(r.step(1, timerEvent(2)), Dispatch), "a scan that needs a shard without a holder is not started")
 	r.step(5850, timerEvent(1), timerEvent(2))
@@ -463,7 +463,7 @@
 	}
 	r, wide := startBroker(t, map[string]any{"layout.cells": 320.0, "layout.shards": 640.0, "brokers": 170.0}, nil), make([]int, 200)
 	for i := 0; i < 320; i += 40 { // the list arrives in pieces
-		r.step(1, Event{Kind: ListArrived, List: ListChanges, Entries: ringOfNodes(320)[i : i+40]})
+		r.step(1, Event{Kind: ListArrived, List: ListDelta, Entries: ringOfNodes(320)[i : i+40]})
 	}
 	for i := range wide {
 		wide[i] = (i + 250) % 640
@@ -478,7 +478,7 @@
 		var rigs []*testBroker
 		for i := 0; i < brokers; i++ {
 			rigs = append(rigs, &testBroker{now: 50000})
-			rigs[i].step(0, Event{Kind: Started, Seed: uint64(i), Terms: testSettings(map[string]any{"brokers": float64(brokers),
+			rigs[i].step(0, Event{Kind: Started, Seed: uint64(i), Settings: testSettings(map[string]any{"brokers": float64(brokers),
 				"ordinal": float64(i), "layout.cells": 1.0, "layout.shards": 2.0, "layout.reach": 1.0})},
 				Event{Kind: ListArrived, List: ListCached, Entries: list})
 		}
@@ -679,12 +679,12 @@
 	r.b.history[0], r.b.latencyAt[0], r.b.openWork[0] = 0, r.now, 7
 	for i := range int64(50) {
 		list := []Entry{{Node: 200 + i, Cell: 1, Readiness: Ready, Units: 1}}
-		r.step(100, Event{Kind: ListArrived, List: ListWhole, Entries: list})
+		r.step(100, Event{Kind: ListArrived, List: ListFull, Entries: list})
 	}
 	assert.Len(t, r.b.nodeID, 54, "the longest query timeout has not passed")
 	for i := range int64(200) {
 		list := []Entry{{Node: 300 + i, Cell: 1, Readiness: Ready, Units: 1}}
-		r.step(100, Event{Kind: ListArrived, List: ListWhole, Entries: list})
+		r.step(100, Event{Kind: ListArrived, List: ListFull, Entries: list})
 	}
 	assert.Less(t, len(r.b.nodeID), 70)
 	assert.Len(t, r.b.index, len(r.b.nodeID))
--- a/logic/move_test.go
+++ b/logic/move_test.go
@@ -9,7 +9,7 @@
 
 // sentRecords returns the records of all notes among acts.
 func sentRecords(acts []Action) (records [][]byte) {
-	for _, a := range filterActions(acts, Tell) {
+	for _, a := range filterActions(acts, SendNote) {
 		for at := 0; at+noteRecordSize <= len(a.Note); at += noteRecordSize {
 			records = append(records, a.Note[at:at+noteRecordSize])
 		}
@@ -99,13 +99,13 @@
 	for _, note := range [][]byte{nil, {1}, {1, 2, 3, 4}, make([]byte, 300)} {
 		r := startBroker(t, peerSettings, ringOfNodes(4))
 		acts := r.step(1, Event{Kind: PeerNote, Note: note})
-		assert.Len(t, filterActions(acts, Note), 1)
+		assert.Len(t, filterActions(acts, WriteLog), 1)
 		assert.Zero(t, r.b.answers)
 	}
 	r := startBroker(t, peerSettings, ringOfNodes(4))
 	var said []string
 	for range 9 {
-		for _, a := range filterActions(r.step(1, Event{Kind: PeerNote, Note: []byte{1}}), Note) {
+		for _, a := range filterActions(r.step(1, Event{Kind: PeerNote, Note: []byte{1}}), WriteLog) {
 			said = append(said, a.Text[len(a.Text)-2:])
 		}
 	}
@@ -204,7 +204,7 @@
 	backoffs := func(seed uint64, changes map[string]any) (all []float64) {
 		r := &testBroker{now: 50000}
 		changes["discovery"] = "subscribe"
-		acts := r.step(0, Event{Kind: Started, Seed: seed, Terms: testSettings(changes)})
+		acts := r.step(0, Event{Kind: Started, Seed: seed, Settings: testSettings(changes)})
 		assert.Len(t, filterActions(acts, Subscribe), 1, "requested at start")
 		for range 8 {
 			acts := filterActions(r.step(1, Event{Kind: ListArrived, List: ListFailed}), SetTimer)
@@ -212,7 +212,7 @@
 			all = append(all, acts[0].After)
 			assert.Len(t, filterActions(r.step(acts[0].After, timerEvent(listTimer)), Subscribe), 1)
 		}
-		r.step(1, Event{Kind: ListArrived, List: ListWhole, Entries: ringOfNodes(4)})
+		r.step(1, Event{Kind: ListArrived, List: ListFull, Entries: ringOfNodes(4)})
 		again := filterActions(r.step(1, Event{Kind: ListArrived, List: ListFailed}), SetTimer)
 		assert.LessOrEqual(t, again[0].After, ejectionTime, "a list resets the backoff")
 		return all
@@ -249,7 +249,7 @@
 	judged := func(num int64, took float64) Action {
 		t.Helper()
 		r.step(1, scanEvents(num, 0, 6000, 0)...)
-		all := filterActions(r.step(took, r.dispatchEnded(1000*num+1, 0, Completed, took)), Judged)
+		all := filterActions(r.step(took, r.dispatchEnded(1000*num+1, 0, Completed, took)), OutcomeRecorded)
 		assert.Len(t, all, 1)
 		return all[0]
 	}
@@ -261,7 +261,7 @@
 
 	n := r.b.index[100]
 	before := r.b.loadFactor(n)
-	verdict := func(how Outcome) Event { return Event{Kind: VerdictHeard, Node: 100, Outcome: how} }
+	verdict := func(how Outcome) Event { return Event{Kind: VerdictReceived, Node: 100, Outcome: how} }
 	r.step(5000, verdict(Saturated))
 	assert.Greater(t, r.b.loadFactor(n), 2*before)
 	assert.False(t, r.b.unhealthy(n))
--- a/logic/notes.go
+++ b/logic/notes.go
@@ -46,6 +46,6 @@
 // the log.
 func (b *Broker) countMalformed() {
 	if b.malformed++; bits.OnesCount(uint(b.malformed)) == 1 {
-		b.emit(Action{Kind: Note, Text: fmt.Sprintf("notes of other brokers that could not be read: %d", b.malformed)})
+		b.emit(Action{Kind: WriteLog, Text: fmt.Sprintf("notes of other brokers that could not be read: %d", b.malformed)})
 	}
 }
--- a/logic/slowstart_test.go
+++ b/logic/slowstart_test.go
@@ -41,7 +41,7 @@
 	nodes := []Entry{{Node: coldNode + 1, Readiness: Ready, Units: 1}, {Node: coldNode + 2, Readiness: Ready, Units: 1}}
 	for i := range brokers {
 		r := &testBroker{now: fleetStart - 10000}
-		r.step(0, Event{Kind: Started, Seed: seed + uint64(i), Terms: testSettings(map[string]any{"brokers": float64(brokers), "ordinal": float64(i),
+		r.step(0, Event{Kind: Started, Seed: seed + uint64(i), Settings: testSettings(map[string]any{"brokers": float64(brokers), "ordinal": float64(i),
 			"layout.cells": 1.0, "layout.shards": 2.0, "layout.reach": 1.0})}, Event{Kind: ListArrived, List: ListCached, Entries: nodes})
 		f.brokers = append(f.brokers, r)
 	}
@@ -91,7 +91,7 @@
 // announceColdNode adds the node that has just started to the lists of all brokers.
 func (f *fleetTest) announceColdNode() {
 	for i, r := range f.brokers {
-		f.handleActions(i, r.step(0, Event{Kind: ListArrived, List: ListChanges,
+		f.handleActions(i, r.step(0, Event{Kind: ListArrived, List: ListDelta,
 			Entries: []Entry{{Node: coldNode, Readiness: Ready, Units: 1, Born: r.now}}}))
 	}
 }
--- a/logic/state.go
+++ b/logic/state.go
@@ -168,7 +168,7 @@
 		if b.state[n] != Gone {
 			b.listedAt[n] = b.now
 		}
-		if e.List != ListChanges {
+		if e.List != ListDelta {
 			b.state[n] = Gone
 		}
 	}
@@ -202,8 +202,8 @@
 
 // start resets the broker and reads its settings.
 func (b *Broker) start(e *Event) {
-	*b = Broker{now: b.now, settings: settings{values: e.Terms}, shadow: settings{values: e.Watched},
-		diffCounts: e.Differs, scans: map[int64]*scan{}, scanByNum: map[int64]*scan{},
+	*b = Broker{now: b.now, settings: settings{values: e.Settings}, shadow: settings{values: e.ShadowSettings},
+		diffCounts: e.ShadowDiffs, scans: map[int64]*scan{}, scanByNum: map[int64]*scan{},
 		parts: map[int64]*part{}, index: map[int64]int{}, turnCalls: map[int]*call{},
 		saturation: map[int]float64{}, retries: map[int][][2]float64{}, accepted: map[int][][2]float64{},
 		noteState: noteState{nodeByCode: map[uint16]int{}}, kindLatency: map[int][2]float64{}, prefills: map[int]bool{},
@@ -222,7 +222,7 @@
 
 // applySettings applies settings that changed at run time. Table types keep their numbers; new ones follow.
 func (b *Broker) applySettings(e *Event) {
-	b.settings = settings{values: e.Terms}
+	b.settings = settings{values: e.Settings}
 	b.readTypes(len(b.types))
 }
 
--- a/logic/types.go
+++ b/logic/types.go
@@ -14,22 +14,22 @@
 	ProbeEnded
 	StreamBegan
 	PeerNote
-	VerdictHeard // several brokers, or an operator, judge a node: Node, Outcome, Age of the newest observation behind it
-	TermsChanged // Settings: the new settings; table types keep their numbers, new ones follow
-	FurtherLeft  // Amount: further dispatches left for this broker in the fleet's budget
+	VerdictReceived    // several brokers, or an operator, judge a node: Node, Outcome, Age of the newest observation behind it
+	SettingsChanged    // Settings: the new settings; table types keep their numbers, new ones follow
+	FleetBudgetChanged // Amount: further dispatches left for this broker in the fleet's budget
 )
 
 // Event is one thing that happened to this broker. Only the fields of its kind are set.
 type Event struct {
 	Kind EventKind
 
-	Seed  uint64
-	Terms map[string]any // the settings by name; times are in milliseconds
+	Seed     uint64
+	Settings map[string]any // the settings by name; times are in milliseconds
 
 	// ShadowSettings is a complete second set of settings, or nil. They affect no decision: Step counts in ShadowDiffs, by
 	// kind, where they would have decided otherwise.
-	Watched map[string]any
-	Differs map[string]int
+	ShadowSettings map[string]any
+	ShadowDiffs    map[string]int
 
 	List    ListKind
 	Entries []Entry
@@ -77,8 +77,8 @@
 type ListKind int
 
 const (
-	ListChanges ListKind = iota + 1
-	ListWhole
+	ListDelta ListKind = iota + 1
+	ListFull
 	ListCached
 	ListFailed
 )
@@ -129,10 +129,10 @@
 	SetTimer
 	Probe
 	Subscribe
-	Note
-	Tell   // send Note to all other brokers
-	Short  // the fleet's budget denied a further dispatch
-	Judged // an outcome of a node: Whole if it succeeded, Late if it was late; only where verdicts are shared
+	WriteLog
+	SendNote          // send Note to all other brokers
+	FleetBudgetDenied // the fleet's budget denied a further dispatch
+	OutcomeRecorded   // an outcome of a node: Whole if it succeeded, Late if it was late; only where verdicts are shared
 	Fatal
 )
 
@@ -150,7 +150,7 @@
 	Work     float64 // and the work that it adds
 	Whole    bool
 	Late     bool
-	Wide     bool // of a note: it must reach all brokers, even where other notes go to some
+	ToAll    bool // of a note: it must reach all brokers, even where other notes go to some
 	Text     string
 	Note     []byte
 }
--- a/logic/watch_test.go
+++ b/logic/watch_test.go
@@ -13,7 +13,7 @@
 	then := maps.Clone(present)
 	maps.Copy(then, other)
 	r := &testBroker{now: 50000}
-	r.step(0, Event{Kind: Started, Seed: 7, Terms: present, Watched: then, Differs: differs},
+	r.step(0, Event{Kind: Started, Seed: 7, Settings: present, ShadowSettings: then, ShadowDiffs: differs},
 		Event{Kind: ListArrived, List: ListCached, Entries: list})
 	return r, differs
 }
