--- a/internal/planted/control.go
+++ b/internal/planted/control.go
@@ -25,7 +25,7 @@
 
 // controlFaults each disable one rule of docs/control.md.
 var controlFaults = []Fault{
-	{"control: an extra fourth voter", votersFile, "	needed := min(t.Seats(), staying+len(able))\n", "	needed := min(t.Seats()+1, staying+len(able))\n	if needed%2 == 0 {\n		return needed\n	}\n", "", ""},
+	{"control: an extra fourth voter", votersFile, "	needed := min(t.MinVoters(), staying+len(able))\n", "	needed := min(t.MinVoters()+1, staying+len(able))\n	if needed%2 == 0 {\n		return needed\n	}\n", "", ""},
 	{"control: no more voters than the losses need", votersFile, "fillBySpread(nil, met, largestOdd(len(met)))", "fillBySpread(nil, met, largestOdd(min(3, len(met))))", "largestOdd(staying+settled)", "largestOdd(needed+0*settled)"},
 	{"control: a seat is added for a newcomer", votersFile, "return m.Settled })", "return m.Settled || true })", "", ""},
 	{"control: seats are taken from those that are cut off", votersFile, "return m.Departed })", "return m.Health == Silent })", "", ""},
@@ -49,7 +49,7 @@
 	{"control: the sets proposed to not kept", attemptFile, "next.Voted = slices.Clone(r.sets)", "next.Voted = nil", "", ""},
 	{"control: the old set not asked to settle a move", attemptFile, "	next.Voted =", "	if !next.Members.Moving() {\n		r.sets = next.Members.Sets\n	}\n	next.Voted =", "", ""},
 	{"control: chosen by the set named alone", lookFile, "	round := Round{sets: l.value.Quorums()}\n", "	round := Round{sets: l.value.Members.Sets}\n", "", ""},
-	{"control: a change begun while one is open", membersFile, "if present.Unsettled() || !from.Equal(present.Members) {", "if !from.Equal(present.Members) {", "", ""},
+	{"control: a change begun while one is open", membersFile, "if present.Reconfiguring() || !from.Equal(present.Members) {", "if !from.Equal(present.Members) {", "", ""},
 	{"control: who missed a value stays behind", settleFile, "if err := n.replica.learn(known); err != nil {", "if err := error(nil); err != nil || known.Ballot.Counter > 1<<62 {", "", ""},
 	{"control: founded on another disk", foundFile, "if !members.Has(a.Self) {", "if false {", "", ""},
 	{"control: a newer version restarts the time of older weights", weightsFile, "	for _, n := range Merge(before, named, Grace(l.bound)) {", "	for _, n := range named[len(named)-1:] {", "", ""},
