--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -115,7 +115,7 @@
 	payloads          payloads
 	fetchingRegister  atomic.Bool // a fetch of the register's value is in progress
 	lastFailedAttempt time.Time   // start of the newest attempt that found no quorum
-	contacts          *voters.Contacts
+	contacts          *voters.FailureDetector
 	reviewRequested   chan struct{} // triggers a review of the voters at once
 
 	exchangeCount int // number of exchanges started
@@ -130,7 +130,7 @@
 func New(s *settings.Settings, logger *log.Logger, environment Environment, packing Packing) (*Node, error) {
 	n := &Node{settings: s, logger: logger, environment: environment, traffic: &peerlink.Traffic{}, store: dissemination.New(), lastUpdate: map[string]time.Time{},
 		proposerID: rand.Uint64() | 1, started: time.Now(), knownChanged: make(chan struct{}), seeds: s.SeedIPs(),
-		proposalTurn: make(chan struct{}, 1), contacts: voters.NewContacts(s.Bounds.CatchUp), reviewRequested: make(chan struct{}, 1), noteHandlers: map[NoteKind]func([]byte){},
+		proposalTurn: make(chan struct{}, 1), contacts: voters.NewFailureDetector(s.Bounds.CatchUp), reviewRequested: make(chan struct{}, 1), noteHandlers: map[NoteKind]func([]byte){},
 		pendingOffers: map[dissemination.ID]dissemination.Version{}, pacer: newPacer(s.LinkMbps), payloads: payloads{packing: packing}}
 	n.client = peerlink.NewClient(environment.Network, n.traffic)
 	n.random = rand.New(rand.NewPCG(n.proposerID, 1))
--- a/internal/cluster/founding.go
+++ b/internal/cluster/founding.go
@@ -82,7 +82,7 @@
 		if time.Since(since) < foundingSettleTime || len(core) == 0 {
 			continue
 		}
-		if len(core) < n.tolerance().Seats() && time.Since(begun) < foundingTimeout {
+		if len(core) < n.tolerance().MinVoters() && time.Since(begun) < foundingTimeout {
 			continue
 		}
 		if core[0] != n.self.IP && time.Since(since) < 2*foundingSettleTime {
@@ -143,7 +143,7 @@
 			met = append(met, voters.Machine{Replica: register.Replica{Address: member.IP, Disk: member.Disk}, Zone: member.Zone, Region: member.Region})
 		}
 	}
-	return register.Single(voters.First(met)...)
+	return register.Single(voters.Initial(met)...)
 }
 
 // installFirstMembers makes every first member store the value that names them. The register exists once all of them
--- a/internal/cluster/replica.go
+++ b/internal/cluster/replica.go
@@ -83,7 +83,7 @@
 // persist writes a state to the disk. The acceptor calls it before it answers.
 func (r *replica) persist(next register.State) error {
 	record := saved{Disk: r.acceptor.Self.Disk, Promise: true, Promised: next.Promised}
-	if checkpoint := r.store.WantsCheckpoint(); checkpoint || next.Accepted != r.acceptor.State.Accepted {
+	if checkpoint := r.store.NeedsCheckpoint(); checkpoint || next.Accepted != r.acceptor.State.Accepted {
 		next.Value.Payload = r.packing.Pack(next.Value.Payload)
 		record = saved{Disk: r.acceptor.Self.Disk, State: next}
 		if checkpoint {
--- a/internal/cluster/rounds.go
+++ b/internal/cluster/rounds.go
@@ -149,7 +149,7 @@
 	}
 	n.observeBallot(r.Highest)
 	switch r.Phase {
-	case register.Outrun:
+	case register.Superseded:
 		return register.Value{}, errSuperseded
 	case register.Refused:
 		return register.Value{}, r.Err
@@ -248,16 +248,16 @@
 		return register.Value{}, ErrNoMembers
 	}
 	begun := time.Now()
-	look := n.inspect(ctx, known, (*register.Look).Done)
+	look := n.inspect(ctx, known, (*register.QuorumRead).Done)
 	switch {
 	case !look.Done():
-		n.logger.Info().Uint64("sequence", known.Value.Sequence).Int("answered", look.Answered()).Dur("took", time.Since(begun)).
+		n.logger.Info().Uint64("sequence", known.Value.Sequence).Int("answered", look.AnswerCount()).Dur("took", time.Since(begun)).
 			Msg("no majority of the replicas answered a read")
 		return register.Value{}, ErrNoQuorum
-	case look.Current():
+	case look.StillNewest():
 		return known.Value, nil
 	}
-	if newest, chosen := look.Newest(); chosen {
+	if newest, chosen := look.NewestChosen(); chosen {
 		n.publishKnown(newest)
 		return newest.Value, nil
 	}
@@ -273,20 +273,20 @@
 // by a majority of the previous voters, so every majority contains a voter that knows of it.
 func (n *Node) VotersStand(ctx context.Context) bool {
 	known, _ := n.Known()
-	look := n.inspect(ctx, known, (*register.Look).Answers)
-	if !look.Answers() {
+	look := n.inspect(ctx, known, (*register.QuorumRead).MajorityAnswered)
+	if !look.MajorityAnswered() {
 		return false
 	}
-	met, any := look.Met()
+	met, any := look.HighestSeen()
 	return !any || met.Members.Equal(known.Value.Members)
 }
 
 // inspect queries the replicas for the values that they hold, until enough reports true or every replica has answered.
-func (n *Node) inspect(ctx context.Context, known register.Known, enough func(*register.Look) bool) *register.Look {
+func (n *Node) inspect(ctx context.Context, known register.Known, enough func(*register.QuorumRead) bool) *register.QuorumRead {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
-	look := register.NewLook(known)
-	asked := look.Inspections()
+	look := register.NewQuorumRead(known)
+	asked := look.Requests()
 	answers := make(chan answer, len(asked))
 	for _, m := range asked {
 		go n.callReplica(ctx, peerlink.Message{Prepare: &m}, m.To, answers)
@@ -296,7 +296,7 @@
 		case <-ctx.Done():
 			return look
 		case a := <-answers:
-			if look.Take(*a.promise); enough(look) {
+			if look.Receive(*a.promise); enough(look) {
 				return look
 			}
 		}
--- a/internal/cluster/settling.go
+++ b/internal/cluster/settling.go
@@ -71,7 +71,7 @@
 		if len(accepted.Value.Members.Sets) == 0 || ctx.Err() != nil || n.registerKnown() {
 			return
 		}
-		if n.inspect(ctx, accepted, (*register.Look).Chosen).Chosen() {
+		if n.inspect(ctx, accepted, (*register.QuorumRead).Chosen).Chosen() {
 			n.publishKnown(accepted)
 			return
 		}
--- a/internal/cluster/voting.go
+++ b/internal/cluster/voting.go
@@ -23,7 +23,7 @@
 	var dueSince time.Time
 	for ctx.Err() == nil {
 		wait := maintenanceInterval
-		if n.Votes() && n.Standing().May(standing.ProposeVoters) {
+		if n.Votes() && n.Standing().Allows(standing.ProposeVoters) {
 			unanswered := n.probe(ctx)
 			dueSince = n.reviewVoters(ctx, dueSince)
 			if unanswered || !dueSince.IsZero() {
@@ -71,16 +71,16 @@
 	known, _ := n.Known()
 	present, learners := n.replicas(known)
 	next, due := voters.Plan(present, learners, n.tolerance())
-	if !due && !known.Value.Unsettled() {
+	if !due && !known.Value.Reconfiguring() {
 		return time.Time{}
 	}
 	if dueSince.IsZero() {
 		dueSince = time.Now()
 	}
-	if !voters.Turn(present, n.replica.id(), time.Since(dueSince)) {
+	if !voters.IsTurn(present, n.replica.id(), time.Since(dueSince)) {
 		return dueSince
 	}
-	if !known.Value.Unsettled() {
+	if !known.Value.Reconfiguring() {
 		n.changeMembers(ctx, "changing the voters", register.Reconfigure(known.Value.Members, next))
 	}
 	n.settleMembers(ctx)
@@ -90,10 +90,10 @@
 // settleMembers completes a membership change.
 func (n *Node) settleMembers(ctx context.Context) {
 	for range 2 { // the first pass reduces the members to the new set, the second proposes the value to that set alone
-		if known, _ := n.Known(); !known.Value.Unsettled() {
+		if known, _ := n.Known(); !known.Value.Reconfiguring() {
 			return
 		}
-		if !n.changeMembers(ctx, "completing a change of the voters", register.Settle) {
+		if !n.changeMembers(ctx, "completing a change of the voters", register.CompleteReconfiguration) {
 			return
 		}
 	}
@@ -111,7 +111,7 @@
 	allKnow := !slices.ContainsFunc(slices.Collect(maps.Values(machines)), func(m Member) bool { return m.Protocol < protocolSections })
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.contacts.Newest(known.Ballot, now)
+	n.contacts.RecordChosen(known.Ballot, now)
 	for _, replica := range known.Value.Members.Last() {
 		member := machines[replica.Address]
 		present = append(present, n.machine(member, replica, now))
@@ -173,7 +173,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.contacts.Forget(func(address string) bool { return !targets[address] })
-	return n.contacts.Quiet()
+	return n.contacts.AnyTimedOut()
 }
 
 func (n *Node) probeOne(ctx context.Context, address string) {
@@ -188,12 +188,12 @@
 	select {
 	case a := <-answers:
 		if a.promise != nil && a.promise.From.Address == address {
-			n.contacts.Answered(a.promise.From, a.promise.Accepted, time.Now())
+			n.contacts.RecordAnswer(a.promise.From, a.promise.Accepted, time.Now())
 			return
 		}
 	default:
 	}
-	n.contacts.Missed(address, begun, time.Now(), probeTimeout)
+	n.contacts.RecordTimeout(address, begun, time.Now(), probeTimeout)
 }
 
 // changeMembers proposes a membership change and reports whether it succeeded.
--- a/internal/journalfile/journalfile.go
+++ b/internal/journalfile/journalfile.go
@@ -59,10 +59,10 @@
 
 // Recovered is what Open found in the directory.
 type Recovered struct {
-	Snapshot []byte   // nil: there is no snapshot
-	Records  [][]byte // the records after the snapshot, in order
-	Cut      int64    // length of the torn tail that was cut off
-	Next     uint64   // the sequence of the next record
+	Snapshot       []byte   // nil: there is no snapshot
+	Records        [][]byte // the records after the snapshot, in order
+	TruncatedBytes int64    // length of the torn tail that was cut off
+	Next           uint64   // the sequence of the next record
 }
 
 // Log is an open log. It is not safe for concurrent use, and only one process may use its directory.
@@ -145,7 +145,7 @@
 		if err != nil && last && !errors.Is(err, ErrWrongOwner) && !laterFrameExists(data, 0) {
 			// The header never reached the disk. It is synced before any record is written, so the segment has no
 			// acknowledged records.
-			r.Cut += int64(len(data))
+			r.TruncatedBytes += int64(len(data))
 			if err := l.disk.Remove(name); err != nil {
 				return fmt.Errorf("log: %w", err)
 			}
@@ -162,11 +162,11 @@
 			return err
 		}
 		if last && seq < l.next {
-			r.Cut += int64(len(data)) - end
+			r.TruncatedBytes += int64(len(data)) - end
 			return nil // the segment lost records that the snapshot covers: the next record starts a new segment
 		}
 		if last {
-			r.Cut += int64(len(data)) - end
+			r.TruncatedBytes += int64(len(data)) - end
 			if l.file, err = l.disk.Append(name, end); err != nil {
 				return fmt.Errorf("log: %w", err)
 			}
--- a/internal/journalfile/journalfile_test.go
+++ b/internal/journalfile/journalfile_test.go
@@ -78,7 +78,7 @@
 		}
 		require.NoError(t, err, "byte %d", at)
 		assert.Len(t, r.Records, 4)
-		assert.Positive(t, r.Cut)
+		assert.Positive(t, r.TruncatedBytes)
 		l.Close()
 	}
 	// Truncate the file at every length, as a crash may: the records before the cut are recovered.
--- a/internal/keepalive/keepalive_test.go
+++ b/internal/keepalive/keepalive_test.go
@@ -105,7 +105,7 @@
 	serve(t, func(s *served) {
 		s.send()
 		require.True(t, s.answered())
-		s.network.SetSlow(serverIP, memnet.Slowness{ToRead: 10 * time.Millisecond})
+		s.network.SetProcessingDelay(serverIP, memnet.ProcessingDelay{BeforeRead: 10 * time.Millisecond})
 		time.Sleep(time.Second)
 		s.send()
 		time.Sleep(5 * time.Millisecond)
@@ -120,7 +120,7 @@
 	serve(t, func(s *served) {
 		s.send()
 		require.True(t, s.answered())
-		s.network.SetSlow(serverIP, memnet.Slowness{ToParse: 10 * time.Millisecond})
+		s.network.SetProcessingDelay(serverIP, memnet.ProcessingDelay{BeforeProcessing: 10 * time.Millisecond})
 		time.Sleep(time.Second)
 		s.send()
 		time.Sleep(5 * time.Millisecond)
--- a/internal/lasting/lasting.go
+++ b/internal/lasting/lasting.go
@@ -138,8 +138,8 @@
 	case empty:
 		// An empty directory cannot be told from one that was lost.
 		incomplete("it is empty")
-	case r.Cut > 0:
-		incomplete("%d bytes of a torn tail were cut", r.Cut)
+	case r.TruncatedBytes > 0:
+		incomplete("%d bytes of a torn tail were cut", r.TruncatedBytes)
 	case fresh || currentPlace != recordedPlace:
 		incomplete("it is a copy: the place that its records name is another one")
 	case changed && touched-last > int64(maxChangeDelay):
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -38,18 +38,18 @@
 	poweredOff       map[string]bool    // hosts without power
 	blockedLinks     map[[2]string]bool // by sender and receiver
 	conns            map[*conn]bool
-	processEnded     map[string][]*atomic.Bool // by host: for each of its processes, whether it was killed
-	bytesSent        map[[2]string]int         // bytes on connections, by sender and receiver
-	links            map[string]*link          // by host: its link, if the rate is limited
-	processingDelays map[string]Slowness       // by host: the delay of its processes
-	lossRate         float64                   // fraction of packets that are lost
+	processEnded     map[string][]*atomic.Bool  // by host: for each of its processes, whether it was killed
+	bytesSent        map[[2]string]int          // bytes on connections, by sender and receiver
+	links            map[string]*link           // by host: its link, if the rate is limited
+	processingDelays map[string]ProcessingDelay // by host: the delay of its processes
+	lossRate         float64                    // fraction of packets that are lost
 	rng              *rand.Rand
 }
 
 // ProcessingDelay is how long a process waits for the CPU.
-type Slowness struct {
-	ToRead  time.Duration // before it reads received bytes
-	ToParse time.Duration // before it processes bytes that it has read
+type ProcessingDelay struct {
+	BeforeRead       time.Duration // before it reads received bytes
+	BeforeProcessing time.Duration // before it processes bytes that it has read
 }
 
 // link is a host's link to the network, with a limited rate.
@@ -66,7 +66,7 @@
 }
 
 // SetProcessingDelay makes the processes of a host wait for the CPU.
-func (n *Net) SetSlow(ip string, by Slowness) {
+func (n *Net) SetProcessingDelay(ip string, by ProcessingDelay) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.processingDelays[ip] = by
@@ -84,7 +84,7 @@
 func (n *Net) drawLoss() bool { return n.lossRate > 0 && n.rng.Float64() < n.lossRate }
 
 // ProcessingDelay returns how long the processes of a host wait for the CPU.
-func (n *Net) Slow(ip string) Slowness {
+func (n *Net) ProcessingDelay(ip string) ProcessingDelay {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.processingDelays[ip]
@@ -122,11 +122,11 @@
 func New(delay time.Duration) *Net {
 	return &Net{delay: delay, listeners: map[string]*listener{}, sockets: map[string]*socket{}, poweredOff: map[string]bool{},
 		blockedLinks: map[[2]string]bool{}, conns: map[*conn]bool{}, processEnded: map[string][]*atomic.Bool{}, bytesSent: map[[2]string]int{},
-		links: map[string]*link{}, processingDelays: map[string]Slowness{}, rng: rand.New(rand.NewPCG(1, 0x3e7))}
+		links: map[string]*link{}, processingDelays: map[string]ProcessingDelay{}, rng: rand.New(rand.NewPCG(1, 0x3e7))}
 }
 
 // Traffic returns how many bytes a host has sent and received on connections.
-func (n *Net) Load(ip string) (sent, received int) {
+func (n *Net) Traffic(ip string) (sent, received int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for ends, bytes := range n.bytesSent {
@@ -448,9 +448,9 @@
 	defer s.mu.Unlock()
 	for woken := false; ; {
 		there, wait := c.readable()
-		if slow := c.net.Slow(c.local); there && !woken && slow.ToRead > 0 {
+		if slow := c.net.ProcessingDelay(c.local); there && !woken && slow.BeforeRead > 0 {
 			woken = true
-			s.sleepUnlocked(slow.ToRead)
+			s.sleepUnlocked(slow.BeforeRead)
 			continue
 		}
 		switch {
@@ -461,7 +461,7 @@
 			if s.segments[0].data = s.segments[0].data[n:]; len(s.segments[0].data) == 0 {
 				s.segments = s.segments[1:]
 			}
-			s.sleepUnlocked(c.net.Slow(c.local).ToParse)
+			s.sleepUnlocked(c.net.ProcessingDelay(c.local).BeforeProcessing)
 			return n, nil
 		case s.writerClosed && len(s.segments) == 0:
 			return 0, io.EOF
--- a/internal/register/explore_members_test.go
+++ b/internal/register/explore_members_test.go
@@ -262,7 +262,7 @@
 }
 
 func finishMove(layout) attemptPlan {
-	return attemptPlan{"finish move", fromInitialValue, appendName("S", Settle)}
+	return attemptPlan{"finish move", fromInitialValue, appendName("S", CompleteReconfiguration)}
 }
 
 func changeValue(layout) attemptPlan {
--- a/internal/register/look_test.go
+++ b/internal/register/look_test.go
@@ -27,15 +27,15 @@
 		"after a move, both sets have":       {[]Known{byMove, byMove, known}, true},
 		"all have the known value":           {[]Known{known, known, known}, false},
 	} {
-		look := NewLook(known)
+		look := NewQuorumRead(known)
 		for at, accepted := range c.answers {
 			promise := Promise{From: replicas[at], Accepted: accepted.Ballot}
 			if accepted.Ballot != known.Ballot {
 				promise.Value = &accepted.Value
 			}
-			look.Take(promise)
+			look.Receive(promise)
 		}
-		if newest, chosen := look.Newest(); chosen != c.want || chosen && newest.Value.Sequence != 3 {
+		if newest, chosen := look.NewestChosen(); chosen != c.want || chosen && newest.Value.Sequence != 3 {
 			t.Errorf("%s: chosen %t, value %d", name, chosen, newest.Value.Sequence)
 		}
 	}
@@ -142,19 +142,19 @@
 }
 
 func (w *readSimulation) startRead() {
-	look, known, newest, over := NewLook(w.known), w.known, w.newest, false
-	for _, m := range look.Inspections() {
+	look, known, newest, over := NewQuorumRead(w.known), w.known, w.newest, false
+	for _, m := range look.Requests() {
 		w.send(func() {
 			answer := w.acceptors[m.To].Prepare(m)
 			w.send(func() {
-				if look.Take(answer); over || !look.Done() {
+				if look.Receive(answer); over || !look.Done() {
 					return
 				}
 				over = true
 				value := known.Value
-				if found, chosen := look.Newest(); chosen {
+				if found, chosen := look.NewestChosen(); chosen {
 					value = found.Value
-				} else if !look.Current() {
+				} else if !look.StillNewest() {
 					return // the caller would start a round
 				}
 				w.served++
--- a/internal/register/members.go
+++ b/internal/register/members.go
@@ -2,12 +2,14 @@
 
 // Reconfiguring reports whether a change of the members is incomplete: the value names two sets, or it was proposed to
 // a set that it no longer names. Until the change is complete, each round also needs a majority of the earlier set.
-func (v Value) Unsettled() bool { return v.Members.Moving() || len(v.Quorums()) > len(v.Members.Sets) }
+func (v Value) Reconfiguring() bool {
+	return v.Members.Moving() || len(v.Quorums()) > len(v.Members.Sets)
+}
 
 // CompleteReconfiguration is a Change that takes an incomplete change of the members one step further: the first step
 // names the new set alone, the second is proposed to that set alone.
-func Settle(present Value) (next Value, keep bool, err error) {
-	if !present.Unsettled() {
+func CompleteReconfiguration(present Value) (next Value, keep bool, err error) {
+	if !present.Reconfiguring() {
 		return present, true, nil
 	}
 	next = Value{Sequence: present.Sequence + 1, Members: Members{Sets: [][]Replica{present.Members.Last()}}, Payload: present.Payload}
@@ -18,7 +20,7 @@
 // if the members are no longer the given set or another change of the members is in progress.
 func Reconfigure(from Members, next []Replica) Change {
 	return func(present Value) (Value, bool, error) {
-		if present.Unsettled() || !from.Equal(present.Members) {
+		if present.Reconfiguring() || !from.Equal(present.Members) {
 			return present, true, nil
 		}
 		return Value{Sequence: present.Sequence + 1, Members: present.Members.Joint(next), Payload: present.Payload}, true, nil
--- a/internal/register/members_test.go
+++ b/internal/register/members_test.go
@@ -14,19 +14,19 @@
 	next := Single(replicas[0], replicas[1], replicas[3])
 	value := Value{Sequence: 2, Members: next, Voted: [][]Replica{old.Sets[0], next.Sets[0]}}
 	ballot := Ballot{Counter: 5, Proposer: 1}
-	look := NewLook(Known{Ballot: ballot, Value: value})
+	look := NewQuorumRead(Known{Ballot: ballot, Value: value})
 	for _, r := range []Replica{replicas[0], replicas[3]} {
-		look.Take(Promise{From: r, Accepted: ballot})
+		look.Receive(Promise{From: r, Accepted: ballot})
 	}
 	if look.Chosen() {
 		t.Error("the value counts as chosen by a majority of the new set alone")
 	}
-	look.Take(Promise{From: replicas[1], Accepted: ballot})
+	look.Receive(Promise{From: replicas[1], Accepted: ballot})
 	if !look.Chosen() {
 		t.Error("the value does not count as chosen by majorities of both sets")
 	}
-	if len(look.Inspections()) != 4 {
-		t.Errorf("%d replicas are queried, want 4", len(look.Inspections()))
+	if len(look.Requests()) != 4 {
+		t.Errorf("%d replicas are queried, want 4", len(look.Requests()))
 	}
 }
 
@@ -37,7 +37,7 @@
 	next := []Replica{replicas[0], replicas[1], replicas[3]}
 	present := Value{Sequence: 7, Members: old, Payload: []byte("p")}
 	moved, _, _ := Reconfigure(old, next)(present)
-	if !moved.Unsettled() || moved.Sequence != 8 || string(moved.Payload) != "p" {
+	if !moved.Reconfiguring() || moved.Sequence != 8 || string(moved.Payload) != "p" {
 		t.Fatalf("after Reconfigure: %+v", moved)
 	}
 	for name, value := range map[string]Value{
@@ -49,17 +49,17 @@
 			t.Errorf("%s: a change was started", name)
 		}
 	}
-	one, _, _ := Settle(moved)
+	one, _, _ := CompleteReconfiguration(moved)
 	one.Voted = [][]Replica{old.Sets[0], one.Members.Sets[0]}
-	if one.Members.Moving() || !one.Unsettled() {
+	if one.Members.Moving() || !one.Reconfiguring() {
 		t.Fatalf("after the first step: %+v", one)
 	}
-	done, _, _ := Settle(one)
+	done, _, _ := CompleteReconfiguration(one)
 	done.Voted = done.Members.Sets
-	if done.Unsettled() || done.Sequence != 10 {
+	if done.Reconfiguring() || done.Sequence != 10 {
 		t.Fatalf("after the second step: %+v", done)
 	}
-	if same, _, _ := Settle(done); same.Sequence != done.Sequence {
+	if same, _, _ := CompleteReconfiguration(done); same.Sequence != done.Sequence {
 		t.Error("a completed change was changed again")
 	}
 }
--- a/internal/register/round.go
+++ b/internal/register/round.go
@@ -8,9 +8,9 @@
 const (
 	Preparing Phase = iota + 1
 	Accepting
-	Chosen  // the value is chosen: every later round finds it or a value computed from it
-	Outrun  // an acceptor has promised a higher ballot; retry with a ballot above Highest
-	Refused // the Change returned an error; nothing was proposed
+	Chosen     // the value is chosen: every later round finds it or a value computed from it
+	Superseded // an acceptor has promised a higher ballot; retry with a ballot above Highest
+	Refused    // the Change returned an error; nothing was proposed
 )
 
 // Change computes the next value from the present one. It is called at most once per round. If it returns an error, the
@@ -155,7 +155,7 @@
 		r.Highest = by
 	}
 	if r.Ballot.Less(by) {
-		r.Phase = Outrun
+		r.Phase = Superseded
 	}
 }
 
--- a/internal/rig/switch.go
+++ b/internal/rig/switch.go
@@ -14,7 +14,7 @@
 
 // Link holds the network conditions for datagrams from one member to another.
 type Link struct {
-	virtual.Weather
+	virtual.Conditions
 	Cut  bool
 	Flip float64 // share of datagrams in which one bit is flipped
 }
--- a/internal/router/catchup_test.go
+++ b/internal/router/catchup_test.go
@@ -89,7 +89,7 @@
 		}
 		value := state.Encode()
 		write := store.Append
-		if store.WantsCheckpoint() {
+		if store.NeedsCheckpoint() {
 			write = store.Checkpoint
 		}
 		if err := write(value); err != nil {
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -24,8 +24,8 @@
 var errUnconfirmed = errors.New("it is not known widely enough yet")
 
 // permit returns an error if this broker's role does not allow an action for the fleet.
-func (b *Broker) permit(act standing.Act) error {
-	if state := b.node.Standing(); !state.May(act) {
+func (b *Broker) permit(act standing.Action) error {
+	if state := b.node.Standing(); !state.Allows(act) {
 		return errors.Newf("this broker is %s", state)
 	}
 	return nil
--- a/internal/router/control_test.go
+++ b/internal/router/control_test.go
@@ -367,7 +367,7 @@
 // fullyReplicated reports whether the first machine knows exactly three voters that all run and hold the newest value.
 func (w *simFleet) fullyReplicated() bool {
 	known, _ := w.machines[0].broker.node.Known()
-	if known.Value.Unsettled() || len(known.Value.Members.Last()) != 3 {
+	if known.Value.Reconfiguring() || len(known.Value.Members.Last()) != 3 {
 		return false
 	}
 	for _, replica := range known.Value.Members.Last() {
--- a/internal/router/idle_test.go
+++ b/internal/router/idle_test.go
@@ -23,7 +23,7 @@
 // Shutdown or SetKeepAlivesEnabled, loses requests that have arrived. In the observed case 23 ms passed between the arrival
 // of the request and its forwarding. The test delays parsing by 23 ms and sends a request each ms around the timeout.
 func TestIdleConnectionsAtTheirLimit(t *testing.T) {
-	for name, slow := range map[string]memnet.Slowness{"slow to parse": {ToParse: schedulingDelay}, "slow to read": {ToRead: schedulingDelay}} {
+	for name, slow := range map[string]memnet.ProcessingDelay{"slow to parse": {BeforeProcessing: schedulingDelay}, "slow to read": {BeforeRead: schedulingDelay}} {
 		t.Run("idle timeout, "+name, func(t *testing.T) {
 			withIdleTimeout(t, idleTimeout, slow, func(w *simFleet, m *machine) {
 				w.reuseAroundClose(m, func(begun time.Time) time.Time { return begun.Add(idleTimeout) })
@@ -54,7 +54,7 @@
 )
 
 // withIdleTimeout runs a scenario on a fleet with an idle timeout and one broker with a processing delay.
-func withIdleTimeout(t *testing.T, limit time.Duration, slow memnet.Slowness, scenario func(*simFleet, *machine)) {
+func withIdleTimeout(t *testing.T, limit time.Duration, slow memnet.ProcessingDelay, scenario func(*simFleet, *machine)) {
 	inBubble(t, func(t *testing.T) {
 		w, operator := startedFleet(t, 92, 3, 3)
 		body := strings.Replace(configurationOf(2, ""), `"version":2,`, fmt.Sprintf(`"version":2,"limits":{"idle_timeout_ms":%d},`, limit.Milliseconds()), 1)
@@ -63,7 +63,7 @@
 		}
 		time.Sleep(time.Second)
 		m := w.machines[1]
-		w.net.SetSlow(m.ip, slow)
+		w.net.SetProcessingDelay(m.ip, slow)
 		scenario(w, m)
 		w.shutdown()
 	})
@@ -105,7 +105,7 @@
 	switch {
 	case passed > 0 && !complete:
 		w.failf("%s was sent after an idle time of %v, was forwarded and got no answer", id, rest)
-	case !complete && took > inFlightTime && took < schedulingDelay && w.net.Slow(m.ip).ToRead > 0:
+	case !complete && took > inFlightTime && took < schedulingDelay && w.net.ProcessingDelay(m.ip).BeforeRead > 0:
 		w.failf("%s was sent after an idle time of %v, was pending at the broker when its connection was closed, and got no answer", id, rest)
 	}
 }
--- a/internal/router/roles.go
+++ b/internal/router/roles.go
@@ -78,7 +78,7 @@
 		all = r.broker.effectiveInstances()
 	}
 	r.broker.mu.Unlock()
-	mayOrder := r.broker.node.Standing().May(standing.OrderInstances)
+	mayOrder := r.broker.node.Standing().Allows(standing.OrderInstances)
 	for role, present := range state.Leases {
 		r.lease(role).Observe(time.Now(), present)
 	}
--- a/internal/router/spreading_test.go
+++ b/internal/router/spreading_test.go
@@ -60,13 +60,13 @@
 func (w *simFleet) linkTrafficDuring(do func()) []int {
 	before := make([]int, len(w.machines))
 	for number, m := range w.machines {
-		sent, received := w.net.Load(m.ip)
+		sent, received := w.net.Traffic(m.ip)
 		before[number] = sent + received
 	}
 	do()
 	out := make([]int, len(w.machines))
 	for number, m := range w.machines {
-		sent, received := w.net.Load(m.ip)
+		sent, received := w.net.Traffic(m.ip)
 		out[number] = sent + received - before[number]
 	}
 	return out
--- a/internal/slots/slots.go
+++ b/internal/slots/slots.go
@@ -159,7 +159,7 @@
 }
 
 // NeedsCheckpoint reports whether the next write should be a Checkpoint.
-func (s *Store) WantsCheckpoint() bool { return s.logUnusable || s.log == nil || s.logSize > logLimit }
+func (s *Store) NeedsCheckpoint() bool { return s.logUnusable || s.log == nil || s.logSize > logLimit }
 
 // Append durably appends a record to the log.
 func (s *Store) Append(record []byte) error {
--- a/internal/slots/slots_test.go
+++ b/internal/slots/slots_test.go
@@ -162,7 +162,7 @@
 // writeState writes state number n to the disk: as a checkpoint if one is needed, else as a record.
 func writeState(s *Store, n byte) error {
 	state := bytes.Repeat([]byte{n}, 40000)
-	if s.WantsCheckpoint() {
+	if s.NeedsCheckpoint() {
 		return s.Checkpoint(state)
 	}
 	return s.Append(state)
--- a/internal/standing/standing.go
+++ b/internal/standing/standing.go
@@ -22,39 +22,39 @@
 }
 
 // Action is an operation of a broker that affects others.
-type Act int
+type Action int
 
 const (
-	Vote           Act = iota // answer a proposer's messages under this disk's identity
-	ProposeVoters             // start or complete a change of the voters
-	ReadNewest                // return the configuration as the newest
-	TakeOrder                 // confirm or reject an order of the operator
-	ConfirmEnd                // acknowledge that an instance is draining or gone
-	OrderInstances            // order an instance, under a lease
-	RouteRequests             // route clients' requests by the configuration known locally
+	Vote           Action = iota // answer a proposer's messages under this disk's identity
+	ProposeVoters                // start or complete a change of the voters
+	ReadNewest                   // return the configuration as the newest
+	TakeOrder                    // confirm or reject an order of the operator
+	ConfirmEnd                   // acknowledge that an instance is draining or gone
+	OrderInstances               // order an instance, under a lease
+	RouteRequests                // route clients' requests by the configuration known locally
 	acts
 )
 
 // Requirement is the condition for an action.
-type Condition int
+type Requirement int
 
 const (
-	Never    Condition = iota // not allowed in this state
-	Majority                  // contact with a majority of the voters after the request arrived
-	Alone                     // this broker's own knowledge is enough
+	Never    Requirement = iota // not allowed in this state
+	Majority                    // contact with a majority of the voters after the request arrived
+	Local                       // this broker's own knowledge is enough
 )
 
-var table = [states][acts]Condition{
+var table = [states][acts]Requirement{
 	//          Vote   ProposeVoters ReadNewest TakeOrder  ConfirmEnd OrderInstances RouteRequests
-	Starting: {Alone, Never, Never, Never, Never, Never, Never},
-	Diskless: {Never, Never, Majority, Majority, Majority, Majority, Alone},
-	Learner:  {Alone, Never, Majority, Majority, Majority, Majority, Alone},
-	Voter:    {Alone, Majority, Majority, Majority, Majority, Majority, Alone},
-	Leaving:  {Alone, Majority, Majority, Majority, Majority, Never, Alone},
+	Starting: {Local, Never, Never, Never, Never, Never, Never},
+	Diskless: {Never, Never, Majority, Majority, Majority, Majority, Local},
+	Learner:  {Local, Never, Majority, Majority, Majority, Majority, Local},
+	Voter:    {Local, Majority, Majority, Majority, Majority, Majority, Local},
+	Leaving:  {Local, Majority, Majority, Majority, Majority, Never, Local},
 }
 
 // Requires returns the condition for an action in this state.
-func (s State) Needs(a Act) Condition { return table[s][a] }
+func (s State) Requires(a Action) Requirement { return table[s][a] }
 
 // Allows reports whether the action is possible in this state at all.
-func (s State) May(a Act) bool { return s.Needs(a) != Never }
+func (s State) Allows(a Action) bool { return s.Requires(a) != Never }
--- a/internal/trial/leases.go
+++ b/internal/trial/leases.go
@@ -17,7 +17,7 @@
 	Named   []lease.Terms // leases that members request by name
 	Disk    bool          // members store votes before they send them
 	Fsync   float64       // longest duration of a write to disk
-	Weather virtual.Weather
+	Weather virtual.Conditions
 }
 
 // LeaseWorld simulates lease cores without the rest of a member, with or without disks. Several members request every lease, and work runs under a lease
@@ -65,8 +65,8 @@
 	w := &LeaseWorld{Rules: r, Net: virtual.New(seed, r.Weather), members: map[string]*leaseNode{}, disks: map[string][]lease.Record{},
 		Rosters: map[string]int{}, rates: map[string]float64{}, walls: map[string]float64{}, work: map[string]map[string][]*entitled{}, fences: map[string]uint64{}, recordedNotes: map[string]uint64{}}
 	for i := range r.Members {
-		w.rates[Name(i)] = 1 + r.Drift*(float64(w.Net.Chance().IntN(3))-1)
-		w.walls[Name(i)] = 150 * (float64(w.Net.Chance().IntN(3)) - 1)
+		w.rates[Name(i)] = 1 + r.Drift*(float64(w.Net.Rand().IntN(3))-1)
+		w.walls[Name(i)] = 150 * (float64(w.Net.Rand().IntN(3)) - 1)
 	}
 	return w
 }
@@ -89,7 +89,7 @@
 	for j := range listed {
 		roster = append(roster, Name(j))
 	}
-	m := &leaseNode{w: w, name: name, core: lease.New(name, w.boots, roster, rules, uint64(1e6+w.Net.Now()+w.walls[name]), w.Net.Chance().Float64)}
+	m := &leaseNode{w: w, name: name, core: lease.New(name, w.boots, roster, rules, uint64(1e6+w.Net.Now()+w.walls[name]), w.Net.Rand().Float64)}
 	if w.Rules.Disk {
 		m.core.Restore(w.disks[name], true)
 	}
@@ -136,7 +136,7 @@
 func (w *LeaseWorld) input(name string, in lease.Input) {
 	if m := w.members[name]; m != nil {
 		m.inbox = append(m.inbox, in)
-		w.Net.Poke(name)
+		w.Net.Wake(name)
 	}
 }
 
@@ -212,7 +212,7 @@
 func (m *leaseNode) write() {
 	batch := m.pending
 	m.pending, m.writing = nil, true
-	m.w.Net.After(m.w.Rules.Fsync*m.w.Net.Chance().Float64(), func() {
+	m.w.Net.After(m.w.Rules.Fsync*m.w.Net.Rand().Float64(), func() {
 		if m.w.members[m.name] != m {
 			return // the process ended before the write completed
 		}
--- a/internal/trial/limits.go
+++ b/internal/trial/limits.go
@@ -15,7 +15,7 @@
 	Drift    float64 // bound on clock drift that the members assume; their clocks run at both ends of it
 	Limits   []shares.Limit
 	Strategy Way
-	Weather  virtual.Weather
+	Weather  virtual.Conditions
 	Most     int
 	Disk     bool    // loans are stored durably
 	Fsync    float64 // duration of a write to disk
@@ -98,7 +98,7 @@
 	w := &LimitWorld{Rules: r, Net: virtual.New(seed, r.Weather), buckets: map[string]*checker{}, members: make([]*limitNode, r.Members), rates: make([]float64, r.Members), Rosters: map[int]int{}, SizeFactors: map[int]float64{}, disks: make([]disk, r.Members),
 		demand: make([]float64, r.Members), AdmittedBy: make([]int, r.Members)}
 	for i := range r.Members {
-		w.rates[i] = 1 + r.Drift*(float64(w.Net.Chance().IntN(3))-1)
+		w.rates[i] = 1 + r.Drift*(float64(w.Net.Rand().IntN(3))-1)
 	}
 	return w
 }
@@ -118,7 +118,7 @@
 		roster = append(roster, Name(j))
 	}
 	n := &limitNode{w: w, i: i, boot: w.boots}
-	chance := w.Net.Chance().Float64
+	chance := w.Net.Rand().Float64
 	rules := shares.Rules{Self: Name(i), Boot: w.boots, Roster: roster, Drift: w.Rules.Drift, Most: max(w.Rules.Most, 64), After: 1000, Loans: w.Rules.Strategy == Escrow}
 	limits := slices.Clone(w.Rules.Limits)
 	if f, other := w.SizeFactors[i]; other {
@@ -148,7 +148,7 @@
 func (w *LimitWorld) Kill(i int) {
 	w.Net.Kill(Name(i))
 	if n := w.members[i]; n != nil {
-		for range w.Net.Chance().IntN(len(n.writes) + 1) {
+		for range w.Net.Rand().IntN(len(n.writes) + 1) {
 			n.completeWrite()
 		}
 		n.writes = nil
@@ -184,7 +184,7 @@
 				n.completeWrite()
 				e := n.strategy.(*escrow)
 				e.in = append(e.in, shares.Stored{Upto: s.Number})
-				n.w.Net.Poke(Name(n.i))
+				n.w.Net.Wake(Name(n.i))
 			}
 		})
 	}
@@ -205,7 +205,7 @@
 		return
 	}
 	n.paused = false
-	first := w.Net.Chance().IntN(2) == 0
+	first := w.Net.Rand().IntN(2) == 0
 	if !first {
 		w.Net.Resume(Name(i))
 	}
@@ -228,7 +228,7 @@
 				// By then the order has expired by every clock.
 				w.orders = append(w.orders, order{w.Net.Now(), w.Net.Now() + forMs, size, burst})
 			}
-			w.Net.Poke(Name(i))
+			w.Net.Wake(Name(i))
 		}
 	}
 }
@@ -252,7 +252,7 @@
 	if n := w.members[i]; n != nil {
 		if e, is := n.strategy.(*escrow); is {
 			e.in = append(e.in, shares.View{Living: living})
-			w.Net.Poke(Name(i))
+			w.Net.Wake(Name(i))
 		}
 	}
 }
@@ -267,7 +267,7 @@
 	if perSecond <= 0 {
 		return
 	}
-	w.Net.After(w.Net.Chance().ExpFloat64()*1000/perSecond, func() {
+	w.Net.After(w.Net.Rand().ExpFloat64()*1000/perSecond, func() {
 		if w.demand[i] != perSecond {
 			return
 		}
@@ -290,7 +290,7 @@
 	}
 	w.Arrived++
 	v := n.strategy.Take(w.clock(i), uses, lasts/w.rates[i]*(1+w.Rules.Drift))
-	w.Net.Poke(Name(i))
+	w.Net.Wake(Name(i))
 	w.decided(n, uses, lasts, v, w.Net.Now()+v.Wait/w.rates[i])
 }
 
@@ -301,7 +301,7 @@
 		n.waiting = append(n.waiting, func() {
 			if w.members[i] == n && !n.paused && w.Net.Now() < until-1 {
 				v := n.strategy.Again(w.clock(i), uses, lasts/w.rates[i]*(1+w.Rules.Drift))
-				w.Net.Poke(Name(i))
+				w.Net.Wake(Name(i))
 				w.decided(n, uses, lasts, v, until)
 			}
 		})
--- a/internal/trial/limitsplay.go
+++ b/internal/trial/limitsplay.go
@@ -91,7 +91,7 @@
 				}
 				return 0
 			}},
-		{Name: "a third is lost", Members: members, Size: size, From: 4000, To: 14000, Faults: func(w *LimitWorld) { w.Net.Weather.Loss = 1.0 / 3 }, Demand: func(i int, _ float64) float64 {
+		{Name: "a third is lost", Members: members, Size: size, From: 4000, To: 14000, Faults: func(w *LimitWorld) { w.Net.Conditions.Loss = 1.0 / 3 }, Demand: func(i int, _ float64) float64 {
 			if i == 1 {
 				return 1.8 * size
 			}
@@ -107,7 +107,7 @@
 
 // Play simulates a day under a strategy.
 func Play(seed uint64, d Day, way Way) Played {
-	r := LimitRules{Members: d.Members, Drift: 0.01, Strategy: way, Weather: virtual.Weather{Delay: 0.5, Jitter: 1},
+	r := LimitRules{Members: d.Members, Drift: 0.01, Strategy: way, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1},
 		Limits: []shares.Limit{{Name: "x", Kind: shares.Rate, Size: d.Size, Burst: max(d.Size/2, 1), Term: 1000}}}
 	w := NewLimitWorld(seed, r)
 	for i := range d.Members {
@@ -199,7 +199,7 @@
 // minute of real load at six times the speed.
 func Tenants(seed uint64, members, keys int) TenantsResult {
 	const size, burst = 5.0, 5.0
-	w := NewLimitWorld(seed, LimitRules{Members: members, Drift: 0.01, Strategy: Escrow, Most: 4 * keys, Weather: virtual.Weather{Delay: 0.5, Jitter: 1},
+	w := NewLimitWorld(seed, LimitRules{Members: members, Drift: 0.01, Strategy: Escrow, Most: 4 * keys, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1},
 		Limits: []shares.Limit{{Name: "tenant", Size: size, Burst: burst, Term: 1000, Owners: 5}}})
 	x := TenantsResult{Members: members, Keys: keys, AgainMost: int(burst)}
 	var before runtime.MemStats
@@ -209,7 +209,7 @@
 		w.Start(i)
 	}
 	w.Net.Run(2000)
-	zipf := rand.NewZipf(w.Net.Chance(), 1.1, 10, uint64(keys-1))
+	zipf := rand.NewZipf(w.Net.Rand(), 1.1, 10, uint64(keys-1))
 	const scans, span = 40000, 20000.0
 	for i := range scans {
 		at := span * float64(i) / scans
@@ -218,7 +218,7 @@
 			n += keys
 		}
 		w.Net.After(at, func() {
-			w.Scan(w.Net.Chance().IntN(members), []shares.Use{{Key: fmt.Sprint("tenant-", n), Cost: 1}}, 10)
+			w.Scan(w.Net.Rand().IntN(members), []shares.Use{{Key: fmt.Sprint("tenant-", n), Cost: 1}}, 10)
 		})
 	}
 	w.Net.Run(span)
--- a/internal/trial/measure.go
+++ b/internal/trial/measure.go
@@ -26,11 +26,11 @@
 // Detect kills members one by one in a network that loses a share of its packets, and measures how fast the others detect it.
 func Detect(seed uint64, members int, loss float64, kills int) DetectionResult {
 	w := New(seed, Rules{Members: members, Timing: membership.Standard(), Period: 10000,
-		Weather: virtual.Weather{Delay: 0.5, Jitter: 1}})
+		Weather: virtual.Conditions{Delay: 0.5, Jitter: 1}})
 	w.Rules.Sizes = true
 	w.StartAll()
 	w.Net.Run(30000)
-	w.Net.Weather.Loss = loss
+	w.Net.Conditions.Loss = loss
 	w.Net.Run(10000)
 	m := DetectionResult{Members: members, Loss: loss, Kills: kills}
 	// Traffic and false suspicions without failures.
@@ -108,7 +108,7 @@
 // Share measures how members share the probing of stores, before and after one of them is killed.
 func Share(seed uint64, members, stores int, period float64) SharingResult {
 	w := New(seed, Rules{Members: members, Stores: stores, Timing: membership.Standard(), Period: period,
-		Weather: virtual.Weather{Delay: 0.5, Jitter: 1}, Sizes: true})
+		Weather: virtual.Conditions{Delay: 0.5, Jitter: 1}, Sizes: true})
 	w.StartAll()
 	w.Net.Run(3 * period)
 	p := SharingResult{Members: members, Stores: stores, Alone: float64(members), Ideal: 1 / float64(members)}
--- a/internal/trial/verdicts.go
+++ b/internal/trial/verdicts.go
@@ -17,7 +17,7 @@
 	Rate            float64 // scans per second at each member; each goes to a random store
 	Drift           float64 // members' clocks run at both ends of this drift
 	Words           verdicts.Rules
-	Weather         virtual.Weather
+	Weather         virtual.Conditions
 	Alone           bool // members exchange no messages
 }
 
@@ -66,7 +66,7 @@
 	w := &VerdictWorld{Rules: r, Net: virtual.New(seed, r.Weather), members: make([]*verdictNode, r.Members), rates: make([]float64, r.Members), startedAt: make([]float64, r.Stores),
 		Fails: func(int, int) bool { return false }, orders: map[string][]timedOrder{}}
 	for i := range r.Members {
-		w.rates[i] = 1 + r.Drift*(float64(w.Net.Chance().IntN(3))-1)
+		w.rates[i] = 1 + r.Drift*(float64(w.Net.Rand().IntN(3))-1)
 		w.lastFailure = append(w.lastFailure, slices.Repeat([]float64{math.Inf(-1)}, r.Stores))
 	}
 	for i := range r.Members {
@@ -85,7 +85,7 @@
 	w.boots++
 	r := w.Rules.Words
 	r.Self, r.Zone, r.Run = Name(i), fmt.Sprint("zone-", i%w.Rules.Zones), w.boots
-	k := &verdictNode{w: w, i: i, core: verdicts.New(r, w.Net.Chance().Float64), applied: map[string]verdicts.Verdict{}, avoidUntil: make([]float64, w.Rules.Stores)}
+	k := &verdictNode{w: w, i: i, core: verdicts.New(r, w.Net.Rand().Float64), applied: map[string]verdicts.Verdict{}, avoidUntil: make([]float64, w.Rules.Stores)}
 	w.members[i] = k
 	k.inbox = append(k.inbox, w.list(), w.view(i))
 	w.Net.Start(Name(i), k, w.clock(i), w.rates[i])
@@ -135,17 +135,17 @@
 
 func (k *verdictNode) input(in verdicts.Input) {
 	k.inbox = append(k.inbox, in)
-	k.w.Net.Poke(Name(k.i))
+	k.w.Net.Wake(Name(k.i))
 }
 
 // scheduleScans lets scans arrive at a member at random.
 func (w *VerdictWorld) scheduleScans(k *verdictNode) {
-	w.Net.After(w.Net.Chance().ExpFloat64()*1000/w.Rules.Rate, func() {
+	w.Net.After(w.Net.Rand().ExpFloat64()*1000/w.Rules.Rate, func() {
 		if w.members[k.i] != k {
 			return
 		}
 		if !w.Net.Paused(Name(k.i)) && (w.NoTraffic == nil || !w.NoTraffic(k.i)) {
-			w.sendPart(k, w.Net.Chance().IntN(w.Rules.Stores))
+			w.sendPart(k, w.Net.Rand().IntN(w.Rules.Stores))
 		}
 		w.scheduleScans(k)
 	})
--- a/internal/trial/verdicts_test.go
+++ b/internal/trial/verdicts_test.go
@@ -126,7 +126,7 @@
 		plays++
 		r := VerdictRules{Members: rapid.SampledFrom([]int{5, 2, 9}).Draw(t, "members"), Stores: rapid.SampledFrom([]int{6, 3, 12}).Draw(t, "stores"), Zones: rapid.IntRange(1, 3).Draw(t, "zones"),
 			Sets: rapid.IntRange(1, 3).Draw(t, "sets"), Rate: rapid.SampledFrom([]float64{30, 4}).Draw(t, "rate"), Drift: rapid.SampledFrom([]float64{0.01, 0.05}).Draw(t, "drift"),
-			Words: verdicts.Standard(), Weather: virtual.Weather{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.SampledFrom([]float64{0, 30, 700}).Draw(t, "jitter"),
+			Words: verdicts.Standard(), Weather: virtual.Conditions{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.SampledFrom([]float64{0, 30, 700}).Draw(t, "jitter"),
 				Loss: rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss"), Duplicate: rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "twice")}}
 		w := NewVerdictWorld(rapid.Uint64().Draw(t, "seed"), r)
 		ill := map[int]bool{}
@@ -171,7 +171,7 @@
 		w.Net.Run(13000) // past the end of the last fault
 		clear(ill)
 		w.Net.Split()
-		w.Net.Weather.Loss, w.Net.Weather.Jitter = 0, 5
+		w.Net.Conditions.Loss, w.Net.Conditions.Jitter = 0, 5
 		final := verdicts.Set{Store: storeName(0), Do: verdicts.Drain, For: 20000, Reason: "last"}
 		w.Net.Run(6000)
 		w.Order(0, final)
@@ -257,7 +257,7 @@
 func TestNowAndThen(t *testing.T) {
 	t.Parallel()
 	w := NewVerdictWorld(6, verdictRules(9, 12))
-	w.Fails = func(int, int) bool { return w.Net.Chance().IntN(30) == 0 }
+	w.Fails = func(int, int) bool { return w.Net.Rand().IntN(30) == 0 }
 	w.Net.Run(30000)
 	assert.Less(t, w.Withheld*12, w.Sent, "of %d parts", w.Sent)
 	t.Logf("%d parts kept from a store that would have served them, of %d", w.Withheld, w.Sent)
--- a/internal/trial/world.go
+++ b/internal/trial/world.go
@@ -33,7 +33,7 @@
 	Drift        float64 // bound on clock drift that the members assume
 	Timing       membership.Timing
 	Open         bool // without a roster: any member may join
-	Weather      virtual.Weather
+	Weather      virtual.Conditions
 	ClockSkew    float64 // clocks run between 1-ClockSkew and 1+ClockSkew
 	MaxProbes    int     // probes that a store may receive in a period; 0 means two
 	Sizes        bool    // measure the encoded size of messages
@@ -98,7 +98,7 @@
 	}
 	for i := range r.Members {
 		// Wall clocks differ a little, and run slow, exact and fast in turn.
-		w.offsets[Name(i)] = 1e9 + 50*w.Net.Chance().Float64()
+		w.offsets[Name(i)] = 1e9 + 50*w.Net.Rand().Float64()
 		w.rates[Name(i)] = 1 + r.ClockSkew*(2*float64(i%3)/2-1)
 	}
 	return w
@@ -120,12 +120,12 @@
 	name := Name(i)
 	w.boots++
 	if w.rates[name] == 0 {
-		w.offsets[name], w.rates[name] = 1e9+50*w.Net.Chance().Float64(), 1
+		w.offsets[name], w.rates[name] = 1e9+50*w.Net.Rand().Float64(), 1
 	}
 	wall := w.offsets[name] + w.Net.Now()*w.rates[name]
 	p := sharing.Plan{Name: name, Addr: name, Boot: w.boots, Incarnation: uint64(wall), Timing: w.Rules.Timing,
 		Duties: []duties.Duty{{Name: Probing, Period: w.Rules.Period}}, Drift: w.Rules.Drift, Floor: uint64(wall),
-		Seed: w.Net.Chance().Uint64()}
+		Seed: w.Net.Rand().Uint64()}
 	if w.Rules.Open {
 		p.Seeds = []string{Name(0), Name(1), Name(2)}
 	} else {
@@ -187,7 +187,7 @@
 		return
 	}
 	m.inbox = append(m.inbox, in)
-	w.Net.Poke(m.name)
+	w.Net.Wake(m.name)
 }
 
 func (m *member) Due() float64 { return m.core.Due() }
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -26,7 +26,7 @@
 }
 
 // Conditions are the delay and faults of links that are not blocked.
-type Weather struct {
+type Conditions struct {
 	Delay     float64 // ms
 	Jitter    float64 // maximum additional delay in ms; more than the interval between two packets may reorder them
 	Loss      float64 // fraction of packets that are lost
@@ -45,7 +45,7 @@
 
 // Net is the network. It is not safe for concurrent use.
 type Net struct {
-	Weather Weather
+	Conditions Conditions
 
 	rng          *rand.Rand
 	now          float64
@@ -96,8 +96,8 @@
 }
 
 // New returns an empty network at time 0.
-func New(seed uint64, w Weather) *Net {
-	return &Net{Weather: w, rng: rand.New(rand.NewPCG(seed, 0x5ea5)), endpoints: map[string]*endpoint{},
+func New(seed uint64, w Conditions) *Net {
+	return &Net{Conditions: w, rng: rand.New(rand.NewPCG(seed, 0x5ea5)), endpoints: map[string]*endpoint{},
 		blockedLinks: map[[2]string]bool{}, partitions: map[string]int{}, counts: map[string]*Counts{}}
 }
 
@@ -105,7 +105,7 @@
 func (n *Net) Now() float64 { return n.now }
 
 // Rand returns the network's random number generator, for callers that draw faults.
-func (n *Net) Chance() *rand.Rand { return n.rng }
+func (n *Net) Rand() *rand.Rand { return n.rng }
 
 // Start starts a node at an address and replaces any other node there. Its clock shows offset now and runs at rate.
 func (n *Net) Start(addr string, node Node, offset, rate float64) {
@@ -208,7 +208,7 @@
 }
 
 // Poke gives the node at an address a turn now, as after a call by its application.
-func (n *Net) Poke(addr string) {
+func (n *Net) Wake(addr string) {
 	if p := n.endpoints[addr]; p != nil && !p.paused {
 		n.runTurn(p, nil)
 	}
@@ -269,17 +269,17 @@
 	c.Sent++
 	c.Bytes += packet.Size
 	copies := 1
-	if w := n.Weather; w.Duplicate > 0 && n.rng.Float64() < w.Duplicate {
+	if w := n.Conditions; w.Duplicate > 0 && n.rng.Float64() < w.Duplicate {
 		copies = 2
 	}
 	for range copies {
-		if n.blocked(packet.From, packet.To) || n.Weather.Loss > 0 && n.rng.Float64() < n.Weather.Loss {
+		if n.blocked(packet.From, packet.To) || n.Conditions.Loss > 0 && n.rng.Float64() < n.Conditions.Loss {
 			c.Lost++
 			continue
 		}
-		at := n.now + n.Weather.Delay
-		if n.Weather.Jitter > 0 {
-			at += n.rng.Float64() * n.Weather.Jitter
+		at := n.now + n.Conditions.Delay
+		if n.Conditions.Jitter > 0 {
+			at += n.rng.Float64() * n.Conditions.Jitter
 		}
 		n.push(event{at: at, to: packet.To, packet: packet})
 	}
--- a/internal/voters/contacts.go
+++ b/internal/voters/contacts.go
@@ -10,7 +10,7 @@
 
 // FailureDetector derives the health of the replicas that one voter probes periodically. It is not safe for concurrent
 // use.
-type Contacts struct {
+type FailureDetector struct {
 	catchUp        time.Duration
 	byAddress      map[string]contact
 	recentlyChosen []chosenBallot // ballots of the values learned to be chosen in the last allowedLag, and the one before
@@ -36,12 +36,12 @@
 
 // NewFailureDetector returns a detector without any contacts. catchUp is the time after which a new replica is relied
 // on.
-func NewContacts(catchUp time.Duration) *Contacts {
-	return &Contacts{catchUp: catchUp, byAddress: map[string]contact{}}
+func NewFailureDetector(catchUp time.Duration) *FailureDetector {
+	return &FailureDetector{catchUp: catchUp, byAddress: map[string]contact{}}
 }
 
 // RecordAnswer records that a replica answered a probe with its accepted ballot.
-func (c *Contacts) Answered(replica register.Replica, accepted register.Ballot, now time.Time) {
+func (c *FailureDetector) RecordAnswer(replica register.Replica, accepted register.Ballot, now time.Time) {
 	healthySince := c.byAddress[replica.Address].healthySince
 	if c.byAddress[replica.Address].replica != replica || !c.isUpToDate(accepted) {
 		healthySince = time.Time{}
@@ -53,7 +53,7 @@
 
 // RecordTimeout records that a probe got no answer. If it timed out much later than after limit, this process was paused
 // in between, and the silence counts only from now.
-func (c *Contacts) Missed(address string, put, now time.Time, limit time.Duration) {
+func (c *FailureDetector) RecordTimeout(address string, put, now time.Time, limit time.Duration) {
 	known := c.byAddress[address]
 	if known.silentSince.IsZero() {
 		known.silentSince = put
@@ -66,7 +66,7 @@
 }
 
 // AnyTimedOut reports whether any replica left its last probe unanswered.
-func (c *Contacts) Quiet() bool {
+func (c *FailureDetector) AnyTimedOut() bool {
 	for _, known := range c.byAddress {
 		if !known.silentSince.IsZero() {
 			return true
@@ -76,12 +76,12 @@
 }
 
 // Forget drops the contacts for whose address others is true.
-func (c *Contacts) Forget(others func(address string) bool) {
+func (c *FailureDetector) Forget(others func(address string) bool) {
 	maps.DeleteFunc(c.byAddress, func(address string, _ contact) bool { return others(address) })
 }
 
 // RecordChosen records the ballot of the newest value that is known to be chosen.
-func (c *Contacts) Newest(ballot register.Ballot, now time.Time) {
+func (c *FailureDetector) RecordChosen(ballot register.Ballot, now time.Time) {
 	if n := len(c.recentlyChosen); n == 0 || c.recentlyChosen[n-1].ballot != ballot {
 		c.recentlyChosen = append(c.recentlyChosen, chosenBallot{ballot, now})
 	}
@@ -92,12 +92,12 @@
 
 // isUpToDate reports whether a replica with this accepted ballot has all chosen values but those learned within
 // allowedLag.
-func (c *Contacts) isUpToDate(accepted register.Ballot) bool {
+func (c *FailureDetector) isUpToDate(accepted register.Ballot) bool {
 	return accepted != (register.Ballot{}) && len(c.recentlyChosen) > 0 && !accepted.Less(c.recentlyChosen[0].ballot)
 }
 
 // Health returns the health of a replica. leaving: its machine has announced that it shuts down.
-func (c *Contacts) Health(replica register.Replica, leaving bool, now time.Time) Health {
+func (c *FailureDetector) Health(replica register.Replica, leaving bool, now time.Time) Health {
 	known := c.byAddress[replica.Address]
 	silent := !known.silentSince.IsZero()
 	unheard := known.replica == (register.Replica{})
@@ -117,13 +117,13 @@
 }
 
 // Settled reports whether a replica has answered every probe and been up to date for SettledAfter.
-func (c *Contacts) Settled(replica register.Replica, now time.Time) bool {
+func (c *FailureDetector) Settled(replica register.Replica, now time.Time) bool {
 	known := c.byAddress[replica.Address]
 	return known.replica == replica && !known.healthySince.IsZero() && now.Sub(known.healthySince) > SettledAfter(c.catchUp)
 }
 
 // Departed reports whether a replica's machine has been silent for DepartedAfter.
-func (c *Contacts) Departed(replica register.Replica, now time.Time) bool {
+func (c *FailureDetector) Departed(replica register.Replica, now time.Time) bool {
 	known := c.byAddress[replica.Address]
 	return !known.silentSince.IsZero() && now.Sub(known.silentSince) > DepartedAfter(c.catchUp)
 }
--- a/internal/voters/histories_test.go
+++ b/internal/voters/histories_test.go
@@ -50,7 +50,7 @@
 	lostUntil time.Duration // counts as lost until then
 
 	known       register.Known
-	contacts    *voters.Contacts
+	contacts    *voters.FailureDetector
 	proposer    uint64
 	counter     uint64
 	round       *attempt
@@ -98,7 +98,7 @@
 		b := m.addNode(string(rune('a' + i)))
 		met = append(met, voters.Machine{Replica: b.acceptor.Self, Zone: b.address})
 	}
-	members := register.Single(voters.First(met)...)
+	members := register.Single(voters.Initial(met)...)
 	known := register.Known{Ballot: register.Ballot{Counter: 1}, Value: register.Value{Members: members}}
 	for _, b := range m.nodes {
 		b.known = known
@@ -123,7 +123,7 @@
 func (m *simulation) start(b *node) {
 	m.lastID++
 	b.up, b.leaving, b.round, b.proposer, b.counter, b.known = true, false, nil, m.lastID, 0, register.Known{}
-	b.contacts, b.dueSince, b.nextReview = voters.NewContacts(catchUp), 0, m.now
+	b.contacts, b.dueSince, b.nextReview = voters.NewFailureDetector(catchUp), 0, m.now
 	b.acceptor = &register.Acceptor{Self: b.acceptor.Self, State: b.durable, Persist: func(s register.State) error {
 		if b.full {
 			return errors.New("disk full")
@@ -229,16 +229,16 @@
 			continue
 		}
 		if m.reaches(b, other) && (m.rng.Float64() >= m.loss*m.loss) {
-			b.contacts.Answered(other.acceptor.Self, other.acceptor.State.Accepted, m.clock())
+			b.contacts.RecordAnswer(other.acceptor.Self, other.acceptor.State.Accepted, m.clock())
 			continue
 		}
-		b.contacts.Missed(other.address, m.clock(), m.clock().Add(probeTimeout), probeTimeout)
+		b.contacts.RecordTimeout(other.address, m.clock(), m.clock().Add(probeTimeout), probeTimeout)
 		b.nextReview = m.now + 2*tick + probeTimeout
 	}
 }
 
 func (m *simulation) review(b *node) {
-	b.contacts.Newest(b.known.Ballot, m.clock())
+	b.contacts.RecordChosen(b.known.Ballot, m.clock())
 	var present, learners []voters.Machine
 	members := b.known.Value.Members
 	for _, r := range members.Last() {
@@ -253,7 +253,7 @@
 	if m.faults.extraVoter {
 		next, due = m.withExtra(present, learners, next, due)
 	}
-	if due = due || b.known.Value.Unsettled(); !due {
+	if due = due || b.known.Value.Reconfiguring(); !due {
 		b.dueSince = 0
 		return
 	}
@@ -261,14 +261,14 @@
 		b.dueSince = m.now
 	}
 	b.nextReview = m.now + 2*tick
-	if !voters.Turn(present, b.acceptor.Self, m.now-b.dueSince) {
+	if !voters.IsTurn(present, b.acceptor.Self, m.now-b.dueSince) {
 		return
 	}
 	change := register.Reconfigure(members, next)
-	if b.known.Value.Unsettled() {
-		change = register.Settle
+	if b.known.Value.Reconfiguring() {
+		change = register.CompleteReconfiguration
 	}
-	if m.faults.newSetOnly && !b.known.Value.Unsettled() {
+	if m.faults.newSetOnly && !b.known.Value.Reconfiguring() {
 		change = func(v register.Value) (register.Value, bool, error) {
 			return register.Value{Sequence: v.Sequence + 1, Members: register.Single(next...), Payload: v.Payload}, true, nil
 		}
@@ -354,7 +354,7 @@
 	switch a.round.Phase {
 	case register.Chosen:
 		m.recordChosen(b, a)
-	case register.Outrun, register.Refused:
+	case register.Superseded, register.Refused:
 		b.counter = max(b.counter, a.round.Highest.Counter)
 		b.round = nil
 	default:
@@ -429,7 +429,7 @@
 			newest = b.known
 		}
 	}
-	if newest.Value.Unsettled() {
+	if newest.Value.Reconfiguring() {
 		return false
 	}
 	for _, r := range newest.Value.Members.Last() {
--- a/internal/voters/voters.go
+++ b/internal/voters/voters.go
@@ -50,7 +50,7 @@
 func DepartedAfter(catchUp time.Duration) time.Duration { return departedMultiple * catchUp }
 
 // MinVoters returns the least number of voters that tolerates the losses, provided there are enough machines.
-func (t Tolerance) Seats() int { return 2*max(t.Machines, t.Zones, t.Regions, 1) + 1 }
+func (t Tolerance) MinVoters() int { return 2*max(t.Machines, t.Zones, t.Regions, 1) + 1 }
 
 // Health is the state of a machine's replica as its voter's probes show it.
 type Health int
@@ -88,7 +88,7 @@
 
 // IsTurn reports whether it is this voter's turn to propose a change that has been due for the given time. The healthy
 // voters take turns round robin in the order of their addresses, so that their ballots do not compete.
-func Turn(present []Machine, self register.Replica, due time.Duration) bool {
+func IsTurn(present []Machine, self register.Replica, due time.Duration) bool {
 	place, well := 0, 0
 	for _, m := range present {
 		if m.Replica == self {
@@ -102,7 +102,7 @@
 }
 
 // Initial chooses the initial voters among the machines that have found each other.
-func First(met []Machine) []register.Replica {
+func Initial(met []Machine) []register.Replica {
 	return replicas(fillBySpread(nil, met, largestOdd(len(met))))
 }
 
@@ -125,12 +125,12 @@
 	staying := count(present, func(m Machine) bool { return !m.Health.yieldsSeat() })
 	settled := count(able, func(m Machine) bool { return m.Settled })
 	departed := count(present, func(m Machine) bool { return m.Departed })
-	needed := min(t.Seats(), staying+len(able))
+	needed := min(t.MinVoters(), staying+len(able))
 	kept := largestOdd(len(present)) - departed/2*2
-	if len(present) <= t.Seats() {
+	if len(present) <= t.MinVoters() {
 		kept = len(present)
 	}
-	return max(largestOdd(needed), largestOdd(staying+settled), min(kept, len(present)), min(len(present), t.Seats()))
+	return max(largestOdd(needed), largestOdd(staying+settled), min(kept, len(present)), min(len(present), t.MinVoters()))
 }
 
 func count(set []Machine, counts func(Machine) bool) (n int) {
--- a/internal/voters/voters_test.go
+++ b/internal/voters/voters_test.go
@@ -105,7 +105,7 @@
 		"all of seven":   {"a1,b1,c1,d1,e1,f1,g1", "a1 b1 c1 d1 e1 f1 g1"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := replicaNames(First(parseMachines(c.met))); got != c.want {
+			if got := replicaNames(Initial(parseMachines(c.met))); got != c.want {
 				t.Errorf("%q, want %q", got, c.want)
 			}
 		})
@@ -199,12 +199,12 @@
 		settled := count(learners, func(m Machine) bool { return m.Settled })
 		departed := count(voters, func(m Machine) bool { return m.Departed })
 		switch {
-		case len(next) > max(len(voters), tolerance.Seats()) && len(next) > staying+settled:
+		case len(next) > max(len(voters), tolerance.MinVoters()) && len(next) > staying+settled:
 			t.Fatalf("%d voters after %d, of which %d stay; %d learners are settled", len(next), len(voters), staying, settled)
 		case len(next) < len(voters)-1 && departed < len(voters)-len(next)-1:
 			t.Fatalf("%d voters after %d, of which %d have departed", len(next), len(voters), departed)
-		case len(next) < min(len(voters), tolerance.Seats()):
-			t.Fatalf("%d voters after %d, but the losses need %d", len(next), len(voters), tolerance.Seats())
+		case len(next) < min(len(voters), tolerance.MinVoters()):
+			t.Fatalf("%d voters after %d, but the losses need %d", len(next), len(voters), tolerance.MinVoters())
 		case len(next)%2 == 0 && len(next) != len(voters):
 			t.Fatalf("%d voters after %d", len(next), len(voters))
 		case 2*healthy <= len(next):
