--- a/internal/cluster/announce_test.go
+++ b/internal/cluster/announce_test.go
@@ -19,7 +19,7 @@
 func (unpacked) Pack(payload []byte) []byte { return payload }
 
 func (unpacked) Unpack(text []byte) ([]byte, error) {
-	if len(text) > 0 && !sections.Is(text) {
+	if len(text) > 0 && !sections.IsDocument(text) {
 		return nil, errNoDocument
 	}
 	return text, nil
--- a/internal/cluster/payloads.go
+++ b/internal/cluster/payloads.go
@@ -45,7 +45,7 @@
 // remember parses a payload and keeps it. It returns false if the payload is not a document and can only be sent
 // whole.
 func (p *payloads) remember(text []byte) (sections.Document, bool) {
-	if !sections.Is(text) {
+	if !sections.IsDocument(text) {
 		return sections.Document{}, false
 	}
 	p.mu.Lock()
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -144,10 +144,10 @@
 }
 
 // TenantByKey returns the tenant with this API key, or nil if there is none.
-func (c *Configuration) TenantOf(key string) *Tenant { return c.tenantsByKey[key] }
+func (c *Configuration) TenantByKey(key string) *Tenant { return c.tenantsByKey[key] }
 
 // TenantByName returns the tenant with this name, or nil if there is none.
-func (c *Configuration) TenantNamed(name string) *Tenant { return c.tenantsByName[name] }
+func (c *Configuration) TenantByName(name string) *Tenant { return c.tenantsByName[name] }
 
 // KVStore returns the prompt store and the name of its service; if there are several, the first by name. store is nil if there is
 // none.
@@ -158,7 +158,7 @@
 
 // IsolationHash identifies the set of isolated tenants. Prompt prefixes that were cached while the set was different may come from
 // a tenant that is isolated now, so they are no longer shared.
-func (c *Configuration) Walls() uint64 { return c.isolationHash }
+func (c *Configuration) IsolationHash() uint64 { return c.isolationHash }
 
 // hostName returns a Host header without its port, in lower case.
 func hostName(host string) string {
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -73,10 +73,10 @@
 	if r := c.Route("a.example", "/x/"); r.Kind != Streaming || !r.Resumable || r.MaxAttempts != 2 || len(r.Splits) != 2 {
 		t.Errorf("route: %+v", r)
 	}
-	if tenant := c.TenantOf("key-2"); tenant == nil || tenant.Name != "t" || !tenant.Isolated {
+	if tenant := c.TenantByKey("key-2"); tenant == nil || tenant.Name != "t" || !tenant.Isolated {
 		t.Errorf("tenant: %+v", tenant)
 	}
-	if c.TenantOf("unknown") != nil || c.TenantOf("") != nil {
+	if c.TenantByKey("unknown") != nil || c.TenantByKey("") != nil {
 		t.Error("an unknown key has a tenant")
 	}
 	if e := c.Services["llm"].Engine; e == nil || e.Slots != 64 || e.LinkMbps != 390000 || e.MaxConcurrency != 12 {
@@ -91,7 +91,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return c.Walls()
+		return c.IsolationHash()
 	}
 	one := with(`{"name":"a","api_keys":["1"],"isolated":true},{"name":"b","api_keys":["2"]}`)
 	if one != with(`{"name":"b","api_keys":["2","3"],"priority":4},{"name":"a","api_keys":["1"],"isolated":true}`) {
--- a/internal/controlstate/controlstate.go
+++ b/internal/controlstate/controlstate.go
@@ -27,10 +27,10 @@
 var ErrForgotten = errors.New("the order is too old to tell whether it was taken")
 
 // ErrStaleVersion means that a configuration's version is not above the one in force.
-var ErrOld = errors.New("the version is not above the one in force")
+var ErrStaleVersion = errors.New("the version is not above the one in force")
 
 // ErrLeaseHeld means that another holder has the lease.
-var ErrHeld = errors.New("the lease is held by another")
+var ErrLeaseHeld = errors.New("the lease is held by another")
 
 // Digest identifies an operator's order. It is a truncated SHA-256 hash of the order's content and base version.
 type Digest [digestSize]byte
@@ -97,7 +97,7 @@
 		return s, false, ErrConflict
 	}
 	if version <= s.Version {
-		return s, false, ErrOld
+		return s, false, ErrStaleVersion
 	}
 	raw, err := apply(s.Config)
 	if err != nil {
@@ -171,7 +171,7 @@
 func (s State) Acquire(role, holder string, seen Lease, fresh bool) (next State, err error) {
 	present := s.Leases[role]
 	if present.Holder != holder && present != seen {
-		return s, ErrHeld
+		return s, ErrLeaseHeld
 	}
 	lease := Lease{Holder: holder, Token: present.Token, Renewal: present.Renewal + 1}
 	if present.Holder != holder || fresh {
--- a/internal/controlstate/controlstate_test.go
+++ b/internal/controlstate/controlstate_test.go
@@ -19,7 +19,7 @@
 	if _, _, err := first.Replace(0, 5, []byte("five")); !errors.Is(err, ErrConflict) {
 		t.Errorf("a configuration built on a version that is not in force: error %v, want ErrConflict", err)
 	}
-	if _, _, err := first.Replace(3, 3, []byte("other")); !errors.Is(err, ErrOld) {
+	if _, _, err := first.Replace(3, 3, []byte("other")); !errors.Is(err, ErrStaleVersion) {
 		t.Errorf("a configuration whose version is not higher: error %v, want ErrStaleVersion", err)
 	}
 	second, _, err := first.Replace(3, 9, []byte("nine"))
@@ -80,7 +80,7 @@
 	if err != nil || renewed.Leases["role"].Token != a.Token {
 		t.Fatalf("renewal: error %v, leases %+v", err, renewed.Leases)
 	}
-	if _, err := renewed.Acquire("role", "b", a, true); !errors.Is(err, ErrHeld) {
+	if _, err := renewed.Acquire("role", "b", a, true); !errors.Is(err, ErrLeaseHeld) {
 		t.Errorf("acquired from a holder that has renewed it since: error %v, want ErrLeaseHeld", err)
 	}
 	taken, err := renewed.Acquire("role", "b", renewed.Leases["role"], true)
@@ -180,7 +180,7 @@
 	if _, _, err := updated.Replace(3, 5, []byte("+1")); !errors.Is(err, ErrConflict) {
 		t.Errorf("a complete configuration with the text of an update: error %v, want ErrConflict", err)
 	}
-	if _, _, err := updated.Update(5, 5, []byte("+3"), appending("")); !errors.Is(err, ErrOld) {
+	if _, _, err := updated.Update(5, 5, []byte("+3"), appending("")); !errors.Is(err, ErrStaleVersion) {
 		t.Errorf("an update whose version is not higher: error %v, want ErrStaleVersion", err)
 	}
 	invalid := errors.New("invalid")
--- a/internal/controlstate/packing.go
+++ b/internal/controlstate/packing.go
@@ -42,7 +42,7 @@
 
 // Pack packs a payload. It returns a payload that is not an encoded state unchanged.
 func (p *Packer) Pack(payload []byte) []byte {
-	if !sections.Is(payload) {
+	if !sections.IsDocument(payload) {
 		return payload
 	}
 	s, err := Decode(payload)
@@ -60,7 +60,7 @@
 
 // Unpack decodes what Pack or an earlier release wrote. It returns a text that is not packed unchanged.
 func (p *Packer) Unpack(text []byte) ([]byte, error) {
-	if len(text) == 0 || sections.Is(text) {
+	if len(text) == 0 || sections.IsDocument(text) {
 		return text, nil
 	}
 	in := packed{}
--- a/internal/delta/hunks.go
+++ b/internal/delta/hunks.go
@@ -48,7 +48,7 @@
 }
 
 // InsertedBytes returns the number of bytes that the hunks insert.
-func Inserted(hunks []Hunk) (bytes int) {
+func InsertedBytes(hunks []Hunk) (bytes int) {
 	for _, h := range hunks {
 		bytes += len(h.Insert)
 	}
--- a/internal/delta/hunks_test.go
+++ b/internal/delta/hunks_test.go
@@ -57,7 +57,7 @@
 		middle := len(base) / 2
 		next := slices.Concat([]byte(`{"version":18,`), base[14:middle], []byte("changed"), base[middle+3:])
 		hunks := Hunks(base, next)
-		if carried := Inserted(hunks); carried > 200 || len(hunks) > 5 {
+		if carried := InsertedBytes(hunks); carried > 200 || len(hunks) > 5 {
 			t.Errorf("%d lines, %d bytes: %d bytes inserted in %d hunks", lines, len(base), carried, len(hunks))
 		}
 		if made, err := ApplyHunks(base, hunks); err != nil || !bytes.Equal(made, next) {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -142,7 +142,7 @@
 	if !isBearer {
 		return false
 	}
-	c.tenant = c.config.TenantOf(strings.TrimSpace(key))
+	c.tenant = c.config.TenantByKey(strings.TrimSpace(key))
 	return c.tenant != nil
 }
 
@@ -241,7 +241,7 @@
 // outdated reports whether an instance's weights are too old by now. The permitted instances were determined when the
 // request arrived, which may be long ago.
 func (c *call) outdated(instance instances.Instance) bool {
-	return c.prompt != nil && instance.VersionOf(c.prompt.model) < c.server.weights.Oldest(time.Now(), c.prompt.model)
+	return c.prompt != nil && instance.VersionOf(c.prompt.model) < c.server.weights.MinVersion(time.Now(), c.prompt.model)
 }
 
 // cancelWhenOutdated sets a timer that cancels the attempt at the time by which requests on the instance's weights must have
@@ -251,7 +251,7 @@
 	if c.prompt == nil {
 		return func() bool { return false }
 	}
-	by := c.server.weights.BeginBy(c.prompt.model, version)
+	by := c.server.weights.StartDeadline(c.prompt.model, version)
 	if by.IsZero() {
 		return func() bool { return false }
 	}
@@ -428,11 +428,11 @@
 func (c *call) salt(version int64) string {
 	config, tenant := c.server.Configuration(), c.tenant
 	if tenant != nil {
-		if now := config.TenantNamed(tenant.Name); now != nil {
+		if now := config.TenantByName(tenant.Name); now != nil {
 			tenant = now
 		}
 	}
-	return salt(c.prompt.model, version, config.Walls(), tenant)
+	return salt(c.prompt.model, version, config.IsolationHash(), tenant)
 }
 
 // sourceAddress returns the address of the instance or store to fetch from. It is empty if there is none or if the instance
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -183,7 +183,7 @@
 func (s *Server) candidates(service, model string) (list []instances.Instance, limited bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	least := s.weights.Oldest(time.Now(), model)
+	least := s.weights.MinVersion(time.Now(), model)
 	s.logOldest(model, least)
 	for _, i := range s.instances {
 		if i.Service != service || i.State != instances.Ready {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -86,12 +86,12 @@
 	before, after := parse(1, false), parse(2, true)
 	server := &Server{}
 	server.config.Store(before)
-	c := &call{server: server, config: before, tenant: before.TenantOf("k"), prompt: &prompt{model: "m"}}
-	if c.salt(1) != salt("m", 1, before.Walls(), before.TenantNamed("a")) {
+	c := &call{server: server, config: before, tenant: before.TenantByKey("k"), prompt: &prompt{model: "m"}}
+	if c.salt(1) != salt("m", 1, before.IsolationHash(), before.TenantByName("a")) {
 		t.Error("before the change: not the salt of the configuration at the arrival")
 	}
 	server.config.Store(after)
-	if c.salt(1) != salt("m", 1, after.Walls(), after.TenantNamed("a")) {
+	if c.salt(1) != salt("m", 1, after.IsolationHash(), after.TenantByName("a")) {
 		t.Error("after the change: not the salt of the new configuration")
 	}
 }
--- a/internal/gateway/prompt.go
+++ b/internal/gateway/prompt.go
@@ -98,7 +98,7 @@
 // of it.
 func (s *Server) describe(p *prompt, config *configuration.Configuration, tenant *configuration.Tenant, engine *configuration.Engine,
 	candidates []instances.Instance) *balance.Prompt {
-	isolation := config.Walls()
+	isolation := config.IsolationHash()
 	counts := p.tokenCounts()
 	out := &balance.Prompt{Tokens: p.tokens, Held: map[string]float64{}, Group: map[string]int64{}}
 	for _, part := range p.shared() {
--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -155,7 +155,7 @@
 		}{version})
 	case errors.Is(err, controlstate.ErrConflict):
 		a.writeError(w, http.StatusPreconditionFailed, err)
-	case errors.Is(err, controlstate.ErrOld), errors.As(err, &found):
+	case errors.Is(err, controlstate.ErrStaleVersion), errors.As(err, &found):
 		a.writeError(w, http.StatusBadRequest, err)
 	default:
 		a.writeUnavailable(w, "configuration", err)
--- a/internal/ownership/ownership.go
+++ b/internal/ownership/ownership.go
@@ -125,7 +125,7 @@
 }
 
 // HasHeld reports whether this process has ever held the lease.
-func (l *Lease) Had() bool {
+func (l *Lease) HasHeld() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.held.Token > 0
--- a/internal/ownership/ownership_test.go
+++ b/internal/ownership/ownership_test.go
@@ -61,7 +61,7 @@
 		b.lease.Observe(now, b.seen)
 		if b.lease.Due(now, time.Unix(1000, 0), live) && !b.partitioned {
 			begun := now
-			next, err := state.Acquire("role", b.name, b.seen, !b.lease.Had())
+			next, err := state.Acquire("role", b.name, b.seen, !b.lease.HasHeld())
 			now = now.Add(time.Duration(rng.IntN(100)) * time.Millisecond)
 			if err == nil {
 				state = next
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -137,14 +137,14 @@
 }
 
 // Accepted records that an instance has accepted its order.
-func (p *Planner) Taken(id string, now time.Time) {
+func (p *Planner) Accepted(id string, now time.Time) {
 	if f := p.pending[id]; f != nil {
 		f.accepted, f.pollDue, f.lastReply = true, now.Add(firstPollDelay), now
 	}
 }
 
 // StillLoading records a reply that an instance is still loading.
-func (p *Planner) Heard(id string, now time.Time) {
+func (p *Planner) StillLoading(id string, now time.Time) {
 	if f := p.pending[id]; f != nil {
 		f.lastReply = now
 	}
@@ -152,7 +152,7 @@
 
 // NoReply records that an instance did not reply to a poll. After silenceTimeout it counts as failed, since it may have crashed and
 // other instances must not wait for it.
-func (p *Planner) Silent(id string, now time.Time) {
+func (p *Planner) NoReply(id string, now time.Time) {
 	if f := p.pending[id]; f != nil && now.Sub(f.lastReply) > silenceTimeout {
 		p.Failed(id, now)
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -45,9 +45,9 @@
 			case i.ID == "i03" && orders[i.ID] == 1:
 				p.Failed(i.ID, now)
 			case i.ID == "i05" && orders[i.ID] == 1:
-				p.Taken(i.ID, now) // and loses it by a restart
+				p.Accepted(i.ID, now) // and loses it by a restart
 			default:
-				p.Taken(i.ID, now)
+				p.Accepted(i.ID, now)
 				loading[i.ID] = now
 			}
 		}
@@ -120,12 +120,12 @@
 			if _, again := ordered[i.ID]; !again {
 				ordered[i.ID] = now.Sub(start)
 			}
-			p.Taken(i.ID, now)
+			p.Accepted(i.ID, now)
 			all[indexOf(all, i.ID)].State = instances.Draining // as the instance's record says while it loads
 		}
 		for _, i := range look {
 			if i.ID == "i00" {
-				p.Silent(i.ID, now)
+				p.NoReply(i.ID, now)
 				continue
 			}
 			p.Done(i.ID)
--- a/internal/router/roles.go
+++ b/internal/router/roles.go
@@ -121,7 +121,7 @@
 		planner = rollout.New(model)
 		r.planners[model] = planner
 	}
-	since := func(version int64) time.Time { return r.broker.weights.Since(model, version) }
+	since := func(version int64) time.Time { return r.broker.weights.SupersededAt(model, version) }
 	toOrder, toPoll := planner.Plan(time.Now(), since, all, version)
 	for _, i := range toOrder {
 		go r.sendOrder(ctx, planner, lease, i, model, version)
@@ -151,7 +151,7 @@
 		if err != nil {
 			return nil, err
 		}
-		next, err := state.Acquire(lease.Role, lease.Self, seen, !lease.Had())
+		next, err := state.Acquire(lease.Role, lease.Self, seen, !lease.HasHeld())
 		if err != nil {
 			return nil, err
 		}
@@ -202,7 +202,7 @@
 		case err != nil && progress == upstream.NotSent:
 			planner.Failed(i.ID, now)
 		case err != nil || status == http.StatusAccepted || status == http.StatusConflict:
-			planner.Taken(i.ID, now) // an order without an answer may have been accepted
+			planner.Accepted(i.ID, now) // an order without an answer may have been accepted
 		case status == http.StatusOK:
 			r.markDone(planner, i, model, version)
 		default:
@@ -222,7 +222,7 @@
 	status, body, _, err := r.send(ctx, i, http.MethodGet, "/v1/report", nil)
 	answer := report{}
 	if err != nil || status != http.StatusOK || json.Unmarshal(body, &answer) != nil {
-		r.results <- func(now time.Time) { planner.Silent(i.ID, now) }
+		r.results <- func(now time.Time) { planner.NoReply(i.ID, now) }
 		return
 	}
 	has := (&instances.Instance{Models: answer.Models}).VersionOf(model)
@@ -233,7 +233,7 @@
 		case !answer.Busy:
 			planner.Failed(i.ID, now) // the instance lost the order or never accepted it
 		default:
-			planner.Heard(i.ID, now)
+			planner.StillLoading(i.ID, now)
 		}
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -267,7 +267,7 @@
 func (b *Broker) learnWeights(state controlstate.State) {
 	for model, newest := range state.Weights {
 		for _, version := range b.weights.Learn(time.Now(), model, newest, state.Named[model]) {
-			since := time.Since(b.weights.Since(model, version-1))
+			since := time.Since(b.weights.SupersededAt(model, version-1))
 			b.logger.Info().Str("model", model).Int64("version", version).Float64("age_s", since.Seconds()).Msg("weights named")
 		}
 	}
--- a/internal/sections/sections.go
+++ b/internal/sections/sections.go
@@ -92,11 +92,11 @@
 }
 
 // IsDocument reports whether a text begins like an encoded document.
-func Is(text []byte) bool { return bytes.HasPrefix(text, []byte(magic)) }
+func IsDocument(text []byte) bool { return bytes.HasPrefix(text, []byte(magic)) }
 
 // Parse decodes a document. The caller must not modify the text afterwards, because the document refers to it.
 func Parse(text []byte) (Document, error) {
-	if !Is(text) {
+	if !IsDocument(text) {
 		return Document{}, ErrMalformed
 	}
 	d := Document{text: text}
@@ -225,7 +225,7 @@
 	const hunk, change, sums = 12, 8, 2 * len(delta.Sum{})
 	size := sums
 	for _, c := range p.Changes {
-		size += change + len(c.Name) + hunk*len(c.Hunks) + delta.Inserted(c.Hunks)
+		size += change + len(c.Name) + hunk*len(c.Hunks) + delta.InsertedBytes(c.Hunks)
 	}
 	return size
 }
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -122,7 +122,7 @@
 }
 
 // MinVersion returns the oldest version that a request may be sent to now.
-func (l *Ledger) Oldest(now time.Time, model string) int64 {
+func (l *Ledger) MinVersion(now time.Time, model string) int64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	oldest := int64(1)
@@ -135,7 +135,7 @@
 }
 
 // SupersededAt returns when the first version above this one was named, or the zero time if there is no newer version.
-func (l *Ledger) Since(model string, version int64) (since time.Time) {
+func (l *Ledger) SupersededAt(model string, version int64) (since time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, n := range l.models[model] {
@@ -148,8 +148,8 @@
 
 // StartDeadline returns when a request that is sent to an instance with this version must have started, or the zero time if there
 // is no newer version.
-func (l *Ledger) BeginBy(model string, version int64) time.Time {
-	since := l.Since(model, version)
+func (l *Ledger) StartDeadline(model string, version int64) time.Time {
+	since := l.SupersededAt(model, version)
 	if since.IsZero() {
 		return since
 	}
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -31,17 +31,17 @@
 				t.Errorf("Learn of version %d returned %v as new", newest, news)
 			}
 		}
-		if got := l.Oldest(at(c.at), "m"); got != c.oldest {
+		if got := l.MinVersion(at(c.at), "m"); got != c.oldest {
 			t.Errorf("after %v s the oldest allowed version is %d, want %d", c.at, got, c.oldest)
 		}
-		if by := l.BeginBy("m", 1); c.at < 5.1 && !by.Equal(at(5.6)) {
+		if by := l.StartDeadline("m", 1); c.at < 5.1 && !by.Equal(at(5.6)) {
 			t.Errorf("after %v s the start deadline on version 1 is %v, want 5.6s", c.at, by.Sub(start))
 		}
 	}
-	if got := l.Oldest(at(100), "another"); got != 1 {
+	if got := l.MinVersion(at(100), "another"); got != 1 {
 		t.Errorf("a model without a named version: oldest allowed version is %d", got)
 	}
-	if by := l.BeginBy("m", 6); !by.IsZero() {
+	if by := l.StartDeadline("m", 6); !by.IsZero() {
 		t.Errorf("the newest version has a start deadline of %v", by.Sub(start))
 	}
 }
@@ -51,15 +51,15 @@
 func TestRestartDoesNotExtendGrace(t *testing.T) {
 	l := New(bound)
 	l.Learn(at(10), "m", 3, []Naming{{2, 7 * time.Second}, {3, 4 * time.Second}})
-	if l.Oldest(at(10), "m") != 2 || l.Oldest(at(11.2), "m") != 3 {
-		t.Errorf("oldest allowed version %d and then %d, want 2 and 3", l.Oldest(at(10), "m"), l.Oldest(at(11.2), "m"))
+	if l.MinVersion(at(10), "m") != 2 || l.MinVersion(at(11.2), "m") != 3 {
+		t.Errorf("oldest allowed version %d and then %d, want 2 and 3", l.MinVersion(at(10), "m"), l.MinVersion(at(11.2), "m"))
 	}
 	l.Learn(at(10), "m", 3, []Naming{{2, 0}, {3, 0}})
-	if l.Oldest(at(11.2), "m") != 3 {
+	if l.MinVersion(at(11.2), "m") != 3 {
 		t.Error("the age of a version decreased")
 	}
 	fresh := New(bound)
-	if fresh.Learn(at(0), "m", 4, nil); fresh.Oldest(at(0), "m") != 4 {
+	if fresh.Learn(at(0), "m", 4, nil); fresh.MinVersion(at(0), "m") != 4 {
 		t.Error("a version without an age in the register must count as named long ago")
 	}
 }
@@ -132,7 +132,7 @@
 					ledgers[i].Learn(now, model, newest, register)
 				}
 			case "renew":
-				if newest > 0 && ledgers[i].Oldest(now, model) <= newest {
+				if newest > 0 && ledgers[i].MinVersion(now, model) <= newest {
 					register = Merge(register, ledgers[i].Named(now, model), Grace(bound))
 				}
 			case "start":
@@ -151,7 +151,7 @@
 				}
 			}
 			for i, l := range ledgers {
-				oldest := l.Oldest(now, model)
+				oldest := l.MinVersion(now, model)
 				for _, n := range truth {
 					gracePassed := now.Sub(start.Add(n.Age)) >= Grace(bound)
 					settledAt, isSettled := settled[n.Version]
