--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -21,73 +21,73 @@
 
 // Instance is one instance of a service, as registered.
 type Instance struct {
-	ID      string
-	Service string
-	Address string
-	Zone    string
-	Slots   int
-	State   logic.Readiness
-	Cold    float64 // ms of slow start that remain
+	ID            string
+	Service       string
+	Address       string
+	Zone          string
+	Slots         int
+	State         logic.Readiness
+	SlowStartLeft float64 // ms of slow start that remain
 }
 
 // Prompt describes the prompt of a request and which instances and stores cache how much of it. Instances and stores are
 // named by their ids.
 type Prompt struct {
-	Tokens float64            // length of the prompt
-	Shared float64            // tokens of the parts that other requests may share
-	Held   map[string]float64 // leading tokens of the prompt that are cached, by id
-	Home   []string           // placement order of the instances for the shared parts
-	Group  map[string]int64   // version of the weights that the cached parts belong to, by id
-	Stores map[string]string  // zones of the stores, by id
+	Tokens          float64            // length of the prompt
+	SharedTokens    float64            // tokens of the parts that other requests may share
+	CachedTokens    map[string]float64 // leading tokens of the prompt that are cached, by id
+	PlacementOrder  []string           // placement order of the instances for the shared parts
+	WeightsVersions map[string]int64   // version of the weights that the cached parts belong to, by id
+	StoreZones      map[string]string  // zones of the stores, by id
 	// The time in ms to fetch one token from a source in the zone of the running instance, and from another zone.
-	FetchTime  float64
-	AcrossTime float64
+	FetchMsPerToken          float64
+	CrossZoneFetchMsPerToken float64
 }
 
 // Request is a request of a client.
 type Request struct {
-	Route     *configuration.Route
-	Service   string
-	Budget    float64 // ms until its deadline
-	Permitted []string
-	Limited   bool // only the instances in Permitted may run it
-	Prompt    *Prompt
+	Route      *configuration.Route
+	Service    string
+	TimeLeft   float64 // ms until its deadline
+	Permitted  []string
+	Restricted bool // only the instances in Permitted may run it
+	Prompt     *Prompt
 }
 
 // CommandKind is the kind of a Command.
 type CommandKind int
 
 const (
-	Send   CommandKind = iota + 1 // send the request to Instance, which fetches cached parts from Source
-	Recall                        // cancel the attempt with number Attempt
-	Finish                        // the answer is complete
-	Refuse                        // the request never ran: tell the client when to retry
-	Fail                          // give the request up; it may have run
+	Send          CommandKind = iota + 1 // send the request to Instance, which fetches cached parts from Source
+	CancelAttempt                        // cancel the attempt with number Attempt
+	Finish                               // the answer is complete
+	Refuse                               // the request never ran: tell the client when to retry
+	Fail                                 // give the request up; it may have run
 )
 
 // Command is a decision of the module about one request.
 type Command struct {
-	Kind     CommandKind
-	Request  int64
-	Attempt  int
-	Instance string
-	Source   string  // id of the instance or store to fetch cached parts from; empty if none
-	Save     bool    // the instance saves the prompt's parts in the store
-	Timeout  float64 // ms; timeout of the attempt
-	Backlog  float64 // ms; estimated work outstanding at the instance before this request
-	Work     float64 // ms; estimated work of this request
-	After    float64 // ms after which a refused client may retry
+	Kind        CommandKind
+	Request     int64
+	Attempt     int
+	Instance    string
+	Source      string  // id of the instance or store to fetch cached parts from; empty if none
+	SaveToStore bool    // the instance saves the prompt's parts in the store
+	Timeout     float64 // ms; timeout of the attempt
+	Backlog     float64 // ms; estimated work outstanding at the instance before this request
+	Work        float64 // ms; estimated work of this request
+	RetryAfter  float64 // ms after which a refused client may retry
 }
 
 // Fleet describes the brokers and their deployment to the module.
 type Fleet struct {
-	Brokers      float64
-	Zone         string
-	BudgetWindow float64 // ms
-	BudgetRatio  float64
-	BudgetSlack  float64 // attempts of this broker's share, beside the ratio
-	Notes        bool    // brokers notify each other of the work that they send to instances
-	RetryAfter   float64 // ms; upper bound of the retry delay that a refused client gets
+	Brokers       float64
+	Zone          string
+	BudgetWindow  float64 // ms
+	BudgetRatio   float64
+	BudgetSlack   float64 // attempts of this broker's share, beside the ratio
+	PeerNotes     bool    // brokers notify each other of the work that they send to instances
+	MaxRetryAfter float64 // ms; upper bound of the retry delay that a refused client gets
 }
 
 // Balancer drives the decision module of one broker. It is not safe for concurrent use.
@@ -192,8 +192,8 @@
 	b.lastNumber += 2
 	request, part := b.lastNumber-1, b.lastNumber
 	b.partOf[request], b.requestOf[part] = part, request
-	scan := logic.Event{Kind: logic.ScanArrived, ID: request, Scan: request, TableType: b.routeType(r.Route), Budget: r.Budget}
-	if r.Limited {
+	scan := logic.Event{Kind: logic.ScanArrived, ID: request, Scan: request, TableType: b.routeType(r.Route), Budget: r.TimeLeft}
+	if r.Restricted {
 		scan.Permitted = map[int64]bool{}
 		for _, id := range r.Permitted {
 			scan.Permitted[b.number(id)] = true
@@ -208,26 +208,26 @@
 	if p == nil {
 		return nil
 	}
-	out := &logic.Prompt{Tokens: p.Tokens, Shared: p.Shared, Held: make(map[int64]float64, len(p.Held)), FetchTime: p.FetchTime,
-		AcrossTime: p.AcrossTime, Zones: map[int64]int{}, Group: make(map[int64]int64, len(p.Group))}
-	for id, tokens := range p.Held {
+	out := &logic.Prompt{Tokens: p.Tokens, Shared: p.SharedTokens, Held: make(map[int64]float64, len(p.CachedTokens)), FetchTime: p.FetchMsPerToken,
+		AcrossTime: p.CrossZoneFetchMsPerToken, Zones: map[int64]int{}, Group: make(map[int64]int64, len(p.WeightsVersions))}
+	for id, tokens := range p.CachedTokens {
 		out.Held[b.number(id)] = tokens
 	}
-	for id, group := range p.Group {
+	for id, group := range p.WeightsVersions {
 		out.Group[b.number(id)] = group
 	}
-	for _, id := range p.Home {
+	for _, id := range p.PlacementOrder {
 		out.Home = append(out.Home, b.number(id))
 	}
-	for _, id := range slices.Sorted(maps.Keys(p.Stores)) {
+	for _, id := range slices.Sorted(maps.Keys(p.StoreZones)) {
 		out.Stores = append(out.Stores, b.number(id))
-		out.Zones[b.number(id)] = b.zoneNumber(p.Stores[id])
+		out.Zones[b.number(id)] = b.zoneNumber(p.StoreZones[id])
 	}
 	return out
 }
 
 // StreamBegan reports that the first event of a request's stream has arrived.
-func (b *Balancer) Began(now float64, request int64, attempt int, elapsed float64) []Command {
+func (b *Balancer) StreamBegan(now float64, request int64, attempt int, elapsed float64) []Command {
 	part, open := b.partOf[request]
 	if !open {
 		return nil
@@ -236,7 +236,7 @@
 }
 
 // AttemptEnded reports the outcome of an attempt.
-func (b *Balancer) Ended(now float64, request int64, attempt int, outcome logic.Outcome, elapsed float64) []Command {
+func (b *Balancer) AttemptEnded(now float64, request int64, attempt int, outcome logic.Outcome, elapsed float64) []Command {
 	part, known := b.partOf[request]
 	if !known {
 		return nil
@@ -245,7 +245,7 @@
 }
 
 // ClientLeft reports that the client of a request has disconnected.
-func (b *Balancer) Left(now float64, request int64) []Command {
+func (b *Balancer) ClientLeft(now float64, request int64) []Command {
 	return b.step(now, logic.Event{Kind: logic.ClientLeft, ID: request})
 }
 
@@ -256,15 +256,15 @@
 }
 
 // ReceiveNote processes a note received from another broker.
-func (b *Balancer) Heard(now float64, note []byte) []Command {
+func (b *Balancer) ReceiveNote(now float64, note []byte) []Command {
 	return b.step(now, logic.Event{Kind: logic.PeerNote, Note: note})
 }
 
 // Note is a message for other brokers about work that this one sent. A broadcast note goes to all of them, others to the usual
 // number of peers.
 type Note struct {
-	Text []byte
-	Wide bool
+	Payload   []byte
+	Broadcast bool
 }
 
 // Notes returns the pending notes for the other brokers and clears them.
@@ -275,7 +275,7 @@
 }
 
 // NextTimer returns the time in ms of the earliest timer, at which Advance must be called; +Inf if no timer is set.
-func (b *Balancer) Due() float64 {
+func (b *Balancer) NextTimer() float64 {
 	if len(b.timers) == 0 {
 		return math.Inf(1)
 	}
@@ -305,17 +305,17 @@
 		switch a.Kind {
 		case logic.Dispatch:
 			commands = append(commands, Command{Kind: Send, Request: b.requestOf[a.ID], Instance: b.idByNumber[a.Node], Source: b.idByNumber[a.Source],
-				Save: a.Save, Backlog: a.Load, Work: a.Work, Timeout: a.After})
+				SaveToStore: a.Save, Backlog: a.Load, Work: a.Work, Timeout: a.After})
 		case logic.Recall:
-			commands = append(commands, Command{Kind: Recall, Request: b.requestOf[a.ID], Attempt: a.Dispatch})
+			commands = append(commands, Command{Kind: CancelAttempt, Request: b.requestOf[a.ID], Attempt: a.Dispatch})
 		case logic.Answer:
 			commands = append(commands, Command{Kind: Finish, Request: a.ID})
 		case logic.Throttle:
-			commands = append(commands, Command{Kind: Refuse, Request: a.ID, After: a.After})
+			commands = append(commands, Command{Kind: Refuse, Request: a.ID, RetryAfter: a.After})
 		case logic.Abandon:
 			commands = append(commands, Command{Kind: Fail, Request: a.ID})
 		case logic.SendNote:
-			b.notes = append(b.notes, Note{Text: a.Note, Wide: a.ToAll})
+			b.notes = append(b.notes, Note{Payload: a.Note, Broadcast: a.ToAll})
 		case logic.SetTimer:
 			heap.Push(&b.timers, timer{dueAt: b.now + a.After, number: a.Timer})
 		}
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -42,7 +42,7 @@
 }
 
 func limits() Fleet {
-	return Fleet{Brokers: 3, Zone: "z0", BudgetWindow: 10000, BudgetRatio: 0.2, BudgetSlack: 5, RetryAfter: 150}
+	return Fleet{Brokers: 3, Zone: "z0", BudgetWindow: 10000, BudgetRatio: 0.2, BudgetSlack: 5, MaxRetryAfter: 150}
 }
 
 func (f *fleet) route(name string) *configuration.Route {
@@ -59,7 +59,7 @@
 func (f *fleet) arrive(route string, p *Prompt) (int64, Command) {
 	f.t.Helper()
 	r := f.route(route)
-	number, commands := f.b.Arrive(f.now, Request{Route: r, Service: r.Splits[0].Service, Budget: float64(r.Timeout / time.Millisecond), Prompt: p})
+	number, commands := f.b.Arrive(f.now, Request{Route: r, Service: r.Splits[0].Service, TimeLeft: float64(r.Timeout / time.Millisecond), Prompt: p})
 	if len(commands) != 1 || commands[0].Kind != Send || commands[0].Request != number {
 		f.t.Fatalf("commands: %+v", commands)
 	}
@@ -71,11 +71,11 @@
 	for n := range 50 {
 		number, c := f.arrive("chat", nil)
 		f.now += 20
-		if out := f.b.Began(f.now, number, 0, 20); len(out) > 0 {
+		if out := f.b.StreamBegan(f.now, number, 0, 20); len(out) > 0 {
 			t.Fatalf("request %d: %+v", n, out)
 		}
 		f.now += 20
-		out := f.b.Ended(f.now, number, 0, logic.Completed, 40)
+		out := f.b.AttemptEnded(f.now, number, 0, logic.Completed, 40)
 		if len(out) != 1 || out[0].Kind != Finish {
 			t.Fatalf("request %d at %s: %+v", n, c.Instance, out)
 		}
@@ -92,7 +92,7 @@
 		f := newFleet(t, limits())
 		number, _ := f.arrive("post", nil)
 		f.now += 5
-		out := f.b.Ended(f.now, number, 0, outcome, 5)
+		out := f.b.AttemptEnded(f.now, number, 0, outcome, 5)
 		if len(out) != 1 || out[0].Kind != want {
 			t.Errorf("outcome %d: %+v", outcome, out)
 		}
@@ -106,8 +106,8 @@
 	runs := 1
 	for attempt := range 5 {
 		f.now += 10
-		f.b.Began(f.now, number, attempt, 10)
-		out := f.b.Ended(f.now, number, attempt, logic.Severed, 10)
+		f.b.StreamBegan(f.now, number, attempt, 10)
+		out := f.b.AttemptEnded(f.now, number, attempt, logic.Severed, 10)
 		if len(out) != 1 {
 			t.Fatalf("attempt %d: %+v", attempt, out)
 		}
@@ -127,15 +127,15 @@
 	f := newFleet(t, limits())
 	requests, retries := 0, 0
 	for range 300 {
-		number, out := f.b.Arrive(f.now, Request{Route: f.route("chat"), Service: "llm", Budget: 10000})
+		number, out := f.b.Arrive(f.now, Request{Route: f.route("chat"), Service: "llm", TimeLeft: 10000})
 		requests++
 		for attempt := 0; len(out) == 1 && out[0].Kind == Send; attempt++ {
-			out = f.b.Ended(f.now, number, attempt, logic.Saturated, 1)
+			out = f.b.AttemptEnded(f.now, number, attempt, logic.Saturated, 1)
 			if len(out) == 1 && out[0].Kind == Send {
 				retries++
 			}
 		}
-		f.b.Left(f.now, number)
+		f.b.ClientLeft(f.now, number)
 		f.b.Forget(number)
 		f.now += 10
 		f.b.Advance(f.now)
@@ -145,7 +145,7 @@
 	}
 	f.now += 5000 // the rejections have expired, the budget window has not
 	number, _ := f.arrive("post", nil)
-	if out := f.b.Ended(f.now, number, 0, logic.Saturated, 1); len(out) != 1 || out[0].Kind != Send {
+	if out := f.b.AttemptEnded(f.now, number, 0, logic.Saturated, 1); len(out) != 1 || out[0].Kind != Send {
 		t.Errorf("the retry budget of another service was used: %+v", out)
 	}
 }
@@ -154,11 +154,11 @@
 // parts from it, and that nothing is fetched from an instance with another version of the weights.
 func TestSource(t *testing.T) {
 	prompt := func(group int64) *Prompt {
-		p := &Prompt{Tokens: 8000, Shared: 6000, Held: map[string]float64{"l3": 6000}, Group: map[string]int64{}, FetchTime: 0.002, AcrossTime: 0.004}
+		p := &Prompt{Tokens: 8000, SharedTokens: 6000, CachedTokens: map[string]float64{"l3": 6000}, WeightsVersions: map[string]int64{}, FetchMsPerToken: 0.002, CrossZoneFetchMsPerToken: 0.004}
 		for i := range 6 {
-			p.Group[fmt.Sprint("l", i)] = 1
+			p.WeightsVersions[fmt.Sprint("l", i)] = 1
 		}
-		p.Group["l3"] = group
+		p.WeightsVersions["l3"] = group
 		return p
 	}
 	f := newFleet(t, limits())
@@ -191,7 +191,7 @@
 	f := newFleet(t, limits())
 	r := f.route("chat")
 	for range 20 {
-		_, commands := f.b.Arrive(f.now, Request{Route: r, Service: "llm", Budget: 10000, Permitted: []string{"l5"}, Limited: true})
+		_, commands := f.b.Arrive(f.now, Request{Route: r, Service: "llm", TimeLeft: 10000, Permitted: []string{"l5"}, Restricted: true})
 		if len(commands) != 1 || commands[0].Instance != "l5" {
 			t.Fatalf("commands: %+v", commands)
 		}
@@ -203,16 +203,16 @@
 	f := newFleet(t, limits())
 	f.b.SetInstances(f.now, nil)
 	r := f.route("chat")
-	_, commands := f.b.Arrive(f.now, Request{Route: r, Service: "llm", Budget: 10000})
+	_, commands := f.b.Arrive(f.now, Request{Route: r, Service: "llm", TimeLeft: 10000})
 	for len(commands) == 0 && f.now < 20000 {
-		due := f.b.Due()
+		due := f.b.NextTimer()
 		if math.IsInf(due, 1) {
 			t.Fatal("no timer is set while the request is open")
 		}
 		f.now = due
 		commands = f.b.Advance(f.now)
 	}
-	if len(commands) != 1 || commands[0].Kind != Refuse || commands[0].After <= 0 || f.now > 700 {
+	if len(commands) != 1 || commands[0].Kind != Refuse || commands[0].RetryAfter <= 0 || f.now > 700 {
 		t.Errorf("at %.0f ms: %+v", f.now, commands)
 	}
 }
@@ -227,11 +227,11 @@
 		t.Fatal(err)
 	}
 	f.b.SetConfiguration(f.now, c)
-	if _, commands := f.b.Arrive(f.now, Request{Route: c.Routes[0], Service: "llm", Budget: 500}); len(commands) != 1 || commands[0].Kind != Send {
+	if _, commands := f.b.Arrive(f.now, Request{Route: c.Routes[0], Service: "llm", TimeLeft: 500}); len(commands) != 1 || commands[0].Kind != Send {
 		t.Errorf("a new route: %+v", commands)
 	}
 	f.now += 30
-	if out := f.b.Ended(f.now, number, 0, logic.Completed, 30); len(out) != 1 || out[0].Kind != Finish {
+	if out := f.b.AttemptEnded(f.now, number, 0, logic.Completed, 30); len(out) != 1 || out[0].Kind != Finish {
 		t.Errorf("an open request: %+v", out)
 	}
 }
--- a/internal/balance/notes_test.go
+++ b/internal/balance/notes_test.go
@@ -7,9 +7,9 @@
 
 // promptOf returns a prompt without shared parts, for the instances of newFleet.
 func promptOf(tokens float64) *Prompt {
-	p := &Prompt{Tokens: tokens, Held: map[string]float64{}, Group: map[string]int64{}}
+	p := &Prompt{Tokens: tokens, CachedTokens: map[string]float64{}, WeightsVersions: map[string]int64{}}
 	for i := range 6 {
-		p.Group[fmt.Sprint("l", i)] = 1
+		p.WeightsVersions[fmt.Sprint("l", i)] = 1
 	}
 	return p
 }
@@ -17,7 +17,7 @@
 // limitsWithNotes returns a deployment in which brokers notify each other of the work that they send.
 func limitsWithNotes() Fleet {
 	fleet := limits()
-	fleet.Notes = true
+	fleet.PeerNotes = true
 	return fleet
 }
 
@@ -29,17 +29,17 @@
 	for at, tokens := range []float64{100, 20000} {
 		_, sent := sender.arrive("chat", promptOf(tokens))
 		notes := sender.b.Notes()
-		if len(notes) != 1 || notes[0].Wide != (at == 1) {
+		if len(notes) != 1 || notes[0].Broadcast != (at == 1) {
 			t.Fatalf("a prompt of %.0f tokens: %d notes, %+v", tokens, len(notes), notes)
 		}
 		if at == 0 {
 			continue
 		}
-		receiver.b.Heard(receiver.now, notes[0].Text)
+		receiver.b.ReceiveNote(receiver.now, notes[0].Payload)
 		for _, passed := range []float64{0, 150, 300, 500} {
 			receiver.now = passed
-			_, commands := receiver.b.Arrive(receiver.now, Request{Route: receiver.route("chat"), Service: "llm", Budget: 10000,
-				Permitted: []string{sent.Instance}, Limited: true, Prompt: promptOf(1)})
+			_, commands := receiver.b.Arrive(receiver.now, Request{Route: receiver.route("chat"), Service: "llm", TimeLeft: 10000,
+				Permitted: []string{sent.Instance}, Restricted: true, Prompt: promptOf(1)})
 			want := max(0, sent.Work-passed)
 			if got := commands[0].Backlog; got < want-10 || got > want+10 {
 				t.Errorf("after %.0f ms of a prompt of %.0f ms: estimated backlog %.0f ms", passed, sent.Work, got)
@@ -55,10 +55,10 @@
 	for range 20 {
 		_, sent := sender.arrive("post", nil)
 		for _, note := range sender.b.Notes() {
-			if note.Wide {
+			if note.Broadcast {
 				t.Errorf("short work of %.0f ms is broadcast to all brokers", sent.Work)
 			}
-			receiver.b.Heard(receiver.now, note.Text)
+			receiver.b.ReceiveNote(receiver.now, note.Payload)
 		}
 	}
 	receiver.now = 200
--- a/internal/balance/terms.go
+++ b/internal/balance/terms.go
@@ -27,8 +27,8 @@
 		"prices.zonesUntold":    true,
 		"limit.dispatches":      1.0,
 		"limit.cancelling":      true,
-		"limit.peers":           b.fleet.Notes,
-		"limit.maxRetryAfter":   b.fleet.RetryAfter,
+		"limit.peers":           b.fleet.PeerNotes,
+		"limit.maxRetryAfter":   b.fleet.MaxRetryAfter,
 		"tableType.count":       float64(len(b.routeTypes)),
 	}
 	for key, i := range b.routeTypes {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -64,7 +64,7 @@
 )
 
 func newCall(server *Server, writer http.ResponseWriter, incoming *http.Request) *call {
-	return &call{server: server, writer: writer, incoming: incoming, arrived: time.Now(), id: incoming.Header.Get(upstream.RequestID)}
+	return &call{server: server, writer: writer, incoming: incoming, arrived: time.Now(), id: incoming.Header.Get(upstream.RequestIDHeader)}
 }
 
 func (c *call) serve() {
@@ -74,10 +74,10 @@
 	c.exchange = newExchange()
 	service := c.pickService()
 	c.service = c.config.Services[service]
-	request := balance.Request{Route: c.route, Service: service, Budget: float64(time.Until(c.deadline)) / float64(time.Millisecond)}
+	request := balance.Request{Route: c.route, Service: service, TimeLeft: float64(time.Until(c.deadline)) / float64(time.Millisecond)}
 	if c.prompt = parsePrompt(c.incoming.Header); c.prompt != nil {
 		candidates, limited := c.server.candidates(service, c.prompt.model)
-		request.Limited = limited
+		request.Restricted = limited
 		for _, i := range candidates {
 			request.Permitted = append(request.Permitted, i.ID)
 		}
@@ -195,7 +195,7 @@
 			c.fail()
 			return true
 		}
-		c.refuse(time.Duration(command.After * float64(time.Millisecond)))
+		c.refuse(time.Duration(command.RetryAfter * float64(time.Millisecond)))
 		return true
 	case balance.Fail:
 		c.fail()
@@ -305,7 +305,7 @@
 func (c *call) rejected(response *upstream.Response, instance instances.Instance) (bool, logic.Outcome) {
 	if response.Status == http.StatusMisdirectedRequest {
 		_, _ = io.Copy(io.Discard, response)
-		if response.FromAnother(instance.ID) {
+		if response.Misdirected(instance.ID) {
 			c.server.onDisplaced(instance.ID)
 		}
 		return true, logic.Superseded
@@ -393,7 +393,7 @@
 // request returns the request to send to an instance, and the version of the weights that it expects.
 func (c *call) request(instance instances.Instance, command balance.Command) (*upstream.Request, int64) {
 	header := forwarded(c.incoming.Header)
-	header.Set(upstream.RequestID, c.id)
+	header.Set(upstream.RequestIDHeader, c.id)
 	header.Set("X-Expect-Instance", instance.ID)
 	priority := c.route.Priority
 	if c.tenant != nil {
@@ -413,12 +413,12 @@
 		if address := c.sourceAddress(command.Source, version); address != "" {
 			header.Set("Kv-Fetch", address)
 		}
-		if name, store := c.config.KVStore(); store != nil && command.Save && command.Source != StoreName(name) {
+		if name, store := c.config.KVStore(); store != nil && command.SaveToStore && command.Source != StoreName(name) {
 			header.Set("Kv-Save", store.Address)
 		}
 	}
 	return &upstream.Request{Method: c.incoming.Method, Target: c.incoming.RequestURI, Host: c.incoming.Host, Header: header, Body: c.body, ID: c.id,
-		Complete: func(h http.Header) {
+		SetHeaders: func(h http.Header) {
 			h.Set(requestDeadline, strconv.FormatInt(max(1, time.Until(c.deadline).Milliseconds()), 10))
 		}}, version
 }
@@ -504,6 +504,6 @@
 
 func (c *call) setRequestID() {
 	if c.id != "" {
-		c.writer.Header().Set(upstream.RequestID, c.id)
+		c.writer.Header().Set(upstream.RequestIDHeader, c.id)
 	}
 }
--- a/internal/gateway/dispatcher.go
+++ b/internal/gateway/dispatcher.go
@@ -51,7 +51,7 @@
 	for _, note := range d.balancer.Notes() {
 		d.queue(note)
 	}
-	due := d.balancer.Due()
+	due := d.balancer.NextTimer()
 	if due != d.timerAt && !math.IsInf(due, 1) {
 		d.timerAt = due
 		wait := math.Ceil(max(0, due-d.now())*float64(time.Millisecond)) + 1 // rounded up, since a timer that fires early is set again
@@ -61,10 +61,10 @@
 
 // queue adds a note to the next batch. The caller holds d.mu.
 func (d *dispatcher) queue(note balance.Note) {
-	if len(d.unsent[note.Wide])+len(note.Text) > maxNoteBytes {
-		d.send(note.Wide)
+	if len(d.unsent[note.Broadcast])+len(note.Payload) > maxNoteBytes {
+		d.send(note.Broadcast)
 	}
-	d.unsent[note.Wide] = append(d.unsent[note.Wide], note.Text...)
+	d.unsent[note.Broadcast] = append(d.unsent[note.Broadcast], note.Payload...)
 	if !d.flushing {
 		d.flushing = true
 		time.AfterFunc(noteDelay, d.flush)
@@ -90,7 +90,7 @@
 func (d *dispatcher) receiveNote(note []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.apply(d.balancer.Heard(d.now(), note))
+	d.apply(d.balancer.ReceiveNote(d.now(), note))
 }
 
 func (d *dispatcher) advance() {
@@ -131,20 +131,20 @@
 func (d *dispatcher) streamBegan(x *exchange, attempt int, elapsed time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.apply(d.balancer.Began(d.now(), x.number, attempt, float64(elapsed)/float64(time.Millisecond)))
+	d.apply(d.balancer.StreamBegan(d.now(), x.number, attempt, float64(elapsed)/float64(time.Millisecond)))
 }
 
 func (d *dispatcher) attemptEnded(x *exchange, attempt int, outcome logic.Outcome, elapsed time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.apply(d.balancer.Ended(d.now(), x.number, attempt, outcome, float64(elapsed)/float64(time.Millisecond)))
+	d.apply(d.balancer.AttemptEnded(d.now(), x.number, attempt, outcome, float64(elapsed)/float64(time.Millisecond)))
 }
 
 // forget removes an exchange whose client has its response or has disconnected.
 func (d *dispatcher) forget(x *exchange) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.apply(d.balancer.Left(d.now(), x.number))
+	d.apply(d.balancer.ClientLeft(d.now(), x.number))
 	d.balancer.Forget(x.number)
 	delete(d.exchanges, x.number)
 }
@@ -169,7 +169,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	switch c.Kind {
-	case balance.Recall:
+	case balance.CancelAttempt:
 		x.recalled = true
 	case balance.Refuse, balance.Fail:
 		x.ended = true
@@ -177,7 +177,7 @@
 	if c.Kind != balance.Send && c.Kind != balance.Finish && x.cancel != nil {
 		x.cancel()
 	}
-	if c.Kind == balance.Recall {
+	if c.Kind == balance.CancelAttempt {
 		return
 	}
 	select {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -90,21 +90,21 @@
 func (s *Server) fleet(brokers int) balance.Fleet {
 	b := s.settings.Bounds
 	return balance.Fleet{
-		Brokers:      float64(brokers),
-		Zone:         s.settings.Zone,
-		BudgetWindow: float64(b.BudgetWindow / time.Millisecond),
-		BudgetRatio:  b.RetryBudgetRatio * budgetRatioShare,
-		BudgetSlack:  b.RetryBudgetSlack * budgetSlackShare / float64(max(1, brokers)),
-		Notes:        true,
-		RetryAfter:   maxRetryAfter,
+		Brokers:       float64(brokers),
+		Zone:          s.settings.Zone,
+		BudgetWindow:  float64(b.BudgetWindow / time.Millisecond),
+		BudgetRatio:   b.RetryBudgetRatio * budgetRatioShare,
+		BudgetSlack:   b.RetryBudgetSlack * budgetSlackShare / float64(max(1, brokers)),
+		PeerNotes:     true,
+		MaxRetryAfter: maxRetryAfter,
 	}
 }
 
 // SetNoteSender sets the function that sends notes to other brokers; to all of them if wide is true.
-func (s *Server) SetTell(f func(note []byte, wide bool)) { s.dispatcher.sendNotes = f }
+func (s *Server) SetNoteSender(f func(note []byte, wide bool)) { s.dispatcher.sendNotes = f }
 
 // ReceiveNote processes a note received from another broker.
-func (s *Server) Heard(note []byte) { s.dispatcher.receiveNote(note) }
+func (s *Server) ReceiveNote(note []byte) { s.dispatcher.receiveNote(note) }
 
 // SetBrokers sets the number of live brokers, which share the retry budget.
 func (s *Server) SetBrokers(n int) { s.dispatcher.setFleet(s.fleet(n)) }
@@ -155,7 +155,7 @@
 }
 
 // RequestConnectionClose makes all further responses ask their clients to close the connection.
-func (s *Server) Leave() { s.leaving.Store(true) }
+func (s *Server) RequestConnectionClose() { s.leaving.Store(true) }
 
 // Close makes the server refuse all further requests, because the broker may shut down before their responses are complete.
 func (s *Server) Close() { s.closing.Store(true) }
@@ -173,7 +173,7 @@
 			s.pool.Close()
 			return
 		case <-ticker.C:
-			s.pool.Sweep()
+			s.pool.CloseExpired()
 		}
 	}
 }
--- a/internal/gateway/prompt.go
+++ b/internal/gateway/prompt.go
@@ -100,35 +100,35 @@
 	candidates []instances.Instance) *balance.Prompt {
 	isolation := config.IsolationHash()
 	counts := p.tokenCounts()
-	out := &balance.Prompt{Tokens: p.tokens, Held: map[string]float64{}, Group: map[string]int64{}}
+	out := &balance.Prompt{Tokens: p.tokens, CachedTokens: map[string]float64{}, WeightsVersions: map[string]int64{}}
 	for _, part := range p.shared() {
-		out.Shared += part.tokens
+		out.SharedTokens += part.tokens
 	}
 	for _, c := range candidates {
-		out.Group[c.ID] = c.VersionOf(p.model)
+		out.WeightsVersions[c.ID] = c.VersionOf(p.model)
 	}
 	s.holders.with(func(t *holders.Table) {
 		keys := map[int64][]holders.Key{} // by version of the weights
 		for _, c := range candidates {
-			version := out.Group[c.ID]
+			version := out.WeightsVersions[c.ID]
 			if keys[version] == nil {
 				keys[version] = p.keys(salt(p.model, version, isolation, tenant))
 			}
-			if held := t.Held(c.ID, keys[version], counts); held > 0 {
-				out.Held[c.ID] = held
+			if held := t.CachedTokens(c.ID, keys[version], counts); held > 0 {
+				out.CachedTokens[c.ID] = held
 			}
 		}
 		addStore(out, t, config, keys, counts)
 	})
 	if len(p.shared()) > 0 && len(candidates) > 0 {
-		out.Home = placementOrder(p, salt("", 0, isolation, tenant), candidates)
-		if home := out.Home[0]; !s.holders.synced(home) { // not known completely: assume that it caches the parts placed there
-			out.Held[home] = max(out.Held[home], out.Shared)
+		out.PlacementOrder = placementOrder(p, salt("", 0, isolation, tenant), candidates)
+		if home := out.PlacementOrder[0]; !s.holders.synced(home) { // not known completely: assume that it caches the parts placed there
+			out.CachedTokens[home] = max(out.CachedTokens[home], out.SharedTokens)
 		}
 	}
 	if engine != nil && engine.LinkMbps > 0 {
-		out.FetchTime = engine.TokenBytes * bitsPerByte / (engine.LinkMbps * perMs)
-		out.AcrossTime = 2 * out.FetchTime
+		out.FetchMsPerToken = engine.TokenBytes * bitsPerByte / (engine.LinkMbps * perMs)
+		out.CrossZoneFetchMsPerToken = 2 * out.FetchMsPerToken
 	}
 	return out
 }
@@ -144,12 +144,12 @@
 	}
 	newest := slices.Max(slices.Collect(maps.Keys(keys)))
 	name := StoreName(service)
-	held := t.Held(name, keys[newest], counts)
+	held := t.CachedTokens(name, keys[newest], counts)
 	if held == 0 {
 		return
 	}
-	out.Held[name], out.Group[name] = held, newest
-	out.Stores = map[string]string{name: store.Zone}
+	out.CachedTokens[name], out.WeightsVersions[name] = held, newest
+	out.StoreZones = map[string]string{name: store.Zone}
 }
 
 func (p *prompt) keys(salt string) []holders.Key {
--- a/internal/gateway/streams.go
+++ b/internal/gateway/streams.go
@@ -29,7 +29,7 @@
 }
 
 // StreamStats counts how the completely forwarded responses of one streaming route met its latency targets at this broker.
-type Streams struct {
+type StreamStats struct {
 	Route string `json:"route"`
 	// Served counts all completely forwarded responses.
 	Served int64 `json:"served"`
@@ -46,7 +46,7 @@
 // streamCounters holds the counters of all streaming routes by name.
 type streamCounters struct {
 	mu     sync.Mutex
-	routes map[string]*Streams
+	routes map[string]*StreamStats
 }
 
 // retain drops the counters of routes that are not streaming routes of the configuration.
@@ -54,7 +54,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	before := f.routes
-	f.routes = map[string]*Streams{}
+	f.routes = map[string]*StreamStats{}
 	for _, route := range c.Routes {
 		if known := before[route.Name]; known != nil && route.Kind == configuration.Streaming {
 			f.routes[route.Name] = known
@@ -67,11 +67,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.routes == nil {
-		f.routes = map[string]*Streams{}
+		f.routes = map[string]*StreamStats{}
 	}
 	s := f.routes[route.Name]
 	if s == nil {
-		s = &Streams{Route: route.Name}
+		s = &StreamStats{Route: route.Name}
 		f.routes[route.Name] = s
 	}
 	s.Served++
@@ -91,14 +91,14 @@
 }
 
 // Streams returns the counters of the streaming routes, sorted by name.
-func (s *Server) Streams() []Streams {
+func (s *Server) Streams() []StreamStats {
 	s.streams.mu.Lock()
 	defer s.streams.mu.Unlock()
-	all := make([]Streams, 0, len(s.streams.routes))
+	all := make([]StreamStats, 0, len(s.streams.routes))
 	for _, counters := range s.streams.routes {
 		all = append(all, *counters)
 	}
-	slices.SortFunc(all, func(x, y Streams) int { return cmp.Compare(x.Route, y.Route) })
+	slices.SortFunc(all, func(x, y StreamStats) int { return cmp.Compare(x.Route, y.Route) })
 	return all
 }
 
@@ -111,7 +111,7 @@
 	c.server.streams.count(c.route, first, c.timing.longestPause, c.command.Backlog, c.command.Work)
 	entry := c.server.logger.Debug().Str("request", c.id).Str("route", c.route.Name).Str("instance", c.command.Instance).
 		Dur("first_event", first).Dur("longest_pause", c.timing.longestPause).Float64("backlog_ms", c.command.Backlog).
-		Float64("work_ms", c.command.Work).Str("source", c.command.Source).Bool("save", c.command.Save)
+		Float64("work_ms", c.command.Work).Str("source", c.command.Source).Bool("save", c.command.SaveToStore)
 	if c.prompt != nil {
 		shared := 0.0
 		for _, part := range c.prompt.shared() {
--- a/internal/gateway/streams_test.go
+++ b/internal/gateway/streams_test.go
@@ -31,7 +31,7 @@
 	} {
 		s.streams.count(f.route, f.first, f.pause, f.backlog, f.work)
 	}
-	want := []Streams{{Route: "a", Served: 4, LateStarts: 2, LongPauses: 1, LateStartsAtLoad: 1, LongPromptLateStarts: 1}, {Route: "b", Served: 1}}
+	want := []StreamStats{{Route: "a", Served: 4, LateStarts: 2, LongPauses: 1, LateStartsAtLoad: 1, LongPromptLateStarts: 1}, {Route: "b", Served: 1}}
 	for at, got := range s.Streams() {
 		if got != want[at] {
 			t.Errorf("%+v, want %+v", got, want[at])
--- a/internal/holders/holders.go
+++ b/internal/holders/holders.go
@@ -88,7 +88,7 @@
 }
 
 // Reported returns the parts that an instance has reported. synced is false if the table misses some of its changes.
-func (t *Table) Told(instance string) (held map[Key]float64, synced bool) {
+func (t *Table) Reported(instance string) (held map[Key]float64, synced bool) {
 	cached := t.instances[instance]
 	if cached == nil || !cached.synced {
 		return nil, false
@@ -153,7 +153,7 @@
 }
 
 // MarkUnsynced records that changes of an instance were missed.
-func (t *Table) Lost(instance string) {
+func (t *Table) MarkUnsynced(instance string) {
 	if cached := t.instances[instance]; cached != nil {
 		cached.synced = false
 	}
@@ -161,7 +161,7 @@
 
 // CachedTokens returns how many leading tokens of a prompt an instance caches: a part counts if all parts before it are cached
 // completely.
-func (t *Table) Held(instance string, keys []Key, tokens []float64) float64 {
+func (t *Table) CachedTokens(instance string, keys []Key, tokens []float64) float64 {
 	cached := t.instances[instance]
 	if cached == nil {
 		return 0
--- a/internal/holders/holders_test.go
+++ b/internal/holders/holders_test.go
@@ -6,7 +6,7 @@
 	a, b, c := KeyOf("s", "a"), KeyOf("s", "b"), KeyOf("s", "c")
 	keys, tokens := []Key{a, b, c}, []float64{10, 20, 30}
 	table := New()
-	held := func() float64 { return table.Held("i", keys, tokens) }
+	held := func() float64 { return table.CachedTokens("i", keys, tokens) }
 	if held() != 0 {
 		t.Error("an unknown instance caches something")
 	}
@@ -45,11 +45,11 @@
 	key := []Key{KeyOf("s", "a")}
 	table.Replace("i", 1, 1, nil)
 	table.Read("i", key, []float64{10})
-	if table.Held("i", key, []float64{10}) != 10 {
+	if table.CachedTokens("i", key, []float64{10}) != 10 {
 		t.Error("a part that was just read does not count")
 	}
 	table.Advance(unreportedTTL + 1)
-	if table.Held("i", key, []float64{10}) != 0 {
+	if table.CachedTokens("i", key, []float64{10}) != 0 {
 		t.Error("a part that the instance never reported still counts")
 	}
 }
--- a/internal/instances/displaced_test.go
+++ b/internal/instances/displaced_test.go
@@ -14,40 +14,40 @@
 func TestDisplaced(t *testing.T) {
 	r := New()
 	r.Heartbeat(instance("a", 5), start)
-	displaced, changed := r.Displace("a", start)
-	if !changed || displaced.State != Displaced || len(r.All()) != 0 || len(r.Known()) != 1 {
-		t.Fatalf("displaced: %+v, changed %t, used %v", displaced, changed, r.All())
+	displaced, changed := r.MarkDisplaced("a", start)
+	if !changed || displaced.State != Displaced || len(r.Active()) != 0 || len(r.Known()) != 1 {
+		t.Fatalf("displaced: %+v, changed %t, used %v", displaced, changed, r.Active())
 	}
-	if _, changed := r.Displace("a", start); changed {
+	if _, changed := r.MarkDisplaced("a", start); changed {
 		t.Error("a repeated Displace reports a change")
 	}
 	other := New()
-	other.Take(instance("a", 7), start) // a renewal that the first broker has not received
-	if !other.Take(displaced, start) || len(other.All()) != 0 {
+	other.ApplyRecord(instance("a", 7), start) // a renewal that the first broker has not received
+	if !other.ApplyRecord(displaced, start) || len(other.Active()) != 0 {
 		t.Error("an earlier renewal takes precedence over the displaced record")
 	}
-	if r.Take(instance("a", 9), start) || len(r.All()) != 0 {
+	if r.ApplyRecord(instance("a", 9), start) || len(r.Active()) != 0 {
 		t.Error("an earlier renewal from another broker brought it back")
 	}
-	if result := other.Heartbeat(instance("a", 7), start); !result.Late || len(other.All()) != 0 {
+	if result := other.Heartbeat(instance("a", 7), start); !result.Stale || len(other.Active()) != 0 {
 		t.Error("a heartbeat that was already known brought it back")
 	}
-	if result := other.Heartbeat(instance("a", 8), start); !result.Tell || len(other.All()) != 1 {
+	if result := other.Heartbeat(instance("a", 8), start); !result.Publish || len(other.Active()) != 1 {
 		t.Error("its next heartbeat does not bring it back")
 	}
 	back, _ := other.Get("a")
-	if !r.Take(back, start) || len(r.All()) != 1 {
+	if !r.ApplyRecord(back, start) || len(r.Active()) != 1 {
 		t.Error("the record of its return was not applied at another broker")
 	}
-	if r.Take(displaced, start) {
+	if r.ApplyRecord(displaced, start) {
 		t.Error("an outdated record displaces it again")
 	}
-	again, changed := r.Displace("a", start)
-	if !changed || !back.Record().Version.Less(again.Record().Version) || !other.Take(again, start) {
+	again, changed := r.MarkDisplaced("a", start)
+	if !changed || !back.Record().Version.Less(again.Record().Version) || !other.ApplyRecord(again, start) {
 		t.Errorf("it cannot be displaced a second time: %+v, %t", again, changed)
 	}
-	gone, _ := r.Leave("a", start)
-	if !other.Take(gone, start) || other.Take(again, start) {
+	gone, _ := r.MarkGone("a", start)
+	if !other.ApplyRecord(gone, start) || other.ApplyRecord(again, start) {
 		t.Error("the gone record does not take precedence over all others")
 	}
 }
@@ -56,7 +56,7 @@
 func TestDisplacedIsForgotten(t *testing.T) {
 	r := New()
 	r.Heartbeat(instance("a", 5), start)
-	r.Displace("a", start)
+	r.MarkDisplaced("a", start)
 	if forgotten, _ := r.Expire(start.Add(forgetAfter)); len(forgotten) > 0 {
 		t.Errorf("too early: %v", forgotten)
 	}
@@ -79,7 +79,7 @@
 		exchange := func(from, to int) {
 			for _, record := range stores[from].Of(RecordKind) {
 				if stores[to].Put(record) {
-					registries[to].Take(record.Body.(Instance), now)
+					registries[to].ApplyRecord(record.Body.(Instance), now)
 				}
 			}
 		}
@@ -88,7 +88,7 @@
 			sequences[id]++
 			i := instance(id, sequences[id])
 			i.Address = "10.0.0." + id + ":80"
-			if registries[at].Heartbeat(i, now).Tell {
+			if registries[at].Heartbeat(i, now).Publish {
 				taken, _ := registries[at].Get(id)
 				stores[at].Put(taken.Record())
 			}
@@ -100,7 +100,7 @@
 			case 0, 1:
 				beat(id, at)
 			case 2:
-				if i, changed := registries[at].Displace(id, now); changed {
+				if i, changed := registries[at].MarkDisplaced(id, now); changed {
 					stores[at].Put(i.Record())
 				}
 			default:
@@ -118,7 +118,7 @@
 		}
 		all()
 		for id := range sequences {
-			now = now.Add(ReportEvery)
+			now = now.Add(PublishInterval)
 			beat(id, random.IntN(brokers))
 		}
 		all()
--- a/internal/instances/instances.go
+++ b/internal/instances/instances.go
@@ -21,9 +21,9 @@
 const (
 	// PublishInterval is the interval at which the record of an unchanged instance is published again, so that the other brokers
 	// know that it is alive.
-	ReportEvery = 4 * time.Second
-	staleAfter  = 20 * time.Second // an instance without heartbeats or records for longer is removed
-	forgetAfter = 60 * time.Second // an instance that is gone or displaced is removed after this time
+	PublishInterval = 4 * time.Second
+	staleAfter      = 20 * time.Second // an instance without heartbeats or records for longer is removed
+	forgetAfter     = 60 * time.Second // an instance that is gone or displaced is removed after this time
 
 	// goneEpoch is the epoch of records of instances that are gone. Earlier releases write 1.
 	goneEpoch = math.MaxUint64
@@ -146,19 +146,19 @@
 func New() *Registry { return &Registry{entries: map[string]*entry{}} }
 
 // HeartbeatResult is the result of a heartbeat.
-type Heard struct {
-	Tell      bool       // the instance's record is to be published to the other brokers
-	Late      bool       // the heartbeat is ignored: a newer one has been received, or the instance is gone
+type HeartbeatResult struct {
+	Publish   bool       // the instance's record is to be published to the other brokers
+	Stale     bool       // the heartbeat is ignored: a newer one has been received, or the instance is gone
 	Displaced []Instance // earlier instances at its address, whose records are to be published
 }
 
 // Heartbeat processes a heartbeat that an instance sent to this broker.
-func (r *Registry) Heartbeat(i Instance, now time.Time) Heard {
+func (r *Registry) Heartbeat(i Instance, now time.Time) HeartbeatResult {
 	e := r.entries[i.ID]
 	if e != nil && (e.State == Gone || i.Sequence <= e.Sequence) {
-		return Heard{Late: true}
+		return HeartbeatResult{Stale: true}
 	}
-	result := Heard{Tell: e == nil || !equivalent(e.Instance, i) || now.Sub(e.lastPublished) >= ReportEvery}
+	result := HeartbeatResult{Publish: e == nil || !equivalent(e.Instance, i) || now.Sub(e.lastPublished) >= PublishInterval}
 	switch {
 	case e == nil:
 		result.Displaced = r.displaceAtSameAddress(i, now)
@@ -168,7 +168,7 @@
 		i.Epoch = e.Epoch
 	}
 	r.put(i, now)
-	if result.Tell {
+	if result.Publish {
 		r.entries[i.ID].lastPublished = now
 	}
 	return result
@@ -176,7 +176,7 @@
 
 // ApplyRecord applies a record received from another broker. It reports whether anything but the time of the last sign of life
 // has changed.
-func (r *Registry) Take(i Instance, now time.Time) (changed bool) {
+func (r *Registry) ApplyRecord(i Instance, now time.Time) (changed bool) {
 	e := r.entries[i.ID]
 	if e != nil && (e.State == Gone || !e.Record().Version.Less(i.Record().Version)) {
 		return false
@@ -192,7 +192,7 @@
 
 // MarkDisplaced marks an instance as displaced because another one answered at its address. It returns the changed instance and
 // whether its record is to be published.
-func (r *Registry) Displace(id string, now time.Time) (displaced Instance, changed bool) {
+func (r *Registry) MarkDisplaced(id string, now time.Time) (displaced Instance, changed bool) {
 	e := r.entries[id]
 	if e == nil || e.State == Gone || e.State == Displaced {
 		return Instance{}, false
@@ -206,7 +206,7 @@
 
 // MarkGone marks an instance as gone, including one that is not known here. It returns the instance to publish and whether its
 // state has changed.
-func (r *Registry) Leave(id string, now time.Time) (gone Instance, changed bool) {
+func (r *Registry) MarkGone(id string, now time.Time) (gone Instance, changed bool) {
 	e := r.entries[id]
 	if e != nil && e.State == Gone {
 		return e.Instance, false
@@ -221,7 +221,7 @@
 }
 
 // DrainingOrGoneSince returns when this broker first learned that an instance is draining or gone; the zero time if it has not.
-func (r *Registry) EndingSince(id string) time.Time {
+func (r *Registry) DrainingOrGoneSince(id string) time.Time {
 	if e := r.entries[id]; e != nil {
 		return e.endingSince
 	}
@@ -267,7 +267,7 @@
 		if other.Address != i.Address || id == i.ID || i.State == Gone {
 			continue
 		}
-		if earlier, changed := r.Displace(id, now); changed {
+		if earlier, changed := r.MarkDisplaced(id, now); changed {
 			displaced = append(displaced, earlier)
 		}
 	}
@@ -296,7 +296,7 @@
 func (r *Registry) Changes() uint64 { return r.changes }
 
 // Active returns the instances that are neither gone nor displaced, sorted by id.
-func (r *Registry) All() []Instance {
+func (r *Registry) Active() []Instance {
 	return slices.DeleteFunc(r.Known(), func(i Instance) bool { return !i.usable() })
 }
 
--- a/internal/instances/instances_test.go
+++ b/internal/instances/instances_test.go
@@ -18,24 +18,24 @@
 
 func TestHeartbeats(t *testing.T) {
 	r := New()
-	if result := r.Heartbeat(instance("a", 5), start); !result.Tell || result.Late {
+	if result := r.Heartbeat(instance("a", 5), start); !result.Publish || result.Stale {
 		t.Fatalf("the first heartbeat: %+v", result)
 	}
-	if result := r.Heartbeat(instance("a", 4), start); result.Tell || !result.Late {
+	if result := r.Heartbeat(instance("a", 4), start); result.Publish || !result.Stale {
 		t.Errorf("a heartbeat out of order: %+v", result)
 	}
-	if r.Heartbeat(instance("a", 6), start.Add(time.Second)).Tell {
+	if r.Heartbeat(instance("a", 6), start.Add(time.Second)).Publish {
 		t.Error("an unchanged instance is published again at once")
 	}
-	if !r.Heartbeat(instance("a", 7), start.Add(ReportEvery)).Tell {
+	if !r.Heartbeat(instance("a", 7), start.Add(PublishInterval)).Publish {
 		t.Error("an unchanged instance is not published again after ReportEvery")
 	}
 	draining := instance("a", 8)
 	draining.State = Draining
-	if !r.Heartbeat(draining, start.Add(ReportEvery)).Tell {
+	if !r.Heartbeat(draining, start.Add(PublishInterval)).Publish {
 		t.Error("a drain is not published at once")
 	}
-	if r.Take(instance("a", 7), start) {
+	if r.ApplyRecord(instance("a", 7), start) {
 		t.Error("a record older than a drain was applied")
 	}
 }
@@ -43,20 +43,20 @@
 func TestGoneIsFinal(t *testing.T) {
 	r := New()
 	r.Heartbeat(instance("a", 5), start)
-	i, was := r.Leave("a", start)
+	i, was := r.MarkGone("a", start)
 	if !was || i.Record().Version.Epoch == 0 {
 		t.Fatalf("left: %t, %+v", was, i.Record())
 	}
-	if !r.Heartbeat(instance("a", 99), start).Late || len(r.All()) > 0 {
+	if !r.Heartbeat(instance("a", 99), start).Stale || len(r.Active()) > 0 {
 		t.Error("a heartbeat brought back an instance that is gone")
 	}
-	if r.Take(instance("a", 100), start) || len(r.All()) > 0 {
+	if r.ApplyRecord(instance("a", 100), start) || len(r.Active()) > 0 {
 		t.Error("a record from another broker brought back an instance that is gone")
 	}
 	other := New()
 	other.Heartbeat(instance("a", 50), start)
 	i.State = Gone
-	if !other.Take(i, start) || len(other.All()) > 0 {
+	if !other.ApplyRecord(i, start) || len(other.Active()) > 0 {
 		t.Error("a gone record from another broker was not applied")
 	}
 }
@@ -68,13 +68,13 @@
 	if len(result.Displaced) != 1 || result.Displaced[0].ID != "old" || result.Displaced[0].State != Displaced {
 		t.Errorf("displaced: %+v", result.Displaced)
 	}
-	if all := r.All(); len(all) != 1 || all[0].ID != "new" {
+	if all := r.Active(); len(all) != 1 || all[0].ID != "new" {
 		t.Errorf("known: %+v", all)
 	}
 	r = New()
 	r.Heartbeat(instance("new", 1), start)
-	r.Take(instance("old", 5), start) // from a broker that does not know the new instance yet
-	if all := r.All(); !slices.ContainsFunc(all, func(i Instance) bool { return i.ID == "new" }) {
+	r.ApplyRecord(instance("old", 5), start) // from a broker that does not know the new instance yet
+	if all := r.Active(); !slices.ContainsFunc(all, func(i Instance) bool { return i.ID == "new" }) {
 		t.Errorf("an outdated record displaced the new instance: %+v", all)
 	}
 }
@@ -83,7 +83,7 @@
 	r := New()
 	r.Heartbeat(instance("a", 5), start)
 	r.Heartbeat(Instance{ID: "b", Service: "s", Address: "10.0.0.2:80", State: Ready, Sequence: 1}, start)
-	r.Leave("b", start)
+	r.MarkGone("b", start)
 	if forgotten, changed := r.Expire(start.Add(staleAfter)); len(forgotten) > 0 || changed {
 		t.Errorf("too early: %v", forgotten)
 	}
@@ -93,7 +93,7 @@
 	if forgotten, _ := r.Expire(start.Add(forgetAfter + time.Second)); !slices.Equal(forgotten, []string{"b"}) {
 		t.Errorf("gone for forgetAfter: %v", forgotten)
 	}
-	if result := r.Heartbeat(instance("a", 6), start.Add(time.Hour)); !result.Tell || result.Late {
+	if result := r.Heartbeat(instance("a", 6), start.Add(time.Hour)); !result.Publish || result.Stale {
 		t.Error("an expired instance does not come back with its next heartbeat")
 	}
 }
@@ -126,26 +126,26 @@
 	r := New()
 	draining := instance("a", 5)
 	draining.State = Draining
-	r.Take(draining, start)
-	if r.Confirmed("a") || r.EndingSince("a") != start {
-		t.Errorf("received from another broker: confirmed %t since %v", r.Confirmed("a"), r.EndingSince("a"))
+	r.ApplyRecord(draining, start)
+	if r.Confirmed("a") || r.DrainingOrGoneSince("a") != start {
+		t.Errorf("received from another broker: confirmed %t since %v", r.Confirmed("a"), r.DrainingOrGoneSince("a"))
 	}
 	r.Confirm(draining)
 	if !r.Confirmed("a") {
 		t.Error("a drain is not confirmed after Confirm")
 	}
-	gone, changed := r.Leave("a", start.Add(time.Second))
-	if !changed || gone.State != Gone || r.Confirmed("a") || r.EndingSince("a") != start {
+	gone, changed := r.MarkGone("a", start.Add(time.Second))
+	if !changed || gone.State != Gone || r.Confirmed("a") || r.DrainingOrGoneSince("a") != start {
 		t.Errorf("gone: %+v %t, confirmed %t", gone, changed, r.Confirmed("a"))
 	}
 	r.Confirm(gone)
-	if again, changed := r.Leave("a", start); changed || !r.Confirmed("a") || again.State != Gone {
+	if again, changed := r.MarkGone("a", start); changed || !r.Confirmed("a") || again.State != Gone {
 		t.Error("a repeated Leave changes a confirmed gone state")
 	}
-	if unknown, changed := r.Leave("b", start); !changed || unknown.State != Gone || unknown.ID != "b" {
+	if unknown, changed := r.MarkGone("b", start); !changed || unknown.State != Gone || unknown.ID != "b" {
 		t.Errorf("an unknown instance leaves: %+v %t", unknown, changed)
 	}
-	if known := r.Known(); len(known) != 2 || len(r.All()) != 0 {
+	if known := r.Known(); len(known) != 2 || len(r.Active()) != 0 {
 		t.Errorf("known: %+v", known)
 	}
 }
@@ -175,16 +175,16 @@
 		now = now.Add(time.Duration(random.IntN(100)) * time.Millisecond)
 		switch random.IntN(20) {
 		case 6:
-			r.Displace(fmt.Sprint("i-", random.IntN(14)), now)
+			r.MarkDisplaced(fmt.Sprint("i-", random.IntN(14)), now)
 		case 0:
-			r.Leave(fmt.Sprint("i-", random.IntN(14)), now)
+			r.MarkGone(fmt.Sprint("i-", random.IntN(14)), now)
 		case 1:
 			r.SetVersion(fmt.Sprint("i-", random.IntN(12)), "m", int64(1+random.IntN(2)))
 		case 2:
 			now = now.Add(time.Duration(random.IntN(int(staleAfter))))
 			r.Expire(now)
 		case 3, 4, 5:
-			r.Take(drawn(), now)
+			r.ApplyRecord(drawn(), now)
 		default:
 			r.Heartbeat(drawn(), now)
 		}
--- a/internal/keepalive/keepalive.go
+++ b/internal/keepalive/keepalive.go
@@ -66,7 +66,7 @@
 }
 
 // CloseIdle closes the connections that have been idle for at least minIdle and returns their number.
-func (l *Listener) CloseResting(minIdle time.Duration) (closed int) {
+func (l *Listener) CloseIdle(minIdle time.Duration) (closed int) {
 	l.mu.Lock()
 	var all []*conn
 	for c := range l.conns {
--- a/internal/keepalive/keepalive_test.go
+++ b/internal/keepalive/keepalive_test.go
@@ -73,10 +73,10 @@
 		s.send()
 		require.True(t, s.answered())
 		time.Sleep(time.Second)
-		assert.Zero(t, s.listener.CloseResting(2*time.Second))
+		assert.Zero(t, s.listener.CloseIdle(2*time.Second))
 		time.Sleep(time.Second)
-		assert.Equal(t, 1, s.listener.CloseResting(2*time.Second))
-		assert.Zero(t, s.listener.CloseResting(0), "a connection is closed only once")
+		assert.Equal(t, 1, s.listener.CloseIdle(2*time.Second))
+		assert.Zero(t, s.listener.CloseIdle(0), "a connection is closed only once")
 		assert.False(t, s.answered())
 	})
 }
@@ -85,7 +85,7 @@
 	serve(t, func(s *served) {
 		time.Sleep(3 * headTime) // longer than the timeout of a head, which does not apply yet
 		assert.Equal(t, 1, s.listener.Open())
-		assert.Equal(t, 1, s.listener.CloseResting(time.Second))
+		assert.Equal(t, 1, s.listener.CloseIdle(time.Second))
 	})
 }
 
@@ -109,7 +109,7 @@
 		time.Sleep(time.Second)
 		s.send()
 		time.Sleep(5 * time.Millisecond)
-		assert.Zero(t, s.listener.CloseResting(0))
+		assert.Zero(t, s.listener.CloseIdle(0))
 		assert.True(t, s.answered())
 	})
 }
@@ -124,7 +124,7 @@
 		time.Sleep(time.Second)
 		s.send()
 		time.Sleep(5 * time.Millisecond)
-		assert.Equal(t, 1, s.listener.CloseResting(0))
+		assert.Equal(t, 1, s.listener.CloseIdle(0))
 		assert.False(t, s.answered())
 		time.Sleep(time.Second)
 		assert.Equal(t, 1, s.handled)
@@ -135,7 +135,7 @@
 	serve(t, func(s *served) {
 		_, _ = fmt.Fprint(s.client, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\nbo")
 		time.Sleep(time.Second)
-		assert.Zero(t, s.listener.CloseResting(0))
+		assert.Zero(t, s.listener.CloseIdle(0))
 		_, _ = fmt.Fprint(s.client, "dy")
 		assert.True(t, s.answered())
 	})
@@ -152,7 +152,7 @@
 	client, err := net.Dial("tcp4", inner.Addr().String())
 	require.NoError(t, err)
 	defer client.Close()
-	assert.Eventually(t, func() bool { return listener.CloseResting(0) == 1 }, 5*time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return listener.CloseIdle(0) == 1 }, 5*time.Second, time.Millisecond)
 	_, err = client.Read(make([]byte, 1))
 	assert.ErrorIs(t, err, io.EOF)
 	assert.Eventually(t, func() bool { return listener.Open() == 0 }, 5*time.Second, time.Millisecond)
--- a/internal/kvindex/index.go
+++ b/internal/kvindex/index.go
@@ -30,9 +30,9 @@
 	client Client
 	table  func(func(*holders.Table))
 	// OnChanges is called with the changes that were applied to the table; complete means that they replaced it. It may be nil.
-	Took func(name string, c Changes, complete bool)
+	OnChanges func(name string, c Changes, complete bool)
 	// OnDisplaced is called with the id of an instance at whose address another one answered. It may be nil.
-	Displaced func(id string)
+	OnDisplaced func(id string)
 
 	mu      sync.Mutex
 	running map[string]context.CancelFunc
@@ -90,14 +90,14 @@
 	changes, err := x.client.Events(ctx, t.ID, t.Address, epoch, token)
 	switch {
 	case errors.Is(err, ErrChangesLost):
-		x.table(func(table *holders.Table) { table.Lost(t.Name) })
+		x.table(func(table *holders.Table) { table.MarkUnsynced(t.Name) })
 		return 0
 	case err != nil:
 		return x.onError(t, err)
 	}
 	if len(changes.List) > 0 || changes.To != changes.From {
 		x.table(func(table *holders.Table) { table.Apply(t.Name, changes.Epoch, changes.From, changes.To, changes.List) })
-		x.notifyTook(t.Name, changes, false)
+		x.notifyChanges(t.Name, changes, false)
 	}
 	return pollSpacing
 }
@@ -109,20 +109,20 @@
 		return x.onError(t, err)
 	}
 	x.table(func(table *holders.Table) { table.Replace(t.Name, changes.Epoch, changes.To, changes.List) })
-	x.notifyTook(t.Name, changes, true)
+	x.notifyChanges(t.Name, changes, true)
 	return pollSpacing
 }
 
 // onError handles the failure of a call and returns the delay before the next.
 func (x *Index) onError(t Target, err error) time.Duration {
-	if errors.Is(err, ErrOtherInstance) && x.Displaced != nil {
-		x.Displaced(t.ID)
+	if errors.Is(err, ErrOtherInstance) && x.OnDisplaced != nil {
+		x.OnDisplaced(t.ID)
 	}
 	return retryAfter
 }
 
-func (x *Index) notifyTook(name string, c Changes, complete bool) {
-	if x.Took != nil {
-		x.Took(name, c, complete)
+func (x *Index) notifyChanges(name string, c Changes, complete bool) {
+	if x.OnChanges != nil {
+		x.OnChanges(name, c, complete)
 	}
 }
--- a/internal/kvindex/poll.go
+++ b/internal/kvindex/poll.go
@@ -148,7 +148,7 @@
 	switch {
 	case err != nil:
 		return errors.Wrap(err, "read the answer")
-	case response.FromAnother(instance):
+	case response.Misdirected(instance):
 		return ErrOtherInstance
 	case response.Status == http.StatusTooManyRequests:
 		return ErrBusy
--- a/internal/kvindex/sharing.go
+++ b/internal/kvindex/sharing.go
@@ -50,7 +50,7 @@
 func (s *Sharing) Notes(instance string, now time.Time) [][]byte {
 	var held map[holders.Key]float64
 	synced := false
-	s.table(func(t *holders.Table) { held, synced = t.Told(instance) })
+	s.table(func(t *holders.Table) { held, synced = t.Reported(instance) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.lastNote, instance) // this broker polls the instance itself
@@ -115,7 +115,7 @@
 }
 
 // ApplyNote applies a note of another broker.
-func (s *Sharing) Take(note []byte, now time.Time) error {
+func (s *Sharing) ApplyNote(note []byte, now time.Time) error {
 	if len(note) < noteHeader || len(note) < noteHeader+int(note[noteHeader-1]) {
 		return ErrNote
 	}
@@ -158,7 +158,7 @@
 	s.mu.Unlock()
 	s.table(func(t *holders.Table) {
 		for _, name := range stale {
-			t.Lost(name)
+			t.MarkUnsynced(name)
 		}
 	})
 }
--- a/internal/kvindex/sharing_test.go
+++ b/internal/kvindex/sharing_test.go
@@ -36,14 +36,14 @@
 				if step < 360 && rng.IntN(20) == 0 {
 					continue
 				}
-				if err := to.Take(note, now); err != nil {
+				if err := to.ApplyNote(note, now); err != nil {
 					t.Fatal(err)
 				}
 			}
 			to.Expire(now)
 		}
-		mine, _ := here.Told("i")
-		theirs, synced := there.Told("i")
+		mine, _ := here.Reported("i")
+		theirs, synced := there.Reported("i")
 		if !synced || fmt.Sprint(mine) != fmt.Sprint(theirs) {
 			t.Fatalf("seed %d: synced %t, %d and %d parts", seed, synced, len(mine), len(theirs))
 		}
@@ -54,7 +54,7 @@
 	table := holders.New()
 	s := NewSharing(1, func(f func(*holders.Table)) { f(table) })
 	now := time.Unix(0, 0)
-	if err := s.Take(s.encode("i", 1, true, nil), now); err != nil || !table.Synced("i") {
+	if err := s.ApplyNote(s.encode("i", 1, true, nil), now); err != nil || !table.Synced("i") {
 		t.Fatalf("%v", err)
 	}
 	s.Expire(now.Add(forgetAfter + time.Second))
@@ -70,7 +70,7 @@
 	f.Fuzz(func(t *testing.T, note []byte) {
 		table := holders.New()
 		s := NewSharing(1, func(f func(*holders.Table)) { f(table) })
-		_ = s.Take(note, time.Unix(0, 0))
+		_ = s.ApplyNote(note, time.Unix(0, 0))
 	})
 }
 
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -104,7 +104,7 @@
 	now := time.Now()
 	b.mu.Lock()
 	result := b.registry.Heartbeat(i, now)
-	if result.Tell {
+	if result.Publish {
 		b.updateGatewayInstances()
 	}
 	known, _ := b.registry.Get(i.ID)
@@ -118,7 +118,7 @@
 		return errUnconfirmed // a newer heartbeat contradicts this one
 	case unconfirmedDrain:
 		return b.confirmEnd(ctx, known)
-	case result.Tell:
+	case result.Publish:
 		b.node.Publish(known.Record())
 	}
 	return nil
@@ -128,7 +128,7 @@
 // the notification each of them would find out by a request that is not executed.
 func (b *Broker) displace(id string) {
 	b.mu.Lock()
-	displaced, changed := b.registry.Displace(id, time.Now())
+	displaced, changed := b.registry.MarkDisplaced(id, time.Now())
 	if changed {
 		b.updateGatewayInstances()
 	}
@@ -147,7 +147,7 @@
 // instance, since they may know it.
 func (b *Broker) Deregister(ctx context.Context, id string) error {
 	b.mu.Lock()
-	gone, known := b.registry.Leave(id, time.Now())
+	gone, known := b.registry.MarkGone(id, time.Now())
 	if known {
 		b.updateGatewayInstances()
 	}
@@ -169,7 +169,7 @@
 	ctx, cancel := context.WithTimeout(ctx, drainPublishTimeout)
 	defer cancel()
 	b.mu.Lock()
-	since := b.registry.EndingSince(i.ID)
+	since := b.registry.DrainingOrGoneSince(i.ID)
 	b.mu.Unlock()
 	enough := func(t cluster.Told) bool { return t.Quorum && (t.All() || time.Since(since) > drainQuorumAfter) }
 	delivery := b.node.PublishEverywhere(ctx, i.Record(), enough)
@@ -186,22 +186,22 @@
 
 // Status is the JSON answer to the status command.
 type Status struct {
-	Node      string               `json:"node"`
-	Zone      string               `json:"zone"`
-	Standing  string               `json:"standing"` // role in the register, see package standing
-	Ready     bool                 `json:"ready"`
-	Version   int64                `json:"configuration_version"`
-	Sequence  uint64               `json:"register_sequence"`
-	Voters    []string             `json:"register_voters"`
-	Weights   map[string]int64     `json:"weights"`
-	Brokers   []cluster.Member     `json:"brokers"`
-	Instances []instances.Instance `json:"instances"`
-	Served    int64                `json:"served"`
-	Refused   int64                `json:"refused"`
-	Failed    int64                `json:"failed"`
-	InFlight  int64                `json:"in_flight"`
-	Streams   []gateway.Streams    `json:"streams"`
-	Traffic   []peerlink.Count     `json:"peer_traffic"` // traffic between brokers since the start
+	Node      string                `json:"node"`
+	Zone      string                `json:"zone"`
+	Standing  string                `json:"standing"` // role in the register, see package standing
+	Ready     bool                  `json:"ready"`
+	Version   int64                 `json:"configuration_version"`
+	Sequence  uint64                `json:"register_sequence"`
+	Voters    []string              `json:"register_voters"`
+	Weights   map[string]int64      `json:"weights"`
+	Brokers   []cluster.Member      `json:"brokers"`
+	Instances []instances.Instance  `json:"instances"`
+	Served    int64                 `json:"served"`
+	Refused   int64                 `json:"refused"`
+	Failed    int64                 `json:"failed"`
+	InFlight  int64                 `json:"in_flight"`
+	Streams   []gateway.StreamStats `json:"streams"`
+	Traffic   []peerlink.Count      `json:"peer_traffic"` // traffic between brokers since the start
 }
 
 // Status returns the state of this broker and what it knows about the fleet.
--- a/internal/router/index.go
+++ b/internal/router/index.go
@@ -60,7 +60,7 @@
 		b.mu.Unlock()
 		return
 	}
-	all := b.registry.All()
+	all := b.registry.Active()
 	b.mu.Unlock()
 	b.pollers.reset(members)
 	b.plan = pollPlan{configuration: c, members: members, changes: changes}
@@ -171,7 +171,7 @@
 
 // receiveCacheNote applies another broker's note about the cache contents of an instance.
 func (b *Broker) receiveCacheNote(note []byte) {
-	if err := b.sharing.Take(note, time.Now()); err != nil {
+	if err := b.sharing.ApplyNote(note, time.Now()); err != nil {
 		b.logger.Debug().Err(err).Msg("rejected a note about the cache contents of an instance")
 	}
 }
--- a/internal/router/index_test.go
+++ b/internal/router/index_test.go
@@ -74,7 +74,7 @@
 
 // expected computes from the current inputs which instances the broker must poll, and which of them it must share.
 func (p *plannedBroker) expected() (targets, shared []string) {
-	for _, i := range p.registry.All() {
+	for _, i := range p.registry.Active() {
 		service := p.configuration.Services[i.Service]
 		if service.Engine == nil {
 			continue
@@ -99,7 +99,7 @@
 			p.now = p.now.Add(100 * time.Millisecond)
 			switch p.rng.IntN(12) {
 			case 0:
-				p.registry.Leave(fmt.Sprint("i-", p.rng.IntN(30)), p.now)
+				p.registry.MarkGone(fmt.Sprint("i-", p.rng.IntN(30)), p.now)
 			case 1:
 				p.registry.Expire(p.now)
 			case 2:
--- a/internal/router/renewals_test.go
+++ b/internal/router/renewals_test.go
@@ -31,7 +31,7 @@
 			}
 			for _, m := range w.machines {
 				m.broker.mu.Lock()
-				known := len(m.broker.registry.All())
+				known := len(m.broker.registry.Active())
 				m.broker.mu.Unlock()
 				if known != 16 {
 					w.failf("%s knows %d of 16 instances", m.name, known)
--- a/internal/router/roles.go
+++ b/internal/router/roles.go
@@ -253,12 +253,12 @@
 		header.Set("Content-Type", "application/json")
 	}
 	response, progress, err := r.pool.Send(ctx, i.Address, &upstream.Request{Method: method, Target: target, Host: i.Address, Header: header,
-		Body: bytes.Clone(body), Once: method == http.MethodPost})
+		Body: bytes.Clone(body), DedicatedConn: method == http.MethodPost})
 	if err != nil {
 		return 0, nil, progress, err
 	}
 	defer response.Close()
-	if response.FromAnother(i.ID) {
+	if response.Misdirected(i.ID) {
 		r.broker.displace(i.ID)
 	}
 	text, err := io.ReadAll(io.LimitReader(response, maxReportBytes))
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -76,11 +76,11 @@
 	b.gateway = gateway.New(s, logger, environment.Network, seedOf(s.NodeName), b.weights, b.displace)
 	b.roles = newRoles(b)
 	b.index = kvindex.New(environment.Network, b.gateway.WithHolders)
-	b.index.Displaced = b.displace
+	b.index.OnDisplaced = b.displace
 	node.OnRecord(b.receiveRecord)
-	node.OnNote(cluster.WorkNote, b.gateway.Heard)
+	node.OnNote(cluster.WorkNote, b.gateway.ReceiveNote)
 	node.OnNote(cluster.KeptNote, b.receiveCacheNote)
-	b.gateway.SetTell(node.TellWork)
+	b.gateway.SetNoteSender(node.TellWork)
 	b.sharing = kvindex.NewSharing(node.Incarnation(), b.gateway.WithHolders)
 	return b, nil
 }
@@ -158,7 +158,7 @@
 	defer b.mu.Unlock()
 	switch body := r.Body.(type) {
 	case instances.Instance:
-		if b.registry.Take(body, time.Now()) {
+		if b.registry.ApplyRecord(body, time.Now()) {
 			b.updateGatewayInstances()
 		}
 	case rollout.Progress:
@@ -183,7 +183,7 @@
 // effectiveInstances returns the instances with the weight versions that roll-outs have brought them to. An instance that
 // loads new weights is returned as draining, since it takes no requests.
 func (b *Broker) effectiveInstances() []instances.Instance {
-	all := b.registry.All()
+	all := b.registry.Active()
 	for at, i := range all {
 		for _, m := range i.Models {
 			p, known := b.progress[i.ID+"/"+m.Name]
@@ -277,7 +277,7 @@
 func (b *Broker) ready() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return !b.leaving && b.gateway.Configuration() != nil && len(b.registry.All()) > 0
+	return !b.leaving && b.gateway.Configuration() != nil && len(b.registry.Active()) > 0
 }
 
 // serveReadiness answers readiness probes: 503 if clients should not be sent here. The body states the broker's role in the
--- a/internal/router/servers.go
+++ b/internal/router/servers.go
@@ -82,7 +82,7 @@
 		if server == s.front {
 			timeout = limit
 		}
-		if closed := server.listener.CloseResting(timeout); closed > 0 {
+		if closed := server.listener.CloseIdle(timeout); closed > 0 {
 			logger.Info().Str("address", server.listener.Addr().String()).Int("connections", closed).Dur("limit", timeout).Msg("idle connections closed")
 		}
 	}
@@ -109,7 +109,7 @@
 	b.mu.Lock()
 	b.leaving = true
 	b.mu.Unlock()
-	b.gateway.Leave()
+	b.gateway.RequestConnectionClose()
 	b.node.Leave()
 	b.logger.Info().Msg("leaving")
 	time.Sleep(min(unreadyDelay, time.Until(deadline)/2))
@@ -128,7 +128,7 @@
 func (s *server) drain(ctx context.Context) bool {
 	s.listener.Close()
 	for {
-		s.listener.CloseResting(shutdownIdleTimeout)
+		s.listener.CloseIdle(shutdownIdleTimeout)
 		if s.listener.Open() == 0 {
 			return true
 		}
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -119,7 +119,7 @@
 }
 
 // CloseExpired closes connections whose idle timeout has passed. It must be called periodically.
-func (p *Pool) Sweep() {
+func (p *Pool) CloseExpired() {
 	now := time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/upstream/send.go
+++ b/internal/upstream/send.go
@@ -13,7 +13,7 @@
 )
 
 // RequestIDHeader is the header that identifies the request a response belongs to.
-const RequestID = "X-Request-Id"
+const RequestIDHeader = "X-Request-Id"
 
 // instanceIDHeader is the header that identifies the responding instance.
 const instanceIDHeader = "X-Instance-Id"
@@ -34,15 +34,15 @@
 
 // Request is a request to an instance.
 type Request struct {
-	Method string
-	Target string // path and query in the form that the client sent
-	Host   string
-	Header http.Header
-	Body   []byte
-	ID     string // value of X-Request-Id; if empty, a late response to an earlier request cannot be detected
-	Once   bool   // use a connection of its own, which is closed after the response
+	Method        string
+	Target        string // path and query in the form that the client sent
+	Host          string
+	Header        http.Header
+	Body          []byte
+	ID            string // value of X-Request-Id; if empty, a late response to an earlier request cannot be detected
+	DedicatedConn bool   // use a connection of its own, which is closed after the response
 	// SetHeaders sets headers whose values depend on the time of sending. It may be nil.
-	Complete func(http.Header)
+	SetHeaders func(http.Header)
 }
 
 // Response is a response whose body has not been read yet. The caller must close it.
@@ -70,8 +70,8 @@
 	}
 	conn.recordID(r.ID)
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
-	if r.Complete != nil {
-		r.Complete(r.Header)
+	if r.SetHeaders != nil {
+		r.SetHeaders(r.Header)
 	}
 	n, err := conn.Write(r.bytes())
 	if err != nil {
@@ -89,11 +89,11 @@
 		return nil, Sent, err
 	}
 	return &Response{Status: response.StatusCode, Header: response.Header, Length: response.ContentLength, body: response.Body, conn: conn,
-		pool: p, stop: stop, keepAlive: !response.Close && !r.Once}, Answered, nil
+		pool: p, stop: stop, keepAlive: !response.Close && !r.DedicatedConn}, Answered, nil
 }
 
 func (p *Pool) connect(ctx context.Context, address string, r *Request) (*Conn, error) {
-	if r.Once {
+	if r.DedicatedConn {
 		return p.dial(ctx, address)
 	}
 	return p.get(ctx, address, r.ID)
@@ -123,7 +123,7 @@
 		if response.StatusCode >= 100 && response.StatusCode < 200 && response.StatusCode != http.StatusSwitchingProtocols {
 			continue // interim
 		}
-		if id := response.Header.Get(RequestID); id == r.ID || id == "" && r.ID == "" {
+		if id := response.Header.Get(RequestIDHeader); id == r.ID || id == "" && r.ID == "" {
 			return response, nil
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
@@ -135,7 +135,7 @@
 
 // Misdirected reports whether another instance than the intended one received the request and refused it for that reason. A
 // refusal without the id of the responding instance does not count.
-func (r *Response) FromAnother(instance string) bool {
+func (r *Response) Misdirected(instance string) bool {
 	other := r.Header.Get(instanceIDHeader)
 	return r.Status == http.StatusMisdirectedRequest && other != "" && other != instance
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -68,7 +68,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
-	r, progress, err := p.Send(ctx, address, &Request{Method: "POST", Target: "/a?b=c", Host: "h.example", Header: http.Header{RequestID: {id}},
+	r, progress, err := p.Send(ctx, address, &Request{Method: "POST", Target: "/a?b=c", Host: "h.example", Header: http.Header{RequestIDHeader: {id}},
 		Body: []byte("body"), ID: id})
 	if err != nil {
 		return "", progress, err
@@ -83,7 +83,7 @@
 		if r.RequestURI != "/a?b=c" || r.Host != "h.example" || r.ContentLength != 4 {
 			t.Errorf("request: %s %s %d", r.Host, r.RequestURI, r.ContentLength)
 		}
-		return ok(r.Header.Get(RequestID), fmt.Sprint(n))
+		return ok(r.Header.Get(RequestIDHeader), fmt.Sprint(n))
 	})
 	p := New(netio.Host{})
 	for n := range 5 {
@@ -99,7 +99,7 @@
 // TestSurplusAnswersAreDropped sends a late response to an earlier request, and an interim one, before the expected response.
 func TestSurplusAnswersAreDropped(t *testing.T) {
 	address, _ := startServer(t, func(_ int, r *http.Request) string {
-		return ok("earlier", "not yours") + "HTTP/1.1 103 Early Hints\r\n\r\n" + ok(r.Header.Get(RequestID), "yours")
+		return ok("earlier", "not yours") + "HTTP/1.1 103 Early Hints\r\n\r\n" + ok(r.Header.Get(RequestIDHeader), "yours")
 	})
 	if text, _, err := send(t, New(netio.Host{}), address, "r1"); err != nil || text != "yours" {
 		t.Errorf("%q %v", text, err)
@@ -110,7 +110,7 @@
 // be reused.
 func TestBytesAfterAnAnswer(t *testing.T) {
 	address, opened := startServer(t, func(_ int, r *http.Request) string {
-		return ok(r.Header.Get(RequestID), "yours") + ok(r.Header.Get(RequestID), "again")
+		return ok(r.Header.Get(RequestIDHeader), "yours") + ok(r.Header.Get(RequestIDHeader), "again")
 	})
 	p := New(netio.Host{})
 	for n := range 3 {
@@ -129,7 +129,7 @@
 	var seen atomic.Int32
 	address, _ := startServer(t, func(n int, r *http.Request) string {
 		if seen.Add(1); n == 0 {
-			return ok(r.Header.Get(RequestID), "first")
+			return ok(r.Header.Get(RequestIDHeader), "first")
 		}
 		return ""
 	})
@@ -203,7 +203,7 @@
 
 // TestClosedWhileIdle checks that a connection which its peer has closed is not reused.
 func TestClosedWhileIdle(t *testing.T) {
-	address, opened := startServer(t, func(_ int, r *http.Request) string { return ok(r.Header.Get(RequestID), "x") + "<close>" })
+	address, opened := startServer(t, func(_ int, r *http.Request) string { return ok(r.Header.Get(RequestIDHeader), "x") + "<close>" })
 	p := New(netio.Host{})
 	for n := range 5 {
 		_, progress, err := send(t, p, address, fmt.Sprint("r", n))
@@ -221,7 +221,7 @@
 // to the second.
 func TestSecondAttemptTakesAnotherConnection(t *testing.T) {
 	address, opened := startServer(t, func(n int, r *http.Request) string {
-		return ok(r.Header.Get(RequestID), fmt.Sprint(n))
+		return ok(r.Header.Get(RequestIDHeader), fmt.Sprint(n))
 	})
 	p := New(netio.Host{})
 	for n, step := range []struct {
@@ -242,7 +242,7 @@
 	address, opened := startServer(t, func(int, *http.Request) string { return "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n" })
 	p := New(netio.Host{})
 	for _, once := range []bool{false, true, false, true} {
-		r, _, err := p.Send(context.Background(), address, &Request{Method: "POST", Target: "/", Host: "h", Header: http.Header{}, Once: once})
+		r, _, err := p.Send(context.Background(), address, &Request{Method: "POST", Target: "/", Host: "h", Header: http.Header{}, DedicatedConn: once})
 		if err != nil {
 			t.Fatal(err)
 		}
