--- a/cmd/gullstair/lease.go
+++ b/cmd/gullstair/lease.go
@@ -53,7 +53,7 @@
 	// Signals to the broker's process group are not meant for the guard: it ends on the broker's request or when its own
 	// timer expires.
 	signal.Ignore(syscall.SIGINT, syscall.SIGHUP, syscall.SIGPIPE)
-	guard.Serve(guard.Spec{Argv: trimDashes(c.Command), Until: c.Until, Grace: c.Grace, Lead: c.Lead, Timeout: c.Timeout, Out: os.Stderr}, os.Stdin, os.Stdout)
+	guard.Serve(guard.Spec{Argv: trimDashes(c.Command), Deadline: c.Until, Grace: c.Grace, Lead: c.Lead, Timeout: c.Timeout, Out: os.Stderr}, os.Stdin, os.Stdout)
 	return nil
 }
 
@@ -127,22 +127,22 @@
 			return exitNotAcquired
 		}
 	}
-	spec := guard.Spec{Argv: command, Env: broker.Environment(held.Lease, held.Slot, held.Fence, held.UntilMS), Until: held.Until, In: os.Stdin, Out: os.Stdout}
+	spec := guard.Spec{Argv: command, Env: broker.Environment(held.Lease, held.Slot, held.Fence, held.UntilMS), Deadline: held.Until, In: os.Stdin, Out: os.Stdout}
 	spec.Grace, spec.Lead = broker.Warning(c.Term)
-	updates := make(chan guard.Told, 16)
+	updates := make(chan guard.Instruction, 16)
 	ended := make(chan struct{})
 	go func() {
 		defer close(updates)
 		for {
-			var t guard.Told
+			var t guard.Instruction
 			select {
 			case e, open := <-events:
 				if !open {
 					return // the broker is gone: the last deadline remains in force
 				}
-				t = guard.Told{Until: e.Until, Cancel: e.Revoked}
+				t = guard.Instruction{Deadline: e.Until, Cancel: e.Revoked}
 			case s := <-signals:
-				t = guard.Told{Cancel: "by " + s.String()}
+				t = guard.Instruction{Cancel: "by " + s.String()}
 			case <-ended:
 				return
 			}
@@ -193,7 +193,7 @@
 			continue
 		}
 		slot, _ := strconv.Atoi(rest[at+1:])
-		r := leaseRow{Name: rest[:at], Slot: slot, Kind: kind, Holder: l.Holder, Fence: l.Epoch, GracePeriodMS: max(0, l.Quiet-s.Now)}
+		r := leaseRow{Name: rest[:at], Slot: slot, Kind: kind, Holder: l.Holder, Fence: l.Epoch, GracePeriodMS: max(0, l.GraceUntil-s.Now)}
 		if l.Holder != "" {
 			r.RemainingMS = l.Until - s.Now
 		}
@@ -278,7 +278,7 @@
 	Socket string `required:"" help:"The broker's control socket." type:"path"`
 	Name   string `arg:"" help:"The task's or lease's name."`
 	Slot   int    `default:"-1" help:"Only this slot; below 0: all slots."`
-	action tasks.Do
+	action tasks.Action
 }
 
 func (c *leaseOrderCmd) Run(out io.Writer) error {
@@ -311,4 +311,4 @@
 	Number uint64 `arg:"" help:"The fencing number to check, such as $GULLSTAIR_FENCE."`
 }
 
-func (c *leaseFenceCmd) Run() error { return fence.At(c.File).Pass(c.Number, nil) }
+func (c *leaseFenceCmd) Run() error { return fence.New(c.File).Accept(c.Number, nil) }
--- a/cmd/gullstair/leases_test.go
+++ b/cmd/gullstair/leases_test.go
@@ -36,8 +36,8 @@
 		return rate, wall
 	}
 	rate, _ := read()
-	begun := guard.Now()
-	return broker.Clocks{Elapsed: func() int64 { return begun + int64(math.Round(float64(guard.Now()-begun)*rate)) },
+	begun := guard.BootTime()
+	return broker.Clocks{Elapsed: func() int64 { return begun + int64(math.Round(float64(guard.BootTime()-begun)*rate)) },
 		Wall: func() time.Time {
 			_, wall := read()
 			return time.Now().Add(time.Duration(wall))
@@ -132,7 +132,7 @@
 // currentWork waits for work that is in progress, and returns it with its holder.
 func (f *leaseFleet) currentWork() (k rig.Work, m *rig.Member) {
 	f.t.Helper()
-	now := guard.Now()
+	now := guard.BootTime()
 	require.NoError(f.t, rig.Until(takeoverTimeout, func() bool {
 		for _, k = range f.witness.Seen() {
 			if strings.HasPrefix(k.Lease, "task/") && k.Last > now {
@@ -468,7 +468,7 @@
 // may still win.
 func (f *leaseFleet) awaitRunning(name string) {
 	f.t.Helper()
-	now := guard.Now()
+	now := guard.BootTime()
 	require.NoError(f.t, rig.Until(takeoverTimeout, func() bool {
 		return slices.ContainsFunc(f.witness.Seen(), func(k rig.Work) bool { return strings.HasPrefix(k.Lease, "hold/"+name+"/") && k.Last > now })
 	}))
--- a/cmd/gullstair/main.go
+++ b/cmd/gullstair/main.go
@@ -82,7 +82,7 @@
 		}
 		return err
 	}
-	for do, order := range map[tasks.Do]*leaseOrderCmd{tasks.Release: &c.Lease.Release, tasks.Pause: &c.Lease.Pause, tasks.Resume: &c.Lease.Resume,
+	for do, order := range map[tasks.Action]*leaseOrderCmd{tasks.Release: &c.Lease.Release, tasks.Pause: &c.Lease.Pause, tasks.Resume: &c.Lease.Resume,
 		tasks.Trigger: &c.Lease.Trigger} {
 		order.action = do
 	}
--- a/cmd/gullstair/measure_test.go
+++ b/cmd/gullstair/measure_test.go
@@ -72,7 +72,7 @@
 			return doc
 		})
 		require.NoError(t, rig.Until(2*time.Minute, func() bool { return countHeldLeases(f) == tasks }))
-		before, begun := make([]float64, 5), guard.Now()
+		before, begun := make([]float64, 5), guard.BootTime()
 		for i, m := range f.Members {
 			before[i], _ = processUsage(m.Pid())
 		}
@@ -82,7 +82,7 @@
 			now, mb := processUsage(m.Pid())
 			cpu, most = cpu+now-before[i], max(most, mb)
 		}
-		t.Logf("%d tasks at 5 brokers: %.2f%% of a core and %.0f MB at most each", tasks, 100*cpu/5/(float64(guard.Now()-begun)/1e9), most)
+		t.Logf("%d tasks at 5 brokers: %.2f%% of a core and %.0f MB at most each", tasks, 100*cpu/5/(float64(guard.BootTime()-begun)/1e9), most)
 		f.Close()
 	}
 }
--- a/cmd/gullstair/serve.go
+++ b/cmd/gullstair/serve.go
@@ -48,7 +48,7 @@
 		return err
 	}
 	if f != nil && len(f.Tasks) > 0 {
-		if err := guard.Adopt(); err != nil {
+		if err := guard.BecomeReaper(); err != nil {
 			return err
 		}
 	}
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -49,7 +49,7 @@
 }
 
 // MachineClocks returns the clocks of this machine.
-func MachineClocks() Clocks { return Clocks{guard.Now, time.Now} }
+func MachineClocks() Clocks { return Clocks{guard.BootTime, time.Now} }
 
 // Clock is the clock of a broker: Unix milliseconds at its start plus the monotonic time since.
 type Clock struct {
@@ -311,7 +311,7 @@
 	for _, typ := range b.startFile.Site.Types {
 		longest = max(longest, typ.Timeout)
 	}
-	answeredAll := b.front.Stop(ending.Begin(longest, float64(patience)/1e6))
+	answeredAll := b.front.Stop(ending.New(longest, float64(patience)/1e6))
 	// The listener is closed before the check for open scans: a client accepted between the two would be read but never
 	// answered, since the actor has stopped.
 	b.ln.Close()
--- a/internal/broker/features.go
+++ b/internal/broker/features.go
@@ -205,7 +205,7 @@
 			Roster: slices.Sorted(maps.Keys(s.Members))}
 		b.core.Judge()
 		if path := s.Verdicts.Dir; path != "" {
-			orders, found, err := lasting.Open[verdicts.Stored](path, lasting.Words)
+			orders, found, err := lasting.Open[verdicts.Stored](path, lasting.OrderRecords)
 			if err != nil {
 				carrier.Close()
 				sh.closeDirs()
--- a/internal/broker/leases.go
+++ b/internal/broker/leases.go
@@ -24,7 +24,7 @@
 // run is an occurrence of a task that this broker has started.
 type run struct {
 	task   tasks.Begin
-	guard  *guard.Remote
+	guard  *guard.Process
 	grace  time.Duration
 	until  float64
 	cancel string // reason of a cancellation that came before the guard was started
@@ -41,7 +41,7 @@
 func (b *Broker) openLeases(plan *sharing.Plan, work *sharer.Work) (*lasting.Dir[lease.Record], error) {
 	for _, t := range b.features.Tasks {
 		plan.Tasks = append(plan.Tasks, tasks.Task{Name: t.Name, Every: ms64(t.Every), At: t.Schedule, Term: ms64(t.Term), Holders: t.Holders,
-			Once: t.Once, Timeout: ms64(t.Timeout), Prefer: t.Prefer})
+			CatchUp: t.Once, Timeout: ms64(t.Timeout), Prefer: t.Prefer})
 	}
 	l := b.features.Lease
 	if l == nil {
@@ -55,12 +55,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("features: lease: %w", err)
 	}
-	if found.Sound {
+	if found.Complete {
 		b.log.Info().Str("dir", l.Dir).Int("votes", len(found.Records)).Msg("votes on leases are as they were stored")
 	} else {
 		b.log.Warn().Str("dir", l.Dir).Str("because", found.Why).Msg("votes on leases may be missing: nothing is granted for a term")
 	}
-	plan.Votes = &sharing.Votes{Records: found.Records, Sound: found.Sound}
+	plan.Votes = &sharing.Votes{Records: found.Records, Sound: found.Complete}
 	work.Votes = dir
 	return dir, nil
 }
@@ -70,7 +70,7 @@
 // toGuardClock converts a time on the clock of leases to guard.Now. It reads guard.Now first: a pause between the two
 // reads makes the result earlier, never later.
 func (s *sharingState) toGuardClock(until float64) int64 {
-	at := guard.Now()
+	at := guard.BootTime()
 	return at + int64((until-s.now())*1e6)
 }
 
@@ -107,9 +107,9 @@
 	spec := guard.Spec{Argv: argv, Timeout: time.Duration(t.Timeout * 1e6)}
 	spec.Grace, spec.Lead = Warning(term)
 	s.mu.Lock()
-	spec.Until = s.toGuardClock(r.until)
+	spec.Deadline = s.toGuardClock(r.until)
 	s.mu.Unlock()
-	args := []string{"guard", "--until", strconv.FormatInt(spec.Until, 10), "--grace", spec.Grace.String(), "--lead", spec.Lead.String(),
+	args := []string{"guard", "--until", strconv.FormatInt(spec.Deadline, 10), "--grace", spec.Grace.String(), "--lead", spec.Lead.String(),
 		"--timeout", spec.Timeout.String(), "--"}
 	cmd := exec.Command(self, append(args, argv...)...)
 	spec.Mark = runMark(t.Lease, t.Fence)
@@ -181,7 +181,7 @@
 		c.Orders = map[string]func(url.Values) error{}
 	}
 	c.Orders["lease"] = func(q url.Values) error {
-		a := s.actor.Order(q.Get("lease"), tasks.Do(q.Get("do")))
+		a := s.actor.Order(q.Get("lease"), tasks.Action(q.Get("do")))
 		if !a.Done {
 			return errors.New(a.Why)
 		}
--- a/internal/broker/limits.go
+++ b/internal/broker/limits.go
@@ -89,7 +89,7 @@
 	if err != nil {
 		return fmt.Errorf("features: limits: %w", err)
 	}
-	if l.core.Restore(found.Records, found.Sound) {
+	if l.core.Restore(found.Records, found.Complete) {
 		log.Info().Str("dir", path).Int("marks", len(found.Records)).Msg("loans of limits restored: the capacity that is not lent is used at once")
 	} else {
 		log.Warn().Str("dir", path).Str("because", cmp.Or(found.Why, "limits or members have changed")).Msg("loans of limits may be incomplete: this broker's own shares are not used for a term")
@@ -226,10 +226,10 @@
 	}
 	if l.queue != nil {
 		for _, s := range stores {
-			l.queue.Put(lasting.Order[shares.Record]{Number: s.Number, Record: s.Record, Trust: s.Trust})
+			l.queue.Put(lasting.Job[shares.Record]{Number: s.Number, Record: s.Record, Trust: s.Trust})
 		}
 		if all != nil {
-			l.queue.Put(lasting.Order[shares.Record]{All: all})
+			l.queue.Put(lasting.Job[shares.Record]{All: all})
 		}
 	}
 	return out
--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -26,17 +26,17 @@
 }
 
 // Member is a live member with its weight.
-type Weighted struct {
-	Name    string
-	Weight  float64
-	Doubted bool // it has not answered recently: it keeps its items, but may be on another side of a partition
+type Member struct {
+	Name      string
+	Weight    float64
+	Suspected bool // it has not answered recently: it keeps its items, but may be on another side of a partition
 }
 
 // Input is a View, Items, Finished, Received or Quit.
 type Input any
 
 // View is an input that lists the live members, this one among them.
-type View struct{ Living []Weighted }
+type View struct{ Living []Member }
 
 // Items is an input that lists all items of a duty.
 type Items struct {
@@ -67,7 +67,7 @@
 type Turn struct{ Duty, Item string }
 
 // Reported is an output: the report of another member, and its age.
-type Heard struct {
+type Reported struct {
 	Duty, Item, By string
 	Age            float64
 	Report         []byte
@@ -111,14 +111,14 @@
 
 // Counts are the counters shown to operators.
 type Counts struct {
-	Turns   int `json:"turns"`
-	Ended   int `json:"ended"`
-	Unended int `json:"unended"`
-	Heard   int `json:"heard"`
-	Stale   int `json:"stale"`
-	Moved   int `json:"moved"`
-	Odd     int `json:"odd"`
-	Overdue int `json:"overdue"` // turns begun more than a tenth of a period late
+	Turns      int `json:"turns"`
+	Ended      int `json:"ended"`
+	Unended    int `json:"unended"`
+	Heard      int `json:"heard"`
+	Stale      int `json:"stale"`
+	Moved      int `json:"moved"`
+	Unexpected int `json:"odd"`
+	Overdue    int `json:"overdue"` // turns begun more than a tenth of a period late
 }
 
 // Item is the state of an item as this member sees it.
@@ -131,7 +131,7 @@
 }
 
 // DutyStatus is the state of a duty as this member sees it.
-type Share struct {
+type DutyStatus struct {
 	Duty   Duty   `json:"duty"`
 	Items  []Item `json:"items"`
 	Mine   int    `json:"mine"`
@@ -191,7 +191,7 @@
 }
 
 // Scheduler is one member's part of all duties. It is not safe for concurrent use.
-type Core struct {
+type Scheduler struct {
 	Counts Counts
 
 	self        string
@@ -203,7 +203,7 @@
 	clockOffset float64 // the members' common time minus this member's clock
 	duties      map[uint64]*duty
 	dutyList    []*duty
-	living      []Weighted
+	living      []Member
 	sideMembers map[string]bool   // live members that are not suspected
 	sideSize    int               // number of them on the roster
 	sideSince   float64           // the time since which sideMembers is unchanged
@@ -219,10 +219,10 @@
 
 // New returns a member's scheduler. The roster names the configured members. With an empty roster, a member
 // that sees few others cannot detect that it is partitioned, and does its items as if it saw all.
-func New(self string, roster []string, list []Duty, seed uint64) *Core {
-	c := &Core{self: self, roster: slices.Clone(roster), rnd: rand.New(rand.NewPCG(seed, hash(self))),
+func New(self string, roster []string, list []Duty, seed uint64) *Scheduler {
+	c := &Scheduler{self: self, roster: slices.Clone(roster), rnd: rand.New(rand.NewPCG(seed, hash(self))),
 		duties: map[uint64]*duty{}, names: map[uint64]string{}, updates: newGossipQueue(),
-		early: map[[2]uint64]Record{}, earlyAt: map[[2]uint64]float64{}, living: []Weighted{{Name: self, Weight: 1}}}
+		early: map[[2]uint64]Record{}, earlyAt: map[[2]uint64]float64{}, living: []Member{{Name: self, Weight: 1}}}
 	slices.Sort(c.roster)
 	c.roster = slices.Compact(c.roster)
 	c.names[hash(self)] = self
@@ -261,10 +261,10 @@
 }
 
 // Statuses returns the state of all duties.
-func (c *Core) Shares() []Share {
-	var all []Share
+func (c *Scheduler) Statuses() []DutyStatus {
+	var all []DutyStatus
 	for _, d := range c.dutyList {
-		s := Share{Duty: d.Duty, Side: c.side(), Roster: len(c.roster), Mine: len(d.own)}
+		s := DutyStatus{Duty: d.Duty, Side: c.side(), Roster: len(c.roster), Mine: len(d.own)}
 		for _, it := range d.order {
 			s.Items = append(s.Items, Item{Name: it.name, Owner: it.owner, Last: it.lastDone, By: c.names[it.by], Due: c.dueOf(it)})
 		}
@@ -276,7 +276,7 @@
 
 // KeptRecords returns the number of entries kept beside the items: queued updates, records of items that are
 // not listed yet, and names.
-func (c *Core) Held() int {
+func (c *Scheduler) KeptRecords() int {
 	n := len(c.early) + len(c.names)
 	for _, s := range c.updates.bySends {
 		n += len(s)
@@ -286,18 +286,18 @@
 
 // Common returns the members' common time at a time by this member's clock. It is the clock that is furthest
 // ahead of all known ones.
-func (c *Core) Common(now float64) float64 { return now + c.clockOffset }
+func (c *Scheduler) Common(now float64) float64 { return now + c.clockOffset }
 
 // ObserveCommonTime takes the common time that another member reports. The common time never goes back, so
 // members agree on it up to a message's delay and the drift of their clocks in between.
-func (c *Core) Heed(now, common float64) {
+func (c *Scheduler) ObserveCommonTime(now, common float64) {
 	if !math.IsNaN(common) && common < 1e18 {
 		c.clockOffset = max(c.clockOffset, common-now)
 	}
 }
 
 // Due returns the time at which the next Step is needed if no input arrives.
-func (c *Core) Due() float64 {
+func (c *Scheduler) Due() float64 {
 	if !c.started {
 		return math.Inf(-1)
 	}
@@ -317,7 +317,7 @@
 }
 
 // Step handles the inputs and begins the turns that are due.
-func (c *Core) Step(now float64, in []Input) []Output {
+func (c *Scheduler) Step(now float64, in []Input) []Output {
 	c.outputs = nil
 	c.now = max(c.now, now)
 	if !c.started {
@@ -351,7 +351,7 @@
 
 // beginTurns begins the turns that are due, the longest overdue first, at most one per half of the usual
 // interval: the items of a dead member are caught up with soon, without a burst.
-func (c *Core) beginTurns(d *duty) {
+func (c *Scheduler) beginTurns(d *duty) {
 	gap := d.Period / (maxCatchUpRate * float64(max(1, len(d.own))))
 	for len(d.own) > 0 && d.own[0].due <= c.now && d.nextTurnAt <= c.now {
 		it := d.own[0]
@@ -382,7 +382,7 @@
 
 // dueOf returns when an item is due: a period after any member last did it. An item without a known time is due
 // at its phase in the first period, after a delay for the records of the others.
-func (c *Core) dueOf(it *item) float64 {
+func (c *Scheduler) dueOf(it *item) float64 {
 	period := it.duty.Period
 	at := it.lastDone + period
 	if it.lastDone <= never/2 {
@@ -405,7 +405,7 @@
 // all such sides together do it as often as one member alone. Where another side may be a majority, which does
 // the item in every period anyway, only the first of the two periods counts. Until all members have detected
 // the partition they could take each other's turns, so a side has to be unchanged for a while first.
-func (c *Core) slot(it *item, from float64, side, n int) float64 {
+func (c *Scheduler) slot(it *item, from float64, side, n int) float64 {
 	period := it.duty.Period
 	elsewhere := 2*(n-side) > n
 	from = max(from, c.now)
@@ -428,21 +428,21 @@
 // side returns the number of live members of the roster that are not suspected. A member that is cut off comes
 // to suspect the others one after the other; without this rule it would take over their items while it still
 // believes to be in a majority.
-func (c *Core) side() int { return c.sideSize }
+func (c *Scheduler) side() int { return c.sideSize }
 
-func (c *Core) isOnSide(name string) bool { return c.sideMembers[name] }
+func (c *Scheduler) isOnSide(name string) bool { return c.sideMembers[name] }
 
 // updateView takes the live members. Only those items move whose owner has died or for which a new member has
 // the highest score.
-func (c *Core) updateView(living []Weighted) {
+func (c *Scheduler) updateView(living []Member) {
 	living = slices.Clone(living)
-	slices.SortFunc(living, func(a, b Weighted) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(living, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	was := map[string]float64{}
 	for _, w := range c.living {
 		was[w.Name] = w.Weight
 	}
 	is := map[string]float64{}
-	var fresh []Weighted
+	var fresh []Member
 	for _, w := range living {
 		is[w.Name] = w.Weight
 		c.names[hash(w.Name)] = w.Name
@@ -485,10 +485,10 @@
 }
 
 // countSide computes which members are on this member's side.
-func (c *Core) countSide() {
+func (c *Scheduler) countSide() {
 	c.sideMembers, c.sideSize = map[string]bool{}, 0
 	for _, w := range c.living {
-		if !w.Doubted {
+		if !w.Suspected {
 			c.sideMembers[w.Name] = true
 		}
 	}
@@ -501,7 +501,7 @@
 
 // assign gives an item to the claimant with the highest score, either afresh or compared with its present
 // owner.
-func (c *Core) assign(it *item, claimants []Weighted, anew bool) {
+func (c *Scheduler) assign(it *item, claimants []Member, anew bool) {
 	owner, best, of := it.owner, it.score, mix(it.duty.hash, it.hash)
 	if anew {
 		owner, best = "", -1
@@ -525,7 +525,7 @@
 }
 
 // setItems takes a list of items. Items that are gone are removed, and new ones get their phase.
-func (c *Core) setItems(d *duty, names []string) {
+func (c *Scheduler) setItems(d *duty, names []string) {
 	named := map[uint64]bool{}
 	for _, name := range names {
 		h := hash(name)
@@ -558,14 +558,14 @@
 	})
 }
 
-func (c *Core) finished(f Finished) {
+func (c *Scheduler) finished(f Finished) {
 	d := c.duties[hash(f.Duty)]
 	if d == nil {
 		return
 	}
 	it := d.items[hash(f.Item)]
 	if it == nil || !it.open {
-		c.Counts.Odd++
+		c.Counts.Unexpected++
 		return
 	}
 	it.open = false
@@ -580,9 +580,9 @@
 }
 
 // applyRecord takes a record. The later time wins; times of this member's own turns never go back.
-func (c *Core) applyRecord(r Record) {
+func (c *Scheduler) applyRecord(r Record) {
 	if math.IsNaN(r.Age) || r.Age < 0 || r.Age > 1e12 || len(r.Report) > maxReportBytes {
-		c.Counts.Odd++
+		c.Counts.Unexpected++
 		return
 	}
 	d := c.duties[r.Duty]
@@ -611,12 +611,12 @@
 	}
 	c.updates.put(&update{it: it, at: at, report: r.Report})
 	if by := c.names[r.By]; by != c.self {
-		c.outputs = append(c.outputs, Heard{Duty: d.Name, Item: it.name, By: by, Age: r.Age, Report: r.Report})
+		c.outputs = append(c.outputs, Reported{Duty: d.Name, Item: it.name, By: by, Age: r.Age, Report: r.Report})
 	}
 }
 
 // handlePage takes a page from a member, and answers its request for records.
-func (c *Core) handlePage(v Received) {
+func (c *Scheduler) handlePage(v Received) {
 	for _, r := range v.Page.Records {
 		c.applyRecord(r)
 	}
@@ -645,13 +645,13 @@
 	}
 }
 
-func (c *Core) record(it *item, at float64, report []byte) Record {
+func (c *Scheduler) record(it *item, at float64, report []byte) Record {
 	return Record{Duty: it.duty.hash, Item: it.hash, Age: max(0, c.now-at), By: it.by, Report: report}
 }
 
 // requestSync requests all records from one member: at the start, when a member has joined, and periodically,
 // since messages may be lost.
-func (c *Core) requestSync() {
+func (c *Scheduler) requestSync() {
 	if c.now < c.nextSyncAt || len(c.living) < 2 || len(c.dutyList) == 0 {
 		return
 	}
@@ -666,19 +666,19 @@
 			delete(c.earlyAt, key)
 		}
 	}
-	others := slices.DeleteFunc(slices.Clone(c.living), func(w Weighted) bool { return w.Name == c.self })
+	others := slices.DeleteFunc(slices.Clone(c.living), func(w Member) bool { return w.Name == c.self })
 	if len(others) > 0 {
 		c.outputs = append(c.outputs, Send{To: others[c.rnd.IntN(len(others))].Name, Page: Page{Want: true}})
 	}
 }
 
 // HasPending reports whether there are updates to gossip.
-func (c *Core) Waiting() bool { return len(c.updates.byItem) > 0 }
+func (c *Scheduler) HasPending() bool { return len(c.updates.byItem) > 0 }
 
 // Records returns the records for a message of at most room bytes, those sent least often first. Each record is
 // sent the given number of times. The time now may be later than that of the last Step: an age that is too
 // small would lose more of its true value with every hop.
-func (c *Core) Records(now float64, room, times int) (list []Record) {
+func (c *Scheduler) Records(now float64, room, times int) (list []Record) {
 	c.now = max(c.now, now)
 	c.updates.take(times, func(n *update) bool {
 		size := recordBytes + len(n.report)
--- a/internal/ending/ending.go
+++ b/internal/ending/ending.go
@@ -27,67 +27,67 @@
 )
 
 // Schedule holds the times of a shutdown, in ms after the stop signal, in non-decreasing order.
-type Moments struct {
-	Leave  float64 // clients are served until then; afterwards answers say that the connection closes, and idle ones are closed
-	Refuse float64 // later requests are throttled
-	GiveUp float64 // requests that are still open are answered with a failure
+type Schedule struct {
+	Drain  float64 // clients are served until then; afterwards answers say that the connection closes, and idle ones are closed
+	Reject float64 // later requests are throttled
+	Fail   float64 // requests that are still open are answered with a failure
 }
 
 // Plan computes the schedule of a shutdown. The argument longest is the longest query timeout, answer the
 // recent answer time, and patience the operator's limit for open requests, all in ms; a patience below 0 means
 // no limit.
-func Plan(longest, answer, patience float64) Moments {
+func Plan(longest, answer, patience float64) Schedule {
 	end := min(max(longest, 0), maxQueryTimeout) + killDelay - exitReserve
-	m := Moments{GiveUp: end}
+	m := Schedule{Fail: end}
 	if patience >= 0 {
-		m.GiveUp, end = patience, min(end, patience)
+		m.Fail, end = patience, min(end, patience)
 	}
 	// Long answer times do not shorten the service for clients that have no other broker: they are served until
 	// the arrivals end, and for half of the time in any case.
 	need := max(minAnswerTime, answerTimeFactor*answer)
-	m.Leave = max(end-need-inFlightWindow/2, min(arrivalWindow, end-minAnswerTime), end/2)
-	m.Refuse = min(m.Leave+inFlightWindow, m.GiveUp)
+	m.Drain = max(end-need-inFlightWindow/2, min(arrivalWindow, end-minAnswerTime), end/2)
+	m.Reject = min(m.Drain+inFlightWindow, m.Fail)
 	return m
 }
 
 // State is the observed state of the broker.
-type Seen struct {
-	Passed  float64 // ms since the stop signal
-	Answer  float64 // recent answer time, in ms
-	Clients int     // open connections
+type State struct {
+	Elapsed    float64 // ms since the stop signal
+	AnswerTime float64 // recent answer time, in ms
+	Clients    int     // open connections
 }
 
 // Actions are the actions in force. Once set, an action stays set.
-type Orders struct {
-	Leave  bool // answers say that the connection closes, and idle connections are closed
-	Refuse bool // new requests are throttled
-	GiveUp bool // open requests get their final answer now
+type Actions struct {
+	Drain  bool // answers say that the connection closes, and idle connections are closed
+	Reject bool // new requests are throttled
+	Fail   bool // open requests get their final answer now
 	Done   bool // the broker may exit
 }
 
 // Shutdown is the state of one shutdown. It is not safe for concurrent use.
-type End struct {
+type Shutdown struct {
 	longest, patience float64
-	actions           Orders
+	actions           Actions
 	leftAt            float64
 }
 
 // New starts a shutdown; see Plan for the arguments.
-func Begin(longest, patience float64) *End { return &End{longest: longest, patience: patience} }
+func New(longest, patience float64) *Shutdown { return &Shutdown{longest: longest, patience: patience} }
 
 // Step returns the actions in force. The broker keeps serving even without open connections, because its
 // clients may have no other broker and an open listener costs nothing. Once clients are sent away they are not
 // called back.
-func (e *End) Step(s Seen) Orders {
-	m := Plan(e.longest, s.Answer, e.patience)
-	if e.actions.Leave {
-		m.Refuse = min(e.leftAt+inFlightWindow, m.GiveUp)
-	} else if s.Passed >= m.Leave {
-		e.actions.Leave, e.leftAt = true, s.Passed
-		m.Refuse = min(s.Passed+inFlightWindow, m.GiveUp)
+func (e *Shutdown) Step(s State) Actions {
+	m := Plan(e.longest, s.AnswerTime, e.patience)
+	if e.actions.Drain {
+		m.Reject = min(e.leftAt+inFlightWindow, m.Fail)
+	} else if s.Elapsed >= m.Drain {
+		e.actions.Drain, e.leftAt = true, s.Elapsed
+		m.Reject = min(s.Elapsed+inFlightWindow, m.Fail)
 	}
-	e.actions.Refuse = e.actions.Refuse || e.actions.Leave && s.Passed >= m.Refuse
-	e.actions.GiveUp = e.actions.GiveUp || s.Passed >= m.GiveUp
-	e.actions.Done = e.actions.Done || e.actions.Leave && s.Clients == 0
+	e.actions.Reject = e.actions.Reject || e.actions.Drain && s.Elapsed >= m.Reject
+	e.actions.Fail = e.actions.Fail || s.Elapsed >= m.Fail
+	e.actions.Done = e.actions.Done || e.actions.Drain && s.Clients == 0
 	return e.actions
 }
--- a/internal/ending/ending_test.go
+++ b/internal/ending/ending_test.go
@@ -23,8 +23,8 @@
 		{4000, 100, 10000, 3000, 10000},
 	} {
 		m := Plan(c.longest, c.answer, c.patience)
-		assert.Equal(t, c.leave, m.Leave, "%+v", c)
-		assert.Equal(t, c.giveUp, m.GiveUp, "%+v", c)
+		assert.Equal(t, c.leave, m.Drain, "%+v", c)
+		assert.Equal(t, c.giveUp, m.Fail, "%+v", c)
 	}
 }
 
@@ -34,28 +34,28 @@
 	rapid.Check(t, func(t *rapid.T) {
 		longest := rapid.Float64Range(300, 12000).Draw(t, "longest")
 		kill := min(longest, maxQueryTimeout) + killDelay
-		e, was := Begin(longest, -1), Orders{}
+		e, was := New(longest, -1), Actions{}
 		clients := rapid.IntRange(0, 3).Draw(t, "clients")
 		for at := 0.0; at < kill; at += 20 {
 			if rapid.IntRange(0, 20).Draw(t, "change") == 0 {
 				clients = rapid.IntRange(0, 3).Draw(t, "clients")
 			}
-			is := e.Step(Seen{Passed: at, Answer: rapid.Float64Range(0, 4000).Draw(t, "answer"), Clients: clients})
-			if was.Leave && !is.Leave || was.Refuse && !is.Refuse || was.GiveUp && !is.GiveUp {
+			is := e.Step(State{Elapsed: at, AnswerTime: rapid.Float64Range(0, 4000).Draw(t, "answer"), Clients: clients})
+			if was.Drain && !is.Drain || was.Reject && !is.Reject || was.Fail && !is.Fail {
 				t.Fatalf("action taken back at %v: %+v after %+v", at, is, was)
 			}
-			if is.Refuse && !is.Leave || is.Leave && at < min(arrivalWindow, kill-exitReserve-minAnswerTime) {
+			if is.Reject && !is.Drain || is.Drain && at < min(arrivalWindow, kill-exitReserve-minAnswerTime) {
 				t.Fatalf("too early at %v: %+v", at, is)
 			}
 			if is.Done {
-				if !is.Leave {
+				if !is.Drain {
 					t.Fatalf("exits at %v while it could still serve", at)
 				}
 				return
 			}
 			was = is
 		}
-		if !was.GiveUp || !was.Refuse {
+		if !was.Fail || !was.Reject {
 			t.Fatalf("open requests were not given up before the kill at %v: %+v", kill, was)
 		}
 	})
@@ -64,10 +64,10 @@
 // Every client closes its connections 1.4 s after the stop signal, as in a recorded run. The broker keeps
 // serving clients that have no other broker until 3 s, its limit.
 func TestStaysWithoutClients(t *testing.T) {
-	e := Begin(4000, -1)
+	e := New(4000, -1)
 	for at := 0.0; at < 2900; at += 20 {
-		o := e.Step(Seen{Passed: at, Answer: 60, Clients: 0})
-		assert.Equal(t, Orders{}, o, fmt.Sprint(at))
+		o := e.Step(State{Elapsed: at, AnswerTime: 60, Clients: 0})
+		assert.Equal(t, Actions{}, o, fmt.Sprint(at))
 	}
-	assert.True(t, e.Step(Seen{Passed: 3050, Answer: 60}).Done)
+	assert.True(t, e.Step(State{Elapsed: 3050, AnswerTime: 60}).Done)
 }
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -65,7 +65,7 @@
 
 type world struct {
 	tick       int
-	cores      [members]*lease.Core // nil: crashed
+	cores      [members]*lease.Machine // nil: crashed
 	boots      [members]uint64
 	activities [members][]activity
 	wants      [members]bool
@@ -145,9 +145,9 @@
 }
 
 // newCore starts a new process of a member. Its fencing floor is above all numbers granted within the bounds, as one taken from a wall clock would be.
-func (e *explorer) newCore(i int, boot uint64, disk []lease.Record) *lease.Core {
-	c := lease.New(names[i], boot, names[:], lease.Rules{Drift: e.bounds.Drift, Longest: e.bounds.Term, Most: 1,
-		Fixed: []lease.Terms{{Name: leaseName, Term: e.bounds.Term}}}, 2*(boot-1), noRandom)
+func (e *explorer) newCore(i int, boot uint64, disk []lease.Record) *lease.Machine {
+	c := lease.New(names[i], boot, names[:], lease.Rules{Drift: e.bounds.Drift, MaxTerm: e.bounds.Term, MaxLeases: 1,
+		Fixed: []lease.Spec{{Name: leaseName, Term: e.bounds.Term}}}, 2*(boot-1), noRandom)
 	if e.bounds.Disk {
 		c.Restore(disk, true)
 	}
@@ -385,7 +385,7 @@
 	}
 	if w.drops > 0 {
 		for i := range e.bounds.Askers {
-			if c := w.cores[i]; c != nil && c.Asking(leaseName) {
+			if c := w.cores[i]; c != nil && c.Campaigning(leaseName) {
 				v := w.clone(i)
 				v.drops--
 				e.step(v, i, []lease.Input{lease.Want{Lease: leaseName}})
--- a/internal/fence/fence.go
+++ b/internal/fence/fence.go
@@ -16,18 +16,18 @@
 )
 
 // ErrStale means that a higher token has been seen, so the lease of the caller's token is no longer held.
-var ErrLower = errors.New("a higher fencing number has been seen")
+var ErrStale = errors.New("a higher fencing number has been seen")
 
 // Guard stores the highest token in a file. Several processes may use one file at once.
 type Guard struct{ path string }
 
 // New returns the guard of a file, which the first Accept creates.
-func At(path string) *Guard { return &Guard{path} }
+func New(path string) *Guard { return &Guard{path} }
 
 // Accept takes a token that is at least as high as all before it, and makes it durable before it returns. For a
 // lower one it returns ErrStale. The guarded change must be made in the function do, if any: it runs before an
 // Accept of any other caller or process can continue.
-func (g *Guard) Pass(number uint64, do func() error) error {
+func (g *Guard) Accept(number uint64, do func() error) error {
 	lock, err := os.OpenFile(g.path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return fmt.Errorf("fence: %w", err)
@@ -39,12 +39,12 @@
 	if err != nil {
 		return fmt.Errorf("fence: %s: %w", g.path, err)
 	}
-	seen, err := g.Seen()
+	seen, err := g.Highest()
 	if err != nil {
 		return err
 	}
 	if number < seen {
-		return fmt.Errorf("fence: %d: %w: %d", number, ErrLower, seen)
+		return fmt.Errorf("fence: %d: %w: %d", number, ErrStale, seen)
 	}
 	if number > seen {
 		if err := g.writeFile(number); err != nil {
@@ -58,7 +58,7 @@
 }
 
 // Highest returns the highest token so far, or 0 if there is none. An unreadable file is an error, not 0.
-func (g *Guard) Seen() (uint64, error) {
+func (g *Guard) Highest() (uint64, error) {
 	text, err := os.ReadFile(g.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return 0, nil
--- a/internal/fence/fence_test.go
+++ b/internal/fence/fence_test.go
@@ -18,26 +18,26 @@
 		lower  bool
 	}{{7, false}, {7, false}, {6, true}, {1 << 60, false}, {7, true}} {
 		done := false
-		err := At(path).Pass(c.number, func() error { done = true; return nil })
-		assert.Equal(t, c.lower, errors.Is(err, ErrLower), "%d: %v", c.number, err)
+		err := New(path).Accept(c.number, func() error { done = true; return nil })
+		assert.Equal(t, c.lower, errors.Is(err, ErrStale), "%d: %v", c.number, err)
 		assert.Equal(t, !c.lower, done, "%d", c.number)
 	}
-	assert.EqualError(t, At(path).Pass(1<<60, func() error { return os.ErrClosed }), os.ErrClosed.Error())
+	assert.EqualError(t, New(path).Accept(1<<60, func() error { return os.ErrClosed }), os.ErrClosed.Error())
 	require.NoError(t, os.WriteFile(path, []byte("seven"), 0o600))
-	assert.ErrorContains(t, At(path).Pass(1<<61, nil), "holds no number", "a corrupt file lets nothing pass")
-	assert.Error(t, At(filepath.Join(path, "x")).Pass(1, nil))
+	assert.ErrorContains(t, New(path).Accept(1<<61, nil), "holds no number", "a corrupt file lets nothing pass")
+	assert.Error(t, New(filepath.Join(path, "x")).Accept(1, nil))
 }
 
 // With many concurrent callers, the change under a token is finished before a higher one passes, and never made
 // after.
 func TestConcurrentAccept(t *testing.T) {
-	g := At(filepath.Join(t.TempDir(), "fence"))
+	g := New(filepath.Join(t.TempDir(), "fence"))
 	var mu sync.Mutex // the race detector does not know of the file lock
 	var done []uint64
 	var wg sync.WaitGroup
 	for n := range uint64(40) {
 		wg.Go(func() {
-			g.Pass(n+1, func() error {
+			g.Accept(n+1, func() error {
 				mu.Lock()
 				defer mu.Unlock()
 				done = append(done, n+1)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -365,7 +365,7 @@
 	s := receiveScan(t, d.taken)
 	stopped := make(chan struct{})
 	go func() {
-		d.front.Stop(ending.Begin(0, float64(testTimeout)/1e6))
+		d.front.Stop(ending.New(0, float64(testTimeout)/1e6))
 		close(stopped)
 	}()
 	require.Eventually(t, d.front.stopping.Load, testTimeout, time.Millisecond)
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -222,7 +222,7 @@
 // Stop shuts the front down in the phases that end decides. /healthz reports it at once. Clients are first served on
 // their connections and on new ones, then their connections close after the next answer, then new scans are refused.
 // Stop returns true when all work is done, or false when end decides to abandon the open scans.
-func (f *Front) Stop(end *ending.End) bool {
+func (f *Front) Stop(end *ending.Shutdown) bool {
 	f.stopping.Store(true)
 	begun, st := time.Now(), &f.Stats
 	defer func(open int, byClient, atWork, byAnswer, byFront, requests int64) {
@@ -234,15 +234,15 @@
 	}(f.Conns(), st.ByClient.Load(), st.LeftAtWork.Load(), st.ByAnswer.Load(), st.ByFront.Load(), st.Requests.Load())
 	for {
 		f.mu.Lock()
-		o := end.Step(ending.Seen{Passed: float64(time.Since(begun)) / 1e6, Answer: f.slowestAnswer, Clients: len(f.conns)})
-		if o.Leave {
+		o := end.Step(ending.State{Elapsed: float64(time.Since(begun)) / 1e6, AnswerTime: f.slowestAnswer, Clients: len(f.conns)})
+		if o.Drain {
 			f.closeAfterAnswer.Store(true)
 			for f.requestCloseOfOldest(idle, minIdleAge, false) {
 			}
 		}
 		f.mu.Unlock()
-		f.refuseScans.Store(o.Refuse)
-		if o.Done || o.GiveUp {
+		f.refuseScans.Store(o.Reject)
+		if o.Done || o.Fail {
 			return o.Done
 		}
 		time.Sleep(stopPollInterval)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -24,7 +24,7 @@
 
 // BootTime returns the clock of all deadlines, in ns: the time since the machine booted, including suspension,
 // the same for all its processes.
-func Now() int64 {
+func BootTime() int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		panic(err) // every Linux kernel has this clock
@@ -34,9 +34,9 @@
 
 // Spec describes a command to run.
 type Spec struct {
-	Argv  []string
-	Env   []string // in addition to the guard's own
-	Until int64    // the deadline by BootTime: nothing of the command may run after it
+	Argv     []string
+	Env      []string // in addition to the guard's own
+	Deadline int64    // the deadline by BootTime: nothing of the command may run after it
 	// The command gets SIGTERM at Grace before the deadline; what is left is killed at Lead before it.
 	Grace, Lead time.Duration
 	Timeout     time.Duration // 0 for none
@@ -46,9 +46,9 @@
 }
 
 // Instruction is sent to a guard: a later deadline, or that the command has to end now, and why.
-type Told struct {
-	Until  int64
-	Cancel string
+type Instruction struct {
+	Deadline int64
+	Cancel   string
 }
 
 // Result is how a command ended. When it is returned, no process of the command is left.
@@ -74,7 +74,7 @@
 // BecomeReaper makes the calling process the reaper of what a killed guard leaves behind. Then all of it is
 // found whatever its environment contains, which is empty for a moment while a program starts. From then on the
 // next sweep kills every child that is not a guard, so the process should start no others.
-func Adopt() error {
+func BecomeReaper() error {
 	if err := unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0); err != nil {
 		return fmt.Errorf("guard: %w", err)
 	}
@@ -106,10 +106,10 @@
 // Run runs a command to its end. It calls begun, if that is not nil, with the ID of the command's first
 // process. The calling process becomes the reaper of all that the command leaves behind, so that nothing
 // escapes by forking, changing its session or closing its descriptors; it should run nothing else.
-func Run(s Spec, instructions <-chan Told, begun func(pid int)) Result {
+func Run(s Spec, instructions <-chan Instruction, begun func(pid int)) Result {
 	runtime.LockOSThread() // the kernel sends the death signal when the thread that forked dies
 	defer runtime.UnlockOSThread()
-	if Now() >= s.Until-int64(s.Grace) {
+	if BootTime() >= s.Deadline-int64(s.Grace) {
 		return Result{-1, "too late to begin: the lease is about to run out"}
 	}
 	if err := unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0); err != nil {
@@ -148,15 +148,15 @@
 }
 
 // supervise supervises a command until nothing of it is left.
-func supervise(s Spec, pid int, instructions <-chan Told) Result {
+func supervise(s Spec, pid int, instructions <-chan Instruction) Result {
 	codes, gone := make(chan int, 1), make(chan struct{})
 	go reap(pid, codes, gone)
 	return superviseUntilGone(s, pid, instructions, codes, gone)
 }
 
-func superviseUntilGone(s Spec, pid int, instructions <-chan Told, codes chan int, gone chan struct{}) Result {
-	began := Now()
-	r, until, termed, killed := Result{}, s.Until, false, false
+func superviseUntilGone(s Spec, pid int, instructions <-chan Instruction, codes chan int, gone chan struct{}) Result {
+	began := BootTime()
+	r, until, termed, killed := Result{}, s.Deadline, false, false
 	limit := func() (at int64, why string) {
 		at, why = until, "its lease runs out"
 		if end := began + int64(s.Timeout) + int64(s.Grace); s.Timeout > 0 && end < at {
@@ -171,7 +171,7 @@
 		if termed {
 			next = at - int64(s.Lead)
 		}
-		timer := time.NewTimer(time.Duration(max(0, next-Now())))
+		timer := time.NewTimer(time.Duration(max(0, next-BootTime())))
 		if killed {
 			timer.Stop()
 		}
@@ -196,14 +196,14 @@
 				instructions = nil // whoever sent deadlines is gone: the last one remains in force
 			} else if t.Cancel != "" && r.Why == "" {
 				r.Why = t.Cancel
-				if cut := Now() + int64(s.Grace); cut < until {
+				if cut := BootTime() + int64(s.Grace); cut < until {
 					until = cut
 				}
 			} else if r.Why == "" {
-				until = max(until, t.Until)
+				until = max(until, t.Deadline)
 			}
 		case <-timer.C:
-			if Now() < next {
+			if BootTime() < next {
 				break
 			}
 			if r.Why == "" {
@@ -317,7 +317,7 @@
 // Serve runs a command in a guard process. It reads instructions from a reader, one per line, and writes its
 // reports to a writer.
 func Serve(s Spec, in io.Reader, out io.Writer) Result {
-	instructions := make(chan Told, 16)
+	instructions := make(chan Instruction, 16)
 	go func() {
 		defer close(instructions)
 		lines := bufio.NewScanner(in)
@@ -325,9 +325,9 @@
 			word, rest, _ := strings.Cut(lines.Text(), " ")
 			switch n, err := strconv.ParseInt(rest, 10, 64); {
 			case word == "until" && err == nil:
-				instructions <- Told{Until: n}
+				instructions <- Instruction{Deadline: n}
 			case word == "cancel":
-				instructions <- Told{Cancel: rest}
+				instructions <- Instruction{Cancel: rest}
 			}
 		}
 	}()
@@ -337,7 +337,7 @@
 }
 
 // Process is a guard that runs as a process of its own.
-type Remote struct {
+type Process struct {
 	cmd       *exec.Cmd
 	in        io.WriteCloser
 	lead      time.Duration
@@ -355,7 +355,7 @@
 // Start starts a guard process with a command line that calls Serve; the command line has to contain the
 // deadline and the rest of the spec. The calling process keeps a timer too, and kills command and guard if the
 // guard does not, since it may have been stopped.
-func Start(cmd *exec.Cmd, s Spec) (*Remote, error) {
+func Start(cmd *exec.Cmd, s Spec) (*Process, error) {
 	in, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, fmt.Errorf("guard: %w", err)
@@ -373,7 +373,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("guard: %w", err)
 	}
-	g := &Remote{cmd: cmd, in: in, lead: s.Lead, until: s.Until, mark: s.Mark, done: make(chan struct{}), reset: make(chan struct{}, 1), result: Result{-1, "its guard was ended"}}
+	g := &Process{cmd: cmd, in: in, lead: s.Lead, until: s.Deadline, mark: s.Mark, done: make(chan struct{}), reset: make(chan struct{}, 1), result: Result{-1, "its guard was ended"}}
 	read := make(chan struct{})
 	go func() {
 		defer close(read)
@@ -414,7 +414,7 @@
 }
 
 // sweep kills what is left of a command whose guard cannot. It returns the number of processes.
-func (g *Remote) sweep(child int) (n int) {
+func (g *Process) sweep(child int) (n int) {
 	all := processes()
 	if child > 0 {
 		n = killBelow(all, g.cmd.Process.Pid, child)
@@ -426,10 +426,10 @@
 }
 
 // backstop kills command and guard if they still exist when half of the lead remains.
-func (g *Remote) backstop() {
+func (g *Process) backstop() {
 	for {
 		g.mu.Lock()
-		wait, child := time.Duration(g.until-Now())-g.lead/2, g.child
+		wait, child := time.Duration(g.until-BootTime())-g.lead/2, g.child
 		g.mu.Unlock()
 		timer := time.NewTimer(max(wait, 0))
 		select {
@@ -449,7 +449,7 @@
 }
 
 // Extend sends a later deadline. It does not block on a guard that is suspended.
-func (g *Remote) Extend(until int64) {
+func (g *Process) Extend(until int64) {
 	g.mu.Lock()
 	if !g.cancelled {
 		g.until = max(g.until, until)
@@ -459,14 +459,14 @@
 }
 
 // Cancel ends the command: first with SIGTERM, then with SIGKILL.
-func (g *Remote) Cancel(why string, within time.Duration) {
+func (g *Process) Cancel(why string, within time.Duration) {
 	g.mu.Lock()
-	g.until, g.cancelled = min(g.until, Now()+int64(within)), true
+	g.until, g.cancelled = min(g.until, BootTime()+int64(within)), true
 	g.mu.Unlock()
 	g.send(fmt.Sprintf("cancel %s\n", strings.ReplaceAll(why, "\n", " ")))
 }
 
-func (g *Remote) send(line string) {
+func (g *Process) send(line string) {
 	select {
 	case g.reset <- struct{}{}:
 	default:
@@ -482,7 +482,7 @@
 }
 
 // Wait waits for the end of the command and its guard.
-func (g *Remote) Wait() Result {
+func (g *Process) Wait() Result {
 	<-g.done
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -24,21 +24,21 @@
 	if until := os.Getenv("GUARD_UNTIL"); until != "" {
 		n, _ := strconv.ParseInt(until, 10, 64)
 		timeout, _ := time.ParseDuration(os.Getenv("GUARD_TIMEOUT"))
-		Serve(Spec{Argv: os.Args[1:], Until: n, Grace: grace, Lead: lead, Timeout: timeout}, os.Stdin, os.Stdout)
+		Serve(Spec{Argv: os.Args[1:], Deadline: n, Grace: grace, Lead: lead, Timeout: timeout}, os.Stdin, os.Stdout)
 		os.Exit(0)
 	}
-	if err := Adopt(); err != nil {
+	if err := BecomeReaper(); err != nil {
 		panic(err)
 	}
 	os.Exit(m.Run())
 }
 
-func start(t *testing.T, within, timeout time.Duration, script string) (*Remote, *exec.Cmd, int64) {
-	until := Now() + int64(within)
+func start(t *testing.T, within, timeout time.Duration, script string) (*Process, *exec.Cmd, int64) {
+	until := BootTime() + int64(within)
 	mark := "GUARD_MARK=" + strconv.FormatInt(until, 10)
 	cmd := exec.Command(os.Args[0], "/bin/sh", "-c", script)
 	cmd.Env = append(os.Environ(), "GUARD_UNTIL="+strconv.FormatInt(until, 10), "GUARD_TIMEOUT="+timeout.String(), mark)
-	g, err := Start(cmd, Spec{Until: until, Lead: lead, Mark: mark})
+	g, err := Start(cmd, Spec{Deadline: until, Lead: lead, Mark: mark})
 	require.NoError(t, err)
 	return g, cmd, until
 }
@@ -67,7 +67,7 @@
 		script  string
 		within  time.Duration
 		timeout time.Duration
-		do      func(g *Remote, cmd *exec.Cmd)
+		do      func(g *Process, cmd *exec.Cmd)
 		want    Result
 		late    bool // it ends only near its deadline
 	}{
@@ -76,13 +76,13 @@
 		"it ignores SIGTERM": {"trap '' TERM; while :; do sleep 0.01; done", 2500 * time.Millisecond, 0, nil, Result{128 + 9, "its lease runs out"}, true},
 		"it leaves its session and closes everything": {"trap '' TERM HUP; setsid sh -c 'echo $$ >$PIDS; exec 0<&- 1>&- 2>&-; while :; do sleep 0.01; done' & exit 0", time.Minute, 0, nil,
 			Result{0, ""}, false},
-		"cancelled":           {"sleep 60", time.Minute, 0, func(g *Remote, _ *exec.Cmd) { g.Cancel("an order", grace) }, Result{128 + 15, "an order"}, false},
+		"cancelled":           {"sleep 60", time.Minute, 0, func(g *Process, _ *exec.Cmd) { g.Cancel("an order", grace) }, Result{128 + 15, "an order"}, false},
 		"its timeout":         {"sleep 60", time.Minute, 100 * time.Millisecond, nil, Result{128 + 15, "it took longer than its timeout"}, false},
 		"too late to begin":   {"exit 0", grace - 200*time.Millisecond, 0, nil, Result{-1, "too late to begin: the lease is about to run out"}, false},
-		"its guard is killed": {"while :; do sleep 0.01; done", time.Minute, 0, func(_ *Remote, cmd *exec.Cmd) { cmd.Process.Kill() }, Result{-1, "its guard was ended"}, false},
-		"its guard is suspended": {"while :; do sleep 0.01; done", 2500 * time.Millisecond, 0, func(_ *Remote, cmd *exec.Cmd) { cmd.Process.Signal(syscall.SIGSTOP) },
+		"its guard is killed": {"while :; do sleep 0.01; done", time.Minute, 0, func(_ *Process, cmd *exec.Cmd) { cmd.Process.Kill() }, Result{-1, "its guard was ended"}, false},
+		"its guard is suspended": {"while :; do sleep 0.01; done", 2500 * time.Millisecond, 0, func(_ *Process, cmd *exec.Cmd) { cmd.Process.Signal(syscall.SIGSTOP) },
 			Result{-1, "its guard was ended"}, true},
-		"its caller ends": {"sleep 60", 2500 * time.Millisecond, 0, func(g *Remote, _ *exec.Cmd) { g.in.Close() }, Result{128 + 15, "its lease runs out"}, true},
+		"its caller ends": {"sleep 60", 2500 * time.Millisecond, 0, func(g *Process, _ *exec.Cmd) { g.in.Close() }, Result{128 + 15, "its lease runs out"}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -96,7 +96,7 @@
 			if c.late {
 				// It does not end before its SIGTERM, and what is left is killed by the deadline; the report
 				// may be a little late on a loaded machine.
-				over := time.Duration(Now() - until)
+				over := time.Duration(BootTime() - until)
 				assert.GreaterOrEqual(t, over, -grace)
 				assert.Less(t, over, 20*time.Second) // a delay of 9 s was seen on four loaded cores; what matters is that no process is left
 			}
@@ -124,7 +124,7 @@
 		codes, gone := make(chan int, 1), make(chan struct{})
 		codes <- 137
 		close(gone)
-		assert.Equal(t, 137, superviseUntilGone(Spec{Until: Now() + int64(time.Hour)}, 1<<30, nil, codes, gone).Code)
+		assert.Equal(t, 137, superviseUntilGone(Spec{Deadline: BootTime() + int64(time.Hour)}, 1<<30, nil, codes, gone).Code)
 	}
 }
 
--- a/internal/lasting/lasting.go
+++ b/internal/lasting/lasting.go
@@ -24,9 +24,9 @@
 
 // The kinds of records.
 const (
-	Votes Kind = 0x1ea5e
-	Loans Kind = 0x10a45
-	Words Kind = 0x0bde5 // operators' orders
+	Votes        Kind = 0x1ea5e
+	Loans        Kind = 0x10a45
+	OrderRecords Kind = 0x0bde5 // operators' orders
 )
 
 const (
@@ -45,9 +45,9 @@
 
 // Found is the content of a directory when it was opened.
 type Found[R any] struct {
-	Records []R
-	Sound   bool   // the records are all that were ever stored
-	Why     string // the reason if they may not be
+	Records  []R
+	Complete bool   // the records are all that were ever stored
+	Why      string // the reason if they may not be
 }
 
 // place identifies the directory by the inode of its place file, which is created once and never changed. The
@@ -93,10 +93,10 @@
 }
 
 func (d *Dir[R]) open(disk journalfile.Disk, kind Kind) (*Found[R], error) {
-	f := &Found[R]{Sound: true}
+	f := &Found[R]{Complete: true}
 	incomplete := func(format string, args ...any) {
-		if f.Sound {
-			f.Sound, f.Why = false, fmt.Sprintf(format, args...)
+		if f.Complete {
+			f.Complete, f.Why = false, fmt.Sprintf(format, args...)
 		}
 	}
 	touched, changed := d.lastChange()
--- a/internal/lasting/lasting_test.go
+++ b/internal/lasting/lasting_test.go
@@ -22,7 +22,7 @@
 	path := filepath.Join(t.TempDir(), "votes")
 	d, f, err := Open[lease.Record](path, Votes)
 	require.NoError(t, err)
-	assert.False(t, f.Sound)
+	assert.False(t, f.Complete)
 	assert.Equal(t, "it is empty", f.Why)
 	require.NoError(t, d.Store([]lease.Record{vote(1), vote(2)}))
 	require.NoError(t, d.Trust())
@@ -41,7 +41,7 @@
 	path := usedDir(t)
 	d, f, err := Open[lease.Record](path, Votes)
 	require.NoError(t, err)
-	assert.True(t, f.Sound, f.Why)
+	assert.True(t, f.Complete, f.Why)
 	assert.Equal(t, []lease.Record{vote(1), vote(2)}, f.Records)
 	_, _, err = Open[lease.Record](path, Votes)
 	assert.ErrorContains(t, err, "another process uses this directory")
@@ -52,7 +52,7 @@
 	d, f, err = Open[lease.Record](path, Votes)
 	require.NoError(t, err)
 	defer d.Close()
-	assert.True(t, f.Sound, f.Why)
+	assert.True(t, f.Complete, f.Why)
 	assert.Equal(t, []lease.Record{{Epoch: 9}, vote(7), vote(8)}, f.Records)
 }
 
@@ -116,7 +116,7 @@
 			}
 			require.NoError(t, err)
 			defer d.Close()
-			assert.False(t, f.Sound)
+			assert.False(t, f.Complete)
 			assert.Contains(t, f.Why, c.why)
 		})
 	}
@@ -134,7 +134,7 @@
 		for range 3 {
 			d, f, err := Open[lease.Record](path, Votes)
 			require.NoError(t, err)
-			assert.False(t, f.Sound, name)
+			assert.False(t, f.Complete, name)
 			assert.Contains(t, f.Why, "it is empty", name)
 			require.NoError(t, store(d))
 			d.Close()
@@ -146,7 +146,7 @@
 		d, f, err := Open[lease.Record](path, Votes)
 		require.NoError(t, err)
 		d.Close()
-		assert.True(t, f.Sound, "%s: %s", name, f.Why)
+		assert.True(t, f.Complete, "%s: %s", name, f.Why)
 		_, _, err = Open[lease.Record](path, Loans)
 		assert.Error(t, err, "records of another kind")
 	}
--- a/internal/lasting/queue.go
+++ b/internal/lasting/queue.go
@@ -15,7 +15,7 @@
 
 // Job is a record to be stored, with its number, or, without one, a snapshot that replaces all records so far.
 // Trust marks the storage as complete after that.
-type Order[R any] struct {
+type Job[R any] struct {
 	Number uint64
 	Record R
 	All    []R
@@ -25,7 +25,7 @@
 // Queue stores jobs in their order in one goroutine, many records with one fsync.
 type Queue[R any] struct {
 	sink   Sink[R]
-	in     chan Order[R]
+	in     chan Job[R]
 	stop   chan struct{}
 	stored func(upto uint64)
 	failed func(error)
@@ -35,13 +35,13 @@
 // NewQueue returns a running queue. It calls stored when all records up to a number are durable. It calls lost
 // once when storing has failed; nothing is stored after that.
 func NewQueue[R any](sink Sink[R], stored func(upto uint64), failed func(error)) *Queue[R] {
-	q := &Queue[R]{sink: sink, in: make(chan Order[R], maxQueue), stop: make(chan struct{}), stored: stored, failed: failed}
+	q := &Queue[R]{sink: sink, in: make(chan Job[R], maxQueue), stop: make(chan struct{}), stored: stored, failed: failed}
 	q.ended.Go(q.run)
 	return q
 }
 
 // Put queues a job. It blocks while the queue is full.
-func (q *Queue[R]) Put(o Order[R]) {
+func (q *Queue[R]) Put(o Job[R]) {
 	select {
 	case q.in <- o:
 	case <-q.stop:
@@ -56,7 +56,7 @@
 
 func (q *Queue[R]) run() {
 	for {
-		var next Order[R]
+		var next Job[R]
 		select {
 		case next = <-q.in:
 		case <-q.stop:
--- a/internal/lasting/queue_test.go
+++ b/internal/lasting/queue_test.go
@@ -43,9 +43,9 @@
 	q := NewQueue[int](s, func(upto uint64) { reported <- upto }, func(err error) { t.Error(err) })
 	go func() {
 		for i := 1; i <= n; i++ {
-			q.Put(Order[int]{Number: uint64(i), Record: i, Trust: i == 700})
+			q.Put(Job[int]{Number: uint64(i), Record: i, Trust: i == 700})
 			if i == 900 {
-				q.Put(Order[int]{All: []int{i}})
+				q.Put(Job[int]{All: []int{i}})
 			}
 			if i == maxQueue {
 				close(s.unblock) // by now the queue is full, so the batches are as large as possible
@@ -74,10 +74,10 @@
 	lost := make(chan error, 9)
 	q := NewQueue[int](s, func(upto uint64) { t.Error("stored", upto) }, func(err error) { lost <- err })
 	for i := range 3 * maxQueue {
-		q.Put(Order[int]{Number: uint64(i + 1)})
+		q.Put(Job[int]{Number: uint64(i + 1)})
 	}
 	assert.Equal(t, s.err, <-lost)
 	q.Close()
-	q.Put(Order[int]{Number: 1})
+	q.Put(Job[int]{Number: 1})
 	assert.Empty(t, lost)
 }
--- a/internal/lease/bidding.go
+++ b/internal/lease/bidding.go
@@ -5,7 +5,7 @@
 )
 
 // handleGrant counts a voter's grant. With grants from a majority the lease is acquired or renewed.
-func (c *Core) handleGrant(l *lease, from string, m Message) {
+func (c *Machine) handleGrant(l *lease, from string, m Message) {
 	b := l.round
 	if b == nil || b.seq != m.Seq || m.Boot != c.boot || m.Epoch != l.ballot {
 		return
@@ -40,7 +40,7 @@
 // adoptNewestNote takes the newest note that a majority knows of. A voter that restarted without its memory may
 // have known a note written before its start, so the bound for lost notes is the one that a majority of the
 // voters is clear of.
-func (c *Core) adoptNewestNote(l *lease, b *round) {
+func (c *Machine) adoptNewestNote(l *lease, b *round) {
 	l.newestNote, l.blankUntil = note{at: Never}, Never
 	var bounds []float64
 	for _, name := range c.roster {
@@ -59,7 +59,7 @@
 	l.blankUntil = bounds[c.majority()-1]
 }
 
-func (c *Core) handleRefuse(l *lease, from string, m Message) {
+func (c *Machine) handleRefuse(l *lease, from string, m Message) {
 	b := l.round
 	if b == nil || b.seq != m.Seq || m.Boot != c.boot {
 		return
@@ -77,7 +77,7 @@
 	}
 	l.highestRefused = max(l.highestRefused, m.Epoch) // the next attempt uses an epoch above every promised one
 	b.refusals[from] = c.now
-	if m.Wait > 0 && m.Wait < 10*c.voterTerm(c.rules.Longest) {
+	if m.Wait > 0 && m.Wait < 10*c.voterTerm(c.rules.MaxTerm) {
 		b.refusals[from] += m.Wait
 	}
 	// A majority is no longer possible, so the voters that granted this attempt are released for another
@@ -92,13 +92,13 @@
 // retryDelay returns a random delay before a candidate's next attempt; its upper bound doubles with each failed
 // attempt, up to eight times the first. With a fixed bound, five candidates would interrupt each other for ever
 // where a slow disk or network makes an attempt take longer than the delay.
-func (c *Core) retryDelay(l *lease) float64 {
+func (c *Machine) retryDelay(l *lease) float64 {
 	return retryFraction * l.Term * c.random() * float64(uint(1)<<min(max(l.attempts-1, 0), 3))
 }
 
 // nextEpoch returns this member's next epoch above the given one. No two members use the same epoch, so one of
 // two concurrent attempts always has the higher one.
-func (c *Core) nextEpoch(epoch uint64) uint64 {
+func (c *Machine) nextEpoch(epoch uint64) uint64 {
 	n := uint64(len(c.roster))
 	mine, _ := slices.BinarySearch(c.roster, c.self)
 	return epoch + 1 + (uint64(mine)+n-(epoch+1)%n)%n
@@ -106,7 +106,7 @@
 
 // majorityFreeAt returns when a majority of the voters may be free, by their replies. It returns the current
 // time if too few voters have replied.
-func (c *Core) majorityFreeAt(b *round) float64 {
+func (c *Machine) majorityFreeAt(b *round) float64 {
 	var at []float64
 	for _, name := range c.roster {
 		if until, refused := b.refusals[name]; refused {
@@ -122,7 +122,7 @@
 	return max(c.now, at[c.majority()-1])
 }
 
-func (c *Core) resign() {
+func (c *Machine) resign() {
 	if c.resigned {
 		return
 	}
@@ -135,7 +135,7 @@
 }
 
 // sendRelease tells the voters that this member does not hold the lease, or no longer holds it.
-func (c *Core) sendRelease(l *lease) {
+func (c *Machine) sendRelease(l *lease) {
 	if l.holder == c.self && l.boot == c.boot {
 		l.until = c.now
 	}
@@ -148,7 +148,7 @@
 
 // forgetIdle removes leases that are not fixed and that nobody has held for long. The highest of their epochs
 // becomes the floor of all later ones, and the time of their newest note bounds what may be lost.
-func (c *Core) forgetIdle() {
+func (c *Machine) forgetIdle() {
 	if len(c.names) == len(c.rules.Fixed) {
 		return
 	}
--- a/internal/lease/copy.go
+++ b/internal/lease/copy.go
@@ -10,7 +10,7 @@
 
 // Clone returns an independent copy with its own source of randomness. A state explorer runs one state in
 // several ways from there.
-func (c *Core) Clone(random func() float64) *Core {
+func (c *Machine) Clone(random func() float64) *Machine {
 	d := *c
 	d.outputs, d.random = nil, random
 	d.names, d.pendingReplies = slices.Clone(c.names), slices.Clone(c.pendingReplies)
@@ -30,10 +30,10 @@
 // Digest adds to a hash everything that decides the behaviour from the time now on: two machines of one member
 // with equal digests behave alike. Member names are replaced by their aliases, so that symmetric states have
 // one digest.
-func (c *Core) Digest(h hash.Hash64, now float64, alias func(string) byte) {
+func (c *Machine) Digest(h hash.Hash64, now float64, alias func(string) byte) {
 	w := digest{h, now}
 	w.numbers(c.boot, c.seq, c.epochFloor, c.lastRecord, c.storedUpTo, boolBit(c.started), boolBit(c.durable), boolBit(c.memoryComplete), boolBit(c.diskFailed), boolBit(c.resigned))
-	w.times(c.startedAt+c.voterTerm(c.rules.Longest), c.startedAt, c.forgottenNoteAt)
+	w.times(c.startedAt+c.voterTerm(c.rules.MaxTerm), c.startedAt, c.forgottenNoteAt)
 	for _, p := range c.pendingReplies {
 		w.numbers(p.number, uint64(alias(p.to)))
 		w.message(p.reply)
@@ -122,7 +122,7 @@
 }
 
 // Campaigning reports whether this member has an attempt to acquire the lease under way.
-func (c *Core) Asking(name string) bool {
+func (c *Machine) Campaigning(name string) bool {
 	l := c.leases[name]
 	return l != nil && !l.held && l.round != nil
 }
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -61,7 +61,7 @@
 
 // lease is this member's state for one lease: its vote, and its part as candidate or holder.
 type lease struct {
-	Terms
+	Spec
 	vote
 	fixed          bool
 	wanted         bool
@@ -91,7 +91,7 @@
 
 // Machine is one member's state machine: voter for all leases, candidate or holder for some. It is not safe for
 // concurrent use.
-type Core struct {
+type Machine struct {
 	Counts Counts
 
 	self            string
@@ -122,8 +122,8 @@
 // them, and is the same at all of them. The epoch floor is a fencing token that no earlier holder can have
 // exceeded, such as the wall clock in milliseconds: this voter may have forgotten its grants, so it grants only
 // higher epochs. The function random returns numbers in [0, 1).
-func New(self string, boot uint64, roster []string, rules Rules, epochFloor uint64, random func() float64) *Core {
-	c := &Core{self: self, boot: boot, roster: slices.Clone(roster), rules: rules, epochFloor: epochFloor,
+func New(self string, boot uint64, roster []string, rules Rules, epochFloor uint64, random func() float64) *Machine {
+	c := &Machine{self: self, boot: boot, roster: slices.Clone(roster), rules: rules, epochFloor: epochFloor,
 		forgottenNoteAt: Never, leases: map[string]*lease{}, outbox: map[string][]Message{}, random: random}
 	slices.Sort(c.roster)
 	c.roster = slices.Compact(c.roster)
@@ -136,7 +136,7 @@
 // Restore makes the votes durable: each is stored before it is sent, and the machine starts from the given
 // records. If complete is true no record is missing, and no grace period is needed. Restore must be called
 // before the first Step. A lease may have several records, in the order in which they were stored.
-func (c *Core) Restore(records []Record, complete bool) {
+func (c *Machine) Restore(records []Record, complete bool) {
 	c.durable, c.memoryComplete = true, complete
 	for _, r := range records {
 		l := c.leases[r.Lease]
@@ -145,7 +145,7 @@
 			continue
 		}
 		if l == nil {
-			l = c.addLease(Terms{Name: r.Lease, Term: r.Term})
+			l = c.addLease(Spec{Name: r.Lease, Term: r.Term})
 		}
 		if !complete {
 			r.Epoch = max(r.Epoch, l.epoch)
@@ -157,7 +157,7 @@
 }
 
 // Records returns all votes and the epoch floor as records, which can replace all records stored so far.
-func (c *Core) Records() []Record {
+func (c *Machine) Records() []Record {
 	all := []Record{{Epoch: c.epochFloor, Blank: c.forgottenNoteAt}}
 	for _, name := range c.names {
 		if l := c.leases[name]; l.holder != "" {
@@ -172,8 +172,8 @@
 		NoteNth: l.note.nth, NoteAt: l.note.at, Data: l.note.data, Blank: l.blank}
 }
 
-func (c *Core) addLease(t Terms) *lease {
-	l := &lease{Terms: t, vote: vote{epoch: c.epochFloor, until: Never, blank: Never, note: note{at: Never}}, newestNote: note{at: Never}, blankUntil: Never, idleSince: c.now, barredUntil: Never}
+func (c *Machine) addLease(t Spec) *lease {
+	l := &lease{Spec: t, vote: vote{epoch: c.epochFloor, until: Never, blank: Never, note: note{at: Never}}, newestNote: note{at: Never}, blankUntil: Never, idleSince: c.now, barredUntil: Never}
 	if !c.memoryComplete && c.started {
 		l.blank = c.startedAt
 	}
@@ -186,33 +186,33 @@
 	return l
 }
 
-func (c *Core) isVoter(name string) bool {
+func (c *Machine) isVoter(name string) bool {
 	_, is := slices.BinarySearch(c.roster, name)
 	return is
 }
 
-func (c *Core) majority() int { return len(c.roster)/2 + 1 }
+func (c *Machine) majority() int { return len(c.roster)/2 + 1 }
 
 // voterTerm returns how long a voter honours its grant: the holder's clock may be slow and the voter's fast.
-func (c *Core) voterTerm(term float64) float64 {
+func (c *Machine) voterTerm(term float64) float64 {
 	return term * (1 + c.rules.Drift) / (1 - c.rules.Drift)
 }
 
 // graceUntil returns the time until which this voter neither grants nor requests the lease, because a grant of
 // an earlier process of this member may still be valid.
-func (c *Core) graceUntil(l *lease) float64 {
+func (c *Machine) graceUntil(l *lease) float64 {
 	if c.memoryComplete {
 		return c.startedAt
 	}
 	term := l.Term
 	if !l.fixed {
-		term = c.rules.Longest
+		term = c.rules.MaxTerm
 	}
 	return c.startedAt + c.voterTerm(term)
 }
 
 // Due returns the time at which the next Step is needed if no input arrives.
-func (c *Core) Due() float64 {
+func (c *Machine) Due() float64 {
 	if !c.started {
 		return math.Inf(-1)
 	}
@@ -233,7 +233,7 @@
 
 // Step handles the inputs and does what is due. Terms that have run out end before any input is handled, so a
 // member that was suspended holds nothing any more.
-func (c *Core) Step(now float64, in []Input) []Output {
+func (c *Machine) Step(now float64, in []Input) []Output {
 	c.outputs = nil
 	c.now = max(c.now, now)
 	if !c.started {
@@ -252,7 +252,7 @@
 		case Want:
 			c.setWanted(v)
 		case Write:
-			if l := c.leases[v.Lease]; l != nil && l.held && l.fence == v.Fence && len(v.Data) <= NoteMost {
+			if l := c.leases[v.Lease]; l != nil && l.held && l.fence == v.Fence && len(v.Data) <= MaxNoteBytes {
 				// The new note replaces any earlier note that may be lost.
 				l.newestNote = note{l.fence, l.newestNote.nth + 1, c.now, slices.Clone(v.Data)}
 				l.blankUntil, l.notePending, l.nextRequest = Never, true, c.now
@@ -260,7 +260,7 @@
 		case Drop:
 			if l := c.leases[v.Lease]; l != nil && l.held && l.fence == v.Fence {
 				c.endHold(l)
-				if !v.Silent {
+				if !v.LetExpire {
 					c.sendRelease(l)
 				} else {
 					// The voters would grant it to this same process again at once; only this process knows
@@ -290,7 +290,7 @@
 	return c.outputs
 }
 
-func (c *Core) begin(now float64) {
+func (c *Machine) begin(now float64) {
 	c.started, c.startedAt, c.now, c.forgottenNoteAt = true, now, now, min(c.forgottenNoteAt, now)
 	for _, l := range c.leases {
 		l.idleSince = now
@@ -306,14 +306,14 @@
 	}
 }
 
-func (c *Core) setWanted(v Want) {
+func (c *Machine) setWanted(v Want) {
 	l := c.leases[v.Lease]
 	if l == nil {
-		if !v.On || len(c.names) >= c.rules.Most || v.Term <= 0 || v.Term > c.rules.Longest || len(v.Lease) > NameMost {
+		if !v.On || len(c.names) >= c.rules.MaxLeases || v.Term <= 0 || v.Term > c.rules.MaxTerm || len(v.Lease) > MaxNameBytes {
 			return
 		}
-		l = c.addLease(Terms{Name: v.Lease, Term: v.Term})
-	} else if !l.fixed && v.On && v.Term > 0 && v.Term <= c.rules.Longest && !l.held {
+		l = c.addLease(Spec{Name: v.Lease, Term: v.Term})
+	} else if !l.fixed && v.On && v.Term > 0 && v.Term <= c.rules.MaxTerm && !l.held {
 		l.Term = v.Term
 	}
 	if v.On && !l.wanted && !l.held {
@@ -328,13 +328,13 @@
 }
 
 // endHold ends this member's hold of the lease.
-func (c *Core) endHold(l *lease) {
+func (c *Machine) endHold(l *lease) {
 	c.outputs = append(c.outputs, Lost{Lease: l.Name, Fence: l.fence})
 	l.held, l.notePending, l.round = false, false, nil
 }
 
 // sendDueRequests sends the renewals that are due, and requests for wanted leases that nobody holds.
-func (c *Core) sendDueRequests() {
+func (c *Machine) sendDueRequests() {
 	renewalDue := false
 	for _, name := range c.names {
 		l := c.leases[name]
@@ -353,7 +353,7 @@
 	}
 }
 
-func (c *Core) sendRequest(l *lease) {
+func (c *Machine) sendRequest(l *lease) {
 	if !l.held {
 		if l.until > c.now && (l.holder != c.self || l.boot != c.boot) {
 			// This voter itself would refuse. All voters see a dead holder's term end at about the same time:
@@ -379,7 +379,7 @@
 	}
 	c.seq++
 	l.round = &round{seq: c.seq, sentAt: c.now, term: l.Term, noteNth: l.newestNote.nth, grants: map[string]grant{}, refusals: map[string]float64{}}
-	ask := Message{Kind: Ask, Lease: l.Name, Epoch: l.ballot, Boot: c.boot, Seq: c.seq, Term: l.Term, Blank: -1, Sure: l.held}
+	ask := Message{Kind: Request, Lease: l.Name, Epoch: l.ballot, Boot: c.boot, Seq: c.seq, Term: l.Term, Blank: -1, Sure: l.held}
 	if l.held {
 		l.nextRequest = c.now + retryFraction*l.Term
 		ask.Note, ask.Blank = c.noteToMessage(l.newestNote), c.ageOf(l.blankUntil)
@@ -395,57 +395,57 @@
 	c.receive(Received{From: c.self, Message: ask})
 }
 
-func (c *Core) noteToMessage(n note) *Note {
+func (c *Machine) noteToMessage(n note) *Note {
 	if n.nth == 0 {
 		return nil
 	}
 	return &Note{Epoch: n.epoch, Nth: n.nth, Age: max(0, c.now-n.at), Data: n.data}
 }
 
-func (c *Core) noteFromMessage(n *Note) note {
-	if n == nil || len(n.Data) > NoteMost {
+func (c *Machine) noteFromMessage(n *Note) note {
+	if n == nil || len(n.Data) > MaxNoteBytes {
 		return note{at: Never}
 	}
 	return note{epoch: n.Epoch, nth: n.Nth, at: c.timeOf(n.Age), data: n.Data}
 }
 
-func (c *Core) ageOf(at float64) float64 {
+func (c *Machine) ageOf(at float64) float64 {
 	if at <= Never/2 {
 		return -1
 	}
 	return max(0, c.now-at)
 }
 
-func (c *Core) timeOf(age float64) float64 {
+func (c *Machine) timeOf(age float64) float64 {
 	if age < 0 || math.IsNaN(age) || age > -Never {
 		return Never
 	}
 	return c.now - age
 }
 
-func (c *Core) receive(r Received) {
+func (c *Machine) receive(r Received) {
 	m := r.Message
 	if !c.isVoter(r.From) || !c.isVoter(c.self) || c.resigned {
-		c.Counts.Odd++
+		c.Counts.Unexpected++
 		return
 	}
 	l := c.leases[m.Lease]
 	if l == nil {
-		if m.Kind != Ask || m.Lease == "" || len(m.Lease) > NameMost || !(m.Term > 0 && m.Term <= c.rules.Longest) {
+		if m.Kind != Request || m.Lease == "" || len(m.Lease) > MaxNameBytes || !(m.Term > 0 && m.Term <= c.rules.MaxTerm) {
 			if m.Kind != Release {
-				c.Counts.Odd++
+				c.Counts.Unexpected++
 			}
 			return
 		}
-		if len(c.names) >= c.rules.Most {
+		if len(c.names) >= c.rules.MaxLeases {
 			c.Counts.Full++
 			c.send(r.From, Message{Kind: Refuse, Lease: m.Lease, Boot: m.Boot, Seq: m.Seq, Blank: -1})
 			return
 		}
-		l = c.addLease(Terms{Name: m.Lease, Term: m.Term})
+		l = c.addLease(Spec{Name: m.Lease, Term: m.Term})
 	}
 	switch m.Kind {
-	case Ask:
+	case Request:
 		c.handleRequest(l, r.From, m)
 	case Grant:
 		c.handleGrant(l, r.From, m)
@@ -462,11 +462,11 @@
 			}
 		}
 	default:
-		c.Counts.Odd++
+		c.Counts.Unexpected++
 	}
 }
 
-func (c *Core) send(to string, m Message) {
+func (c *Machine) send(to string, m Message) {
 	if to == c.self {
 		c.receive(Received{From: c.self, Message: m})
 	} else {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -16,7 +16,7 @@
 type testCluster struct {
 	t           *testing.T
 	now         float64
-	cores       map[string]*Core
+	cores       map[string]*Machine
 	partitioned map[string]bool
 	out         []Output // all outputs but messages and records
 	disks       map[string][]Record
@@ -29,10 +29,12 @@
 // firstEpoch is the first epoch of member a: each of the three members uses every third one.
 const firstEpoch = 3
 
-func rules() Rules { return Rules{Drift: 0.01, Longest: 2000, Most: 4, Fixed: []Terms{{"x", 1000}}} }
+func rules() Rules {
+	return Rules{Drift: 0.01, MaxTerm: 2000, MaxLeases: 4, Fixed: []Spec{{"x", 1000}}}
+}
 
 func newTestCluster(t *testing.T, withDisks bool) *testCluster {
-	v := &testCluster{t: t, now: 1000, cores: map[string]*Core{}, partitioned: map[string]bool{}, disks: map[string][]Record{}, unflushed: map[string]uint64{}}
+	v := &testCluster{t: t, now: 1000, cores: map[string]*Machine{}, partitioned: map[string]bool{}, disks: map[string][]Record{}, unflushed: map[string]uint64{}}
 	for i, name := range trio {
 		v.start(name, uint64(i+1), 0, withDisks, true)
 	}
@@ -128,7 +130,7 @@
 	assert.True(t, v.view("c").Held, "a released lease is free at once")
 	fence := v.view("c").Epoch
 	assert.Greater(t, fence, held.Fence)
-	v.step("c", Drop{Lease: "x", Fence: fence, Silent: true}) // c keeps requesting it
+	v.step("c", Drop{Lease: "x", Fence: fence, LetExpire: true}) // c keeps requesting it
 	v.step("b", Want{Lease: "x", On: true})
 	v.run(600)
 	assert.False(t, v.view("c").Held, "a lease left to expire is not free for the process that left it either")
@@ -248,7 +250,7 @@
 	v.start("c", 30, 9000, true, false)
 	v.step("c")
 	assert.True(t, v.view("c").Blank)
-	assert.Greater(t, v.view("c").Quiet, v.now+1000)
+	assert.Greater(t, v.view("c").GraceUntil, v.now+1000)
 	assert.GreaterOrEqual(t, v.view("c").Epoch, uint64(9000))
 }
 
@@ -285,7 +287,7 @@
 	}
 	v.run(100)
 	assert.Len(t, v.cores["b"].Views(), 4)
-	v.step("b", Received{"a", Message{Kind: Ask, Lease: "one more", Epoch: 1e9, Term: 10}})
+	v.step("b", Received{"a", Message{Kind: Request, Lease: "one more", Epoch: 1e9, Term: 10}})
 	assert.Equal(t, 1, v.cores["b"].Counts.Full)
 	var epoch uint64
 	for _, w := range v.cores["a"].Views() {
@@ -336,15 +338,15 @@
 	require.True(t, v.view("a").Held)
 	c := v.cores["b"]
 	for name, r := range map[string]Received{
-		"an unknown member":                            {"z", Message{Kind: Ask, Lease: "x", Epoch: 1e6, Term: 1000}},
+		"an unknown member":                            {"z", Message{Kind: Request, Lease: "x", Epoch: 1e6, Term: 1000}},
 		"an unknown kind":                              {"a", Message{Kind: 9, Lease: "x"}},
 		"a grant without a request":                    {"a", Message{Kind: Grant, Lease: "x", Epoch: 1, Seq: 3}},
 		"a grant of an unknown lease":                  {"a", Message{Kind: Grant, Lease: "y", Epoch: 1, Seq: 3}},
-		"too long a term":                              {"c", Message{Kind: Ask, Lease: "x", Epoch: 1e6, Term: 1e9}},
-		"no term":                                      {"c", Message{Kind: Ask, Lease: "y", Epoch: 1e6}},
-		"held by another member":                       {"c", Message{Kind: Ask, Lease: "x", Epoch: 1e6, Term: 1000}},
+		"too long a term":                              {"c", Message{Kind: Request, Lease: "x", Epoch: 1e6, Term: 1e9}},
+		"no term":                                      {"c", Message{Kind: Request, Lease: "y", Epoch: 1e6}},
+		"held by another member":                       {"c", Message{Kind: Request, Lease: "x", Epoch: 1e6, Term: 1000}},
 		"a release by a member that is not the holder": {"c", Message{Kind: Release, Lease: "x", Epoch: 1, Boot: 3}},
-		"an earlier process":                           {"a", Message{Kind: Ask, Lease: "x", Epoch: 1, Boot: 99, Term: 1000}},
+		"an earlier process":                           {"a", Message{Kind: Request, Lease: "x", Epoch: 1, Boot: 99, Term: 1000}},
 	} {
 		before := c.Views()
 		for _, o := range c.Step(v.now, []Input{r}) {
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -4,7 +4,7 @@
 type Kind uint8
 
 const (
-	Ask     Kind = iota + 1 // requests a grant or a renewal
+	Request Kind = iota + 1 // requests a grant or a renewal
 	Grant                   // grants the request
 	Refuse                  // refuses the request: another member's term runs for Wait more, or a higher Epoch is promised
 	Release                 // the sender no longer holds or requests the lease
@@ -35,14 +35,14 @@
 
 // Rules are the parameters of the protocol, the same at all members.
 type Rules struct {
-	Drift   float64 // maximum rate error of a clock, as a fraction
-	Longest float64 // the longest term of any lease, in ms
-	Most    int     // number of leases that a voter keeps; it refuses more
-	Fixed   []Terms // leases that exist from the start and are never forgotten
+	Drift     float64 // maximum rate error of a clock, as a fraction
+	MaxTerm   float64 // the longest term of any lease, in ms
+	MaxLeases int     // number of leases that a voter keeps; it refuses more
+	Fixed     []Spec  // leases that exist from the start and are never forgotten
 }
 
 // Spec names a lease and its term.
-type Terms struct {
+type Spec struct {
 	Name string
 	Term float64 // in ms
 }
@@ -71,9 +71,9 @@
 // Drop is an input that gives up a lease. Others may acquire it at once, so nothing may run under it any more.
 // Where something may still run, LetExpire keeps it from others until its term ends.
 type Drop struct {
-	Lease  string
-	Fence  uint64
-	Silent bool
+	Lease     string
+	Fence     uint64
+	LetExpire bool
 }
 
 // Resign is an input that ends this member's participation. Held leases are not released, since work may go on
@@ -161,35 +161,35 @@
 	// Never is a time before all others, in ms.
 	Never = -1e15
 	// MaxNoteBytes limits the data of a note.
-	NoteMost = 512
+	MaxNoteBytes = 512
 	// MaxNameBytes limits the length of a lease's name.
-	NameMost = 120
+	MaxNameBytes = 120
 )
 
 // Counts are the counters shown to operators.
 type Counts struct {
-	Granted int `json:"granted"`
-	Refused int `json:"refused"`
-	Held    int `json:"held"`
-	Lost    int `json:"lost"`
-	Noted   int `json:"noted"`
-	Stored  int `json:"stored"`
-	Full    int `json:"full"` // requests refused because the voter keeps too many leases
-	Odd     int `json:"odd"`
+	Granted    int `json:"granted"`
+	Refused    int `json:"refused"`
+	Held       int `json:"held"`
+	Lost       int `json:"lost"`
+	Noted      int `json:"noted"`
+	Stored     int `json:"stored"`
+	Full       int `json:"full"` // requests refused because the voter keeps too many leases
+	Unexpected int `json:"odd"`
 }
 
 // View is a member's view of a lease.
 type View struct {
-	Lease    string  `json:"lease"`
-	Holder   string  `json:"holder"` // by this voter's grant to a holder; "" if no term runs
-	Epoch    uint64  `json:"epoch"`
-	Until    float64 `json:"until"` // by this member's clock: end of the grant, or the holder's own end of term
-	Held     bool    `json:"held"`  // held by this member
-	Wanted   bool    `json:"wanted"`
-	Note     []byte  `json:"note,omitempty"`
-	NoteAt   float64 `json:"note_at"`
-	Blank    bool    `json:"blank"` // this voter may have forgotten notes
-	Quiet    float64 `json:"quiet"` // end of the grace period, in which it grants nothing
-	Majority int     `json:"majority"`
-	Voters   int     `json:"voters"`
+	Lease      string  `json:"lease"`
+	Holder     string  `json:"holder"` // by this voter's grant to a holder; "" if no term runs
+	Epoch      uint64  `json:"epoch"`
+	Until      float64 `json:"until"` // by this member's clock: end of the grant, or the holder's own end of term
+	Held       bool    `json:"held"`  // held by this member
+	Wanted     bool    `json:"wanted"`
+	Note       []byte  `json:"note,omitempty"`
+	NoteAt     float64 `json:"note_at"`
+	Blank      bool    `json:"blank"` // this voter may have forgotten notes
+	GraceUntil float64 `json:"quiet"` // end of the grace period, in which it grants nothing
+	Majority   int     `json:"majority"`
+	Voters     int     `json:"voters"`
 }
--- a/internal/lease/views.go
+++ b/internal/lease/views.go
@@ -7,14 +7,14 @@
 // GraceEndsAt returns when the grace period ends for all leases: from then on nothing that this voter may have
 // forgotten can still bind it, and its stored votes are complete. Before the first Step it returns positive
 // infinity.
-func (c *Core) SureAt() float64 {
+func (c *Machine) GraceEndsAt() float64 {
 	if !c.started {
 		return math.Inf(1)
 	}
 	if c.memoryComplete {
 		return c.startedAt
 	}
-	term := c.rules.Longest
+	term := c.rules.MaxTerm
 	for _, t := range c.rules.Fixed {
 		term = max(term, t.Term)
 	}
@@ -22,12 +22,12 @@
 }
 
 // Views returns this member's view of each lease, ordered by name.
-func (c *Core) Views() []View {
+func (c *Machine) Views() []View {
 	var all []View
 	for _, name := range c.names {
 		l := c.leases[name]
 		v := View{Lease: name, Epoch: l.epoch, Held: l.held, Wanted: l.wanted, Note: l.note.data, NoteAt: l.note.at, Blank: l.blank > Never,
-			Quiet: c.graceUntil(l), Majority: c.majority(), Voters: len(c.roster)}
+			GraceUntil: c.graceUntil(l), Majority: c.majority(), Voters: len(c.roster)}
 		if l.until > c.now && l.confirmed { // a candidate's attempt may fail
 			v.Holder, v.Until = l.holder, l.until
 		}
@@ -41,7 +41,7 @@
 
 // Holder returns the holder of a lease as far as this voter knows, and until when by its clock. It returns ""
 // if nobody holds it.
-func (c *Core) Holder(name string) (holder string, until float64) {
+func (c *Machine) Holder(name string) (holder string, until float64) {
 	if l := c.leases[name]; l != nil && l.held {
 		return c.self, l.heldUntil
 	} else if l != nil && l.until > c.now {
@@ -51,7 +51,7 @@
 }
 
 // Note returns the newest note of a lease that this voter knows of, or nil.
-func (c *Core) Note(name string) []byte {
+func (c *Machine) Note(name string) []byte {
 	if l := c.leases[name]; l != nil {
 		return l.note.data
 	}
@@ -59,7 +59,7 @@
 }
 
 // Valid reports whether work under a fencing token is still allowed at a time by this member's clock.
-func (c *Core) Valid(name string, fence uint64, now float64) bool {
+func (c *Machine) Valid(name string, fence uint64, now float64) bool {
 	l := c.leases[name]
 	return l != nil && l.held && l.fence == fence && now < l.heldUntil-safetyMarginMs
 }
--- a/internal/lease/voting.go
+++ b/internal/lease/voting.go
@@ -1,8 +1,8 @@
 package lease
 
 // handleRequest decides this voter's answer to a request.
-func (c *Core) handleRequest(l *lease, from string, m Message) {
-	maxTerm := c.rules.Longest
+func (c *Machine) handleRequest(l *lease, from string, m Message) {
+	maxTerm := c.rules.MaxTerm
 	if l.fixed {
 		maxTerm = l.Term
 	}
@@ -59,7 +59,7 @@
 // sendGrant sends a vote, once it is durable where votes are stored. A renewal that changes nothing in the
 // record needs no new record, because after a restart every stored vote is honoured as if it had just been
 // granted.
-func (c *Core) sendGrant(l *lease, to string, reply Message, changed bool) {
+func (c *Machine) sendGrant(l *lease, to string, reply Message, changed bool) {
 	p := pendingReply{to: to, reply: reply, note: l.note, blank: l.blank}
 	if c.durable && changed {
 		c.lastRecord++
@@ -74,13 +74,13 @@
 }
 
 // sendReply sends one vote, with ages relative to the current time.
-func (c *Core) sendReply(p pendingReply) {
+func (c *Machine) sendReply(p pendingReply) {
 	p.reply.Note, p.reply.Blank = c.noteToMessage(p.note), c.ageOf(p.blank)
 	c.send(p.to, p.reply)
 }
 
 // handleStored sends the votes whose records are durable.
-func (c *Core) handleStored(upto uint64) {
+func (c *Machine) handleStored(upto uint64) {
 	c.storedUpTo = max(c.storedUpTo, upto)
 	waiting := c.pendingReplies
 	c.pendingReplies = nil
--- a/internal/rig/witness.go
+++ b/internal/rig/witness.go
@@ -175,12 +175,12 @@
 	}
 	number, _ := strconv.ParseUint(os.Getenv("GULLSTAIR_FENCE"), 10, 64)
 	report := func(word string) error {
-		_, err := fmt.Fprintf(conn, "%s %s %d %d %d\n", word, os.Getenv("GULLSTAIR_LEASE"), number, os.Getpid(), guard.Now())
+		_, err := fmt.Fprintf(conn, "%s %s %d %d %d\n", word, os.Getenv("GULLSTAIR_LEASE"), number, os.Getpid(), guard.BootTime())
 		return err
 	}
 	if path := os.Getenv("RIG_FENCE"); path != "" {
 		unfenced := report
-		report = func(word string) error { return fence.At(path).Pass(number, func() error { return unfenced(word) }) }
+		report = func(word string) error { return fence.New(path).Accept(number, func() error { return unfenced(word) }) }
 	}
 	for begun := time.Now(); time.Since(begun) < span; time.Sleep(reportInterval) {
 		if report("beat") != nil {
--- a/internal/sharer/sharer.go
+++ b/internal/sharer/sharer.go
@@ -78,23 +78,23 @@
 
 // State is the state shown on the control socket.
 type State struct {
-	Self     membership.Member `json:"self"`
-	Health   int               `json:"health"` // 0: healthy
-	Now      float64           `json:"now"`
-	Common   float64           `json:"common"` // the members' common time
-	Members  []membership.Seen `json:"members"`
-	Duties   []duties.Share    `json:"duties"`
-	Leases   []lease.View      `json:"leases"`
-	Counts   membership.Counts `json:"counts"`
-	Done     duties.Counts     `json:"done"`
-	Tasks    []tasks.View      `json:"tasks"`
-	Fenced   lease.Counts      `json:"fenced"`
-	Carrier  gossip.Counts     `json:"carrier"`
-	Crowded  int64             `json:"crowded"`  // datagrams dropped because the mailbox was full
-	Verdicts []verdicts.Seen   `json:"verdicts"` // of stores that some observer reports as not well, or that have an operator's order
-	Tenants  []verdicts.Tenant `json:"tenants"`  // tenants that some broker throttles
-	Judged   verdicts.Counts   `json:"judged"`
-	Gone     bool              `json:"gone"` // the member has left, and has announced it for long enough
+	Self     membership.Member   `json:"self"`
+	Health   int                 `json:"health"` // 0: healthy
+	Now      float64             `json:"now"`
+	Common   float64             `json:"common"` // the members' common time
+	Members  []membership.Seen   `json:"members"`
+	Duties   []duties.DutyStatus `json:"duties"`
+	Leases   []lease.View        `json:"leases"`
+	Counts   membership.Counts   `json:"counts"`
+	Done     duties.Counts       `json:"done"`
+	Tasks    []tasks.View        `json:"tasks"`
+	Fenced   lease.Counts        `json:"fenced"`
+	Carrier  gossip.Counts       `json:"carrier"`
+	Crowded  int64               `json:"crowded"`  // datagrams dropped because the mailbox was full
+	Verdicts []verdicts.Seen     `json:"verdicts"` // of stores that some observer reports as not well, or that have an operator's order
+	Tenants  []verdicts.Tenant   `json:"tenants"`  // tenants that some broker throttles
+	Judged   verdicts.Counts     `json:"judged"`
+	Gone     bool                `json:"gone"` // the member has left, and has announced it for long enough
 }
 
 // Start starts the actor and serves the carrier's port.
@@ -167,7 +167,7 @@
 func (a *Actor) Ended(e tasks.Ended) { a.send(e) }
 
 // Order sends an operator's order to the lease's holder and waits for the answer.
-func (a *Actor) Order(name string, do tasks.Do) tasks.Answer {
+func (a *Actor) Order(name string, do tasks.Action) tasks.Answer {
 	o := tasks.Order{ID: rand.Uint64(), Lease: name, Do: do}
 	reply := make(chan tasks.Answer, 1)
 	a.mu.Lock()
@@ -250,13 +250,13 @@
 		if a.votes == nil {
 			continue
 		}
-		if !a.trusted && a.now() >= a.core.Leases.SureAt() {
+		if !a.trusted && a.now() >= a.core.Leases.GraceEndsAt() {
 			a.trusted = true
-			a.votes.Put(lasting.Order[lease.Record]{Trust: true})
+			a.votes.Put(lasting.Job[lease.Record]{Trust: true})
 		}
 		if a.votesSinceSnapshot >= snapshotAfter {
 			a.votesSinceSnapshot = 0
-			a.votes.Put(lasting.Order[lease.Record]{All: a.core.Leases.Records()})
+			a.votes.Put(lasting.Job[lease.Record]{All: a.core.Leases.Records()})
 		}
 	}
 }
@@ -268,7 +268,7 @@
 			a.carrier.Send(v.Addr, v.Envelope)
 		case duties.Turn:
 			a.work.Turn(v.Duty, v.Item)
-		case duties.Heard:
+		case duties.Reported:
 			a.work.Heard(v.Duty, v.Item, v.By, v.Age, v.Report)
 		case verdicts.Verdict:
 			a.work.Verdict(v)
@@ -277,8 +277,8 @@
 				break
 			}
 			a.ordersStored++
-			if o := (lasting.Order[verdicts.Stored]{Number: a.ordersStored, Record: v}); a.ordersStored%snapshotAfter == 0 {
-				a.storeOrders.Put(lasting.Order[verdicts.Stored]{All: a.core.Stores.Orders(a.work.Wall())})
+			if o := (lasting.Job[verdicts.Stored]{Number: a.ordersStored, Record: v}); a.ordersStored%snapshotAfter == 0 {
+				a.storeOrders.Put(lasting.Job[verdicts.Stored]{All: a.core.Stores.Orders(a.work.Wall())})
 			} else {
 				a.storeOrders.Put(o)
 			}
@@ -304,7 +304,7 @@
 			}
 			a.mu.Unlock()
 		case lease.Store:
-			a.votes.Put(lasting.Order[lease.Record]{Number: v.Number, Record: v.Record})
+			a.votes.Put(lasting.Job[lease.Record]{Number: v.Number, Record: v.Record})
 			a.votesSinceSnapshot++
 		case membership.Changed:
 			a.log.Info().Str("member", v.Member.Name).Str("addr", v.Member.Addr).Stringer("is", v.Member.State).
@@ -315,7 +315,7 @@
 
 func (a *Actor) state() State {
 	s := State{Self: a.core.Members.Self(), Health: a.core.Members.Health(), Now: a.now(), Common: a.core.Duties.Common(a.now()),
-		Members: a.core.Members.Members(), Duties: a.core.Duties.Shares(), Leases: a.core.Leases.Views(),
+		Members: a.core.Members.Members(), Duties: a.core.Duties.Statuses(), Leases: a.core.Leases.Views(),
 		Tasks:  a.core.Tasks.Views(a.core.Leases.Note),
 		Counts: a.core.Members.Counts, Done: a.core.Duties.Counts, Fenced: a.core.Leases.Counts,
 		Carrier: a.carrier.Counts(), Crowded: a.dropped.Load(), Gone: a.core.Members.Gone() && !a.core.Busy()}
--- a/internal/sharing/codec_test.go
+++ b/internal/sharing/codec_test.go
@@ -22,7 +22,7 @@
 	b, err := msgpack.Marshal(all)
 	require.NoError(t, err)
 	assert.NoError(t, checkSizes(b), "a complete message passes")
-	want := Envelope{From: "a", To: "b", Leases: []lease.Message{{Kind: lease.Ask, Lease: "x", Note: &lease.Note{Epoch: 1, Nth: 2, Data: make([]byte, 512)}}}}
+	want := Envelope{From: "a", To: "b", Leases: []lease.Message{{Kind: lease.Request, Lease: "x", Note: &lease.Note{Epoch: 1, Nth: 2, Data: make([]byte, 512)}}}}
 	b, err = Marshal(&want)
 	require.NoError(t, err)
 	var got Envelope
--- a/internal/sharing/sharing.go
+++ b/internal/sharing/sharing.go
@@ -96,9 +96,9 @@
 // Core is the state machine of one member. It is not safe for concurrent use.
 type Core struct {
 	Members *membership.Core
-	Duties  *duties.Core
-	Leases  *lease.Core
-	Tasks   *tasks.Core
+	Duties  *duties.Scheduler
+	Leases  *lease.Machine
+	Tasks   *tasks.Scheduler
 	Holds   *tasks.Holds
 	Stores  *verdicts.Core // nil: verdicts are not shared
 
@@ -107,7 +107,7 @@
 	orderSenders  []orderSender
 	addrs         map[string]string
 	receivedLoads []receivedLoad
-	view          []duties.Weighted
+	view          []duties.Member
 	viewVersion   int // version of the member list from which view was made, plus one
 	now           float64
 	started       bool
@@ -153,7 +153,7 @@
 	c.Duties = duties.New(p.Name, roster, p.Duties, p.Seed)
 	c.Tasks = tasks.New(p.Name, p.Tasks)
 	fixed := c.Tasks.Leases()
-	c.Leases = lease.New(p.Name, p.Boot, roster, lease.Rules{Drift: p.Drift, Longest: p.Longest, Most: len(fixed) + p.LeasesMost,
+	c.Leases = lease.New(p.Name, p.Boot, roster, lease.Rules{Drift: p.Drift, MaxTerm: p.Longest, MaxLeases: len(fixed) + p.LeasesMost,
 		Fixed: fixed}, p.Floor, chance.Float64)
 	if p.Votes != nil {
 		c.Leases.Restore(p.Votes.Records, p.Votes.Sound)
@@ -259,7 +259,7 @@
 	for _, n := range c.receivedLoads {
 		var load dutyLoad
 		if Unmarshal(n.data, &load) == nil {
-			c.Duties.Heed(now, load.Common)
+			c.Duties.ObserveCommonTime(now, load.Common)
 			items = append(items, duties.Received{From: n.from, Page: duties.Page{Records: load.Records}})
 		}
 	}
@@ -325,7 +325,7 @@
 }
 
 func (l *leaseInputs) addOrder(o tasks.Order) {
-	if tasks.ByHand(o.Lease) {
+	if tasks.IsManual(o.Lease) {
 		l.holds = append(l.holds, o)
 	} else {
 		l.tasks = append(l.tasks, o)
@@ -508,12 +508,12 @@
 }
 
 // eligibleMembers lists the live members that may get items: only configured ones if there is a roster.
-func (c *Core) eligibleMembers() []duties.Weighted {
-	var all []duties.Weighted
+func (c *Core) eligibleMembers() []duties.Member {
+	var all []duties.Member
 	for _, m := range c.Members.Members() {
 		if _, listed := c.plan.Roster[m.Name]; m.Living() && (listed || len(c.plan.Roster) == 0) {
-			all = append(all, duties.Weighted{Name: m.Name, Weight: cmp.Or(m.Weight, 1),
-				Doubted: m.State == membership.Suspect})
+			all = append(all, duties.Member{Name: m.Name, Weight: cmp.Or(m.Weight, 1),
+				Suspected: m.State == membership.Suspect})
 		}
 	}
 	return all
@@ -521,16 +521,16 @@
 
 // tasksView ranks the live members as candidates for each lease, and states whether they are a majority: a candidate without a majority would only
 // block votes for others.
-func (c *Core) tasksView() tasks.Crew {
-	var living []duties.Weighted
+func (c *Core) tasksView() tasks.Membership {
+	var living []duties.Member
 	for _, w := range c.view {
 		if c.plan.Roster[w.Name] != "" {
 			living = append(living, w)
 		}
 	}
-	return tasks.Crew{Majority: 2*len(living) > len(c.plan.Roster), Rank: func(name string) (all []string) {
-		score := func(w duties.Weighted) float64 { return duties.Score("lease", name, w.Name, w.Weight) }
-		for _, w := range slices.SortedStableFunc(slices.Values(living), func(a, b duties.Weighted) int { return cmp.Compare(score(b), score(a)) }) {
+	return tasks.Membership{Majority: 2*len(living) > len(c.plan.Roster), Rank: func(name string) (all []string) {
+		score := func(w duties.Member) float64 { return duties.Score("lease", name, w.Name, w.Weight) }
+		for _, w := range slices.SortedStableFunc(slices.Values(living), func(a, b duties.Member) int { return cmp.Compare(score(b), score(a)) }) {
 			all = append(all, w.Name)
 		}
 		return all
@@ -538,7 +538,7 @@
 }
 
 // Busy reports whether this member holds a lease under which something may still run.
-func (c *Core) Busy() bool { return c.Tasks.Busy() || c.Holds.Open() > 0 }
+func (c *Core) Busy() bool { return c.Tasks.HoldsAny() || c.Holds.Open() > 0 }
 
 // dutyPiggyback attaches the duties' records to membership messages.
 type dutyPiggyback struct{ core *Core }
@@ -565,7 +565,7 @@
 	return data
 }
 
-func (g dutyPiggyback) Urgent() bool { return g.core.Duties.Waiting() }
+func (g dutyPiggyback) Urgent() bool { return g.core.Duties.HasPending() }
 
 func (g dutyPiggyback) Unload(from string, data []byte) {
 	g.core.receivedLoads = append(g.core.receivedLoads, receivedLoad{from, data})
--- a/internal/tasks/holds.go
+++ b/internal/tasks/holds.go
@@ -82,10 +82,10 @@
 }
 
 // IsManual reports whether a lease is one that is held by hand.
-func ByHand(lease string) bool { return strings.HasPrefix(lease, "hold/") }
+func IsManual(lease string) bool { return strings.HasPrefix(lease, "hold/") }
 
 // HoldLease returns the name of the lease for a slot of a hold.
-func HoldSlot(name string, nth int) string { return fmt.Sprintf("hold/%s/%d", name, nth) }
+func HoldLease(name string, nth int) string { return fmt.Sprintf("hold/%s/%d", name, nth) }
 
 // NewHolds returns the holds of a member. The function holderOf returns the holder of a lease as far as this
 // member's voter knows, "" for nobody.
@@ -109,7 +109,7 @@
 
 func (h *Holds) findByLease(name string) *hold {
 	for _, x := range h.all {
-		if x.slot >= 0 && HoldSlot(x.Name, x.slot) == name {
+		if x.slot >= 0 && HoldLease(x.Name, x.slot) == name {
 			return x
 		}
 	}
@@ -185,10 +185,10 @@
 	}
 	x := h.all[i]
 	if x.slot >= 0 {
-		name := HoldSlot(x.Name, x.slot)
+		name := HoldLease(x.Name, x.slot)
 		h.outputs = append(h.outputs, lease.Want{Lease: name})
 		if x.held {
-			h.outputs = append(h.outputs, lease.Drop{Lease: name, Fence: x.fence, Silent: !v.Clean})
+			h.outputs = append(h.outputs, lease.Drop{Lease: name, Fence: x.fence, LetExpire: !v.Clean})
 		}
 	}
 	h.remove(x)
@@ -203,7 +203,7 @@
 	x.nextSearch = h.now + x.Term/2
 	best, soonest := -1, math.Inf(1)
 	for n := range x.Holders {
-		name := HoldSlot(x.Name, n)
+		name := HoldLease(x.Name, n)
 		if o := h.findByLease(name); o != nil && o != x {
 			continue
 		}
@@ -219,9 +219,9 @@
 		return
 	}
 	if x.slot >= 0 {
-		h.outputs = append(h.outputs, lease.Want{Lease: HoldSlot(x.Name, x.slot)})
+		h.outputs = append(h.outputs, lease.Want{Lease: HoldLease(x.Name, x.slot)})
 	}
 	if x.slot = best; best >= 0 {
-		h.outputs = append(h.outputs, lease.Want{Lease: HoldSlot(x.Name, best), Term: x.Term, On: true})
+		h.outputs = append(h.outputs, lease.Want{Lease: HoldLease(x.Name, best), Term: x.Term, On: true})
 	}
 }
--- a/internal/tasks/tasks.go
+++ b/internal/tasks/tasks.go
@@ -34,7 +34,7 @@
 	At      Schedule // by the wall clock
 	Term    float64  // term of its leases
 	Holders int      // number of slots: members that may run it at once, each with occurrences of its own
-	Once    bool     // missed occurrences are made up for by a single one; otherwise they are skipped
+	CatchUp bool     // missed occurrences are made up for by a single one; otherwise they are skipped
 	Timeout float64  // longest run of an occurrence; 0 means as long as the lease is held
 	Prefer  []string // members that run it while they live, in order of preference
 }
@@ -60,7 +60,7 @@
 
 // Membership is an input that describes the live members of the roster: Rank returns them in their order of
 // precedence for a lease, and Majority reports whether they are a majority.
-type Crew struct {
+type Membership struct {
 	Rank     func(lease string) []string
 	Majority bool
 }
@@ -75,20 +75,20 @@
 }
 
 // Action is the operation that an Order requests.
-type Do string
+type Action string
 
 const (
-	Pause   Do = "pause"
-	Resume  Do = "resume"
-	Trigger Do = "trigger"
-	Release Do = "release" // hand the lease over to another member
+	Pause   Action = "pause"
+	Resume  Action = "resume"
+	Trigger Action = "trigger"
+	Release Action = "release" // hand the lease over to another member
 )
 
 // Order is an operator's order for the holder of a lease. An order with the same ID may be received again.
 type Order struct {
 	ID    uint64
 	Lease string
-	Do    Do
+	Do    Action
 }
 
 // Leave is an input that ends this member's participation: running occurrences are cancelled, and then the
@@ -180,11 +180,11 @@
 }
 
 // Scheduler is one member's part of the scheduling. It is not safe for concurrent use.
-type Core struct {
+type Scheduler struct {
 	self    string
 	slots   []*slot
 	byLease map[string]*slot
-	members Crew
+	members Membership
 	now     float64
 	wall    float64
 	leaving bool
@@ -195,8 +195,8 @@
 func Slot(task string, nth int) string { return fmt.Sprintf("task/%s/%d", task, nth) }
 
 // New returns a member's scheduler. The tasks are the same at all members.
-func New(self string, all []Task) *Core {
-	c := &Core{self: self, byLease: map[string]*slot{}, members: Crew{Rank: func(string) []string { return nil }}}
+func New(self string, all []Task) *Scheduler {
+	c := &Scheduler{self: self, byLease: map[string]*slot{}, members: Membership{Rank: func(string) []string { return nil }}}
 	for i := range all {
 		t := all[i]
 		for n := range max(1, t.Holders) {
@@ -208,15 +208,15 @@
 }
 
 // Leases returns the leases of all slots.
-func (c *Core) Leases() (all []lease.Terms) {
+func (c *Scheduler) Leases() (all []lease.Spec) {
 	for _, s := range c.slots {
-		all = append(all, lease.Terms{Name: s.lease, Term: s.Term})
+		all = append(all, lease.Spec{Name: s.lease, Term: s.Term})
 	}
 	return all
 }
 
 // ReadLog decodes a note.
-func Read(note []byte) (l Log, err error) {
+func ReadLog(note []byte) (l Log, err error) {
 	if len(note) == 0 {
 		return l, nil
 	}
@@ -224,7 +224,7 @@
 }
 
 // Views returns all slots. For slots held by others, the notes are those that this member's voter has.
-func (c *Core) Views(note func(lease string) []byte) (all []View) {
+func (c *Scheduler) Views(note func(lease string) []byte) (all []View) {
 	for _, s := range c.slots {
 		v := View{Task: s.Name, Slot: s.index, Lease: s.lease}
 		if s.held {
@@ -232,7 +232,7 @@
 			if s.log.Paused {
 				v.Next = 0
 			}
-		} else if l, err := Read(note(s.lease)); err == nil {
+		} else if l, err := ReadLog(note(s.lease)); err == nil {
 			v.Log = l
 		}
 		all = append(all, v)
@@ -241,12 +241,12 @@
 }
 
 // HoldsAny reports whether this member holds a lease of any task.
-func (c *Core) Busy() bool {
+func (c *Scheduler) HoldsAny() bool {
 	return slices.ContainsFunc(c.slots, func(s *slot) bool { return s.held })
 }
 
 // Due returns the time at which the next Step is needed if no input arrives.
-func (c *Core) Due() float64 {
+func (c *Scheduler) Due() float64 {
 	at := math.Inf(1)
 	for _, s := range c.slots {
 		if s.held && s.state == idle && !s.log.Paused && !c.leaving {
@@ -262,11 +262,11 @@
 
 // Step handles the inputs and does what is due. The argument now is this member's clock, wall its wall clock,
 // both in ms.
-func (c *Core) Step(now, wall float64, in []Input) []Output {
+func (c *Scheduler) Step(now, wall float64, in []Input) []Output {
 	c.outputs, c.now, c.wall = nil, max(c.now, now), wall
 	for _, x := range in {
 		switch v := x.(type) {
-		case Crew:
+		case Membership:
 			c.members = v
 		case lease.Held:
 			c.handleHeld(v)
@@ -296,13 +296,13 @@
 	return c.outputs
 }
 
-func (c *Core) handleHeld(v lease.Held) {
+func (c *Scheduler) handleHeld(v lease.Held) {
 	s := c.byLease[v.Lease]
 	if s == nil {
 		return
 	}
 	s.held, s.fence, s.until, s.state, s.handingOver, s.dirty = true, v.Fence, v.Until, idle, false, false
-	log, err := Read(v.Note)
+	log, err := ReadLog(v.Note)
 	if err != nil {
 		log = Log{}
 	}
@@ -324,7 +324,7 @@
 	}
 }
 
-func (c *Core) extend(name string, fence uint64, until float64) {
+func (c *Scheduler) extend(name string, fence uint64, until float64) {
 	if s := c.byLease[name]; s != nil && s.held && s.fence == fence {
 		s.until = until
 		if s.state == running {
@@ -333,7 +333,7 @@
 	}
 }
 
-func (c *Core) handleLost(s *slot) {
+func (c *Scheduler) handleLost(s *slot) {
 	if s.state == running {
 		c.outputs = append(c.outputs, Cancel{s.lease, s.fence, "its lease was lost"})
 	}
@@ -345,7 +345,7 @@
 }
 
 // writeLog writes a slot's log as the note of its lease.
-func (c *Core) writeLog(s *slot) {
+func (c *Scheduler) writeLog(s *slot) {
 	s.log.BegunAgo, s.dirty = max(0, c.now-s.lastBegin), true
 	data, err := msgpack.Marshal(&s.log)
 	if err == nil {
@@ -355,7 +355,7 @@
 
 // handleNoted continues what waited for a majority to have the note: the occurrence begins, and orders are
 // answered.
-func (c *Core) handleNoted(v lease.Noted) {
+func (c *Scheduler) handleNoted(v lease.Noted) {
 	s := c.byLease[v.Lease]
 	if s == nil || !s.held || s.fence != v.Fence {
 		return
@@ -372,7 +372,7 @@
 	}
 }
 
-func (c *Core) handleEnded(v Ended) {
+func (c *Scheduler) handleEnded(v Ended) {
 	s := c.byLease[v.Lease]
 	if s == nil || s.state != running && s.state != stopping || s.fence != v.Fence {
 		return
@@ -393,7 +393,7 @@
 	return why
 }
 
-func (c *Core) handleOrder(o Order) {
+func (c *Scheduler) handleOrder(o Order) {
 	s := c.byLease[o.Lease]
 	if s == nil || !s.held {
 		c.outputs = append(c.outputs, Answer{o.ID, false, "this broker does not hold that lease"})
@@ -437,7 +437,7 @@
 	c.writeLog(s)
 }
 
-func (c *Core) reply(s *slot, id uint64, done bool, why string) {
+func (c *Scheduler) reply(s *slot, id uint64, done bool, why string) {
 	a := Answer{id, done, why}
 	c.outputs = append(c.outputs, a)
 	if s.recentAnswers = append(s.recentAnswers, [2]any{id, a}); len(s.recentAnswers) > maxRecentAnswers {
@@ -446,7 +446,7 @@
 }
 
 // handOver gives up a slot's lease once nothing runs under it.
-func (c *Core) handOver(s *slot, why string) {
+func (c *Scheduler) handOver(s *slot, why string) {
 	if !s.held {
 		return
 	}
@@ -459,7 +459,7 @@
 
 // update does what is due for a slot: it requests the lease, begins the next occurrence, or hands the lease
 // over.
-func (c *Core) update(s *slot) {
+func (c *Scheduler) update(s *slot) {
 	want := !c.leaving && c.members.Majority && c.now >= s.releasedUntil && c.shouldHold(s)
 	if want != s.wanted {
 		s.wanted = want
@@ -484,7 +484,7 @@
 		return
 	}
 	occurrence := c.wall - (c.now - at)
-	if late := c.now - at; late > onTimeTerms*s.Term && !s.Once {
+	if late := c.now - at; late > onTimeTerms*s.Term && !s.CatchUp {
 		c.skip(s)
 		return
 	} else if late > onTimeTerms*s.Term {
@@ -494,7 +494,7 @@
 }
 
 // begin stores an occurrence in the log; it starts once a majority has the note.
-func (c *Core) begin(s *slot, due, occurrence float64) {
+func (c *Scheduler) begin(s *slot, due, occurrence float64) {
 	s.state, s.runStart, s.lastBegin, s.due = noting, c.now, c.now, due
 	s.log.Occurrence, s.log.Begun, s.log.Fence, s.log.By = occurrence, c.wall, s.fence, c.self
 	s.log.Ended, s.log.Took, s.log.Code, s.log.Why = false, 0, 0, ""
@@ -502,7 +502,7 @@
 }
 
 // skip drops the occurrences that nobody could begin in time.
-func (c *Core) skip(s *slot) {
+func (c *Scheduler) skip(s *slot) {
 	if s.Every > 0 {
 		s.lastBegin += s.Every * math.Floor((c.now-s.lastBegin)/s.Every)
 	} else {
@@ -511,7 +511,7 @@
 }
 
 // nextDue returns when a slot's next occurrence is due, by this member's clock.
-func (c *Core) nextDue(s *slot) float64 {
+func (c *Scheduler) nextDue(s *slot) float64 {
 	if s.Every > 0 {
 		return s.lastBegin + s.Every
 	}
@@ -520,7 +520,7 @@
 
 // shouldHold reports whether this member should hold a slot. The first preferred live member comes first, then
 // the order of Rank. The slots of one task go to different members as far as there are enough.
-func (c *Core) shouldHold(s *slot) bool {
+func (c *Scheduler) shouldHold(s *slot) bool {
 	rank := slices.Clone(c.members.Rank(Slot(s.Name, 0)))
 	if len(rank) == 0 {
 		return false
--- a/internal/tasks/tasks_test.go
+++ b/internal/tasks/tasks_test.go
@@ -15,7 +15,7 @@
 // of the member.
 type testMember struct {
 	t          *testing.T
-	c          *Core
+	c          *Scheduler
 	now        float64
 	clockError float64 // error of the wall clock
 	note       []byte
@@ -33,7 +33,7 @@
 func newTestMember(t *testing.T, task Task) *testMember {
 	task.Name, task.Term = "t", 1000
 	s := &testMember{t: t, c: New("a", []Task{task}), now: noon}
-	s.step(Crew{Majority: true, Rank: func(string) []string { return []string{"a", "b"} }})
+	s.step(Membership{Majority: true, Rank: func(string) []string { return []string{"a", "b"} }})
 	return s
 }
 
@@ -64,7 +64,7 @@
 func (s *testMember) restart(after, blank float64) {
 	task := *s.c.slots[0].Task
 	s.c, s.now, s.held = New("a", []Task{task}), s.now+after, true
-	s.step(Crew{Majority: true, Rank: func(string) []string { return []string{"a"} }})
+	s.step(Membership{Majority: true, Rank: func(string) []string { return []string{"a"} }})
 	s.hold(blank)
 }
 
@@ -113,7 +113,7 @@
 			s.restart(7*minute, lease.Never)
 			return s.run(2 * minute)
 		}, []float64{8 * minute}},
-		"missed and made up for once": {Task{At: parseSchedule(t, "*/2 * * * *"), Once: true}, func(s *testMember) []float64 {
+		"missed and made up for once": {Task{At: parseSchedule(t, "*/2 * * * *"), CatchUp: true}, func(s *testMember) []float64 {
 			s.restart(7*minute, lease.Never)
 			return s.run(2 * minute)
 		}, []float64{7 * minute, 8 * minute}},
@@ -172,7 +172,7 @@
 	}
 	s.restart(5000, lease.Never)
 	assert.Equal(t, []float64{2 * minute}, s.run(minute))
-	log, err := Read(s.note)
+	log, err := ReadLog(s.note)
 	require.NoError(t, err)
 	assert.Equal(t, [3]any{"a", true, 3}, [3]any{log.By, log.Ended, log.Code})
 }
@@ -186,14 +186,14 @@
 	s.now += minute
 	s.step()
 	s.out = nil
-	s.step(Crew{Majority: true, Rank: func(string) []string { return []string{"b", "a"} }})
+	s.step(Membership{Majority: true, Rank: func(string) []string { return []string{"b", "a"} }})
 	assert.True(t, s.held, "an occurrence runs")
 	s.step(Order{ID: 4, Lease: name, Do: Release})
 	assert.Contains(t, s.out, Cancel{name, s.fence, "an operator has it handed on"})
 	assert.True(t, s.held)
 	s.step(Ended{Lease: name, Fence: s.fence, Code: 143, Why: "cancelled"})
 	assert.False(t, s.held)
-	log, _ := Read(s.note)
+	log, _ := ReadLog(s.note)
 	assert.Equal(t, [2]any{143, "cancelled"}, [2]any{log.Code, log.Why})
 	s.out = nil
 	s.step(lease.Noted{Lease: name, Fence: s.fence, Until: s.now + 1e6}, Order{ID: 5, Lease: name, Do: Trigger})
@@ -224,7 +224,7 @@
 	assert.Equal(t, []Output{lease.Want{Lease: "hold/m/1"}, lease.Want{Lease: "hold/m/0", Term: 1000, On: true}}, h.Step(600, 600, nil), "slot 0 is free now")
 	assert.Equal(t, []Output{Extended{2, 1900}}, h.Step(700, 700, []Input{lease.Renewed{Lease: "hold/m/2", Fence: 7, Until: 1900}}))
 	assert.Equal(t, []Output{Revoked{2, "an operator has it released"}, Answer{9, true, ""}}, h.Step(701, 701, []Input{Order{9, "hold/m/2", Release}}))
-	assert.Equal(t, []Output{lease.Want{Lease: "hold/m/2"}, lease.Drop{Lease: "hold/m/2", Fence: 7, Silent: true}}, h.Step(702, 702, []Input{Close{ID: 2}}))
+	assert.Equal(t, []Output{lease.Want{Lease: "hold/m/2"}, lease.Drop{Lease: "hold/m/2", Fence: 7, LetExpire: true}}, h.Step(702, 702, []Input{Close{ID: 2}}))
 	h.Step(703, 703, []Input{lease.Held{Lease: "hold/m/0", Fence: 8, Until: 1700}})
 	assert.Equal(t, []Output{lease.Want{Lease: "hold/m/0"}, Revoked{1, "its lease was lost"}}, h.Step(704, 704, []Input{lease.Lost{Lease: "hold/m/0", Fence: 8}}))
 	assert.Zero(t, h.Open())
--- a/internal/trial/leases.go
+++ b/internal/trial/leases.go
@@ -13,10 +13,10 @@
 type LeaseRules struct {
 	Members int
 	Drift   float64 // bound on clock drift that the members assume; their clocks run at both ends of it
-	Fixed   []lease.Terms
-	Named   []lease.Terms // leases that members request by name
-	Disk    bool          // members store votes before they send them
-	Fsync   float64       // longest duration of a write to disk
+	Fixed   []lease.Spec
+	Named   []lease.Spec // leases that members request by name
+	Disk    bool         // members store votes before they send them
+	Fsync   float64      // longest duration of a write to disk
 	Weather virtual.Conditions
 }
 
@@ -54,7 +54,7 @@
 type leaseNode struct {
 	w       *LeaseWorld
 	name    string
-	core    *lease.Core
+	core    *lease.Machine
 	pending []lease.Store // not yet written to its disk
 	writing bool
 	inbox   []lease.Input
@@ -77,9 +77,9 @@
 // Start starts the i-th member in place of its earlier process. With a disk it restores what that process stored.
 func (w *LeaseWorld) Start(i int) {
 	w.boots++
-	name, rules := Name(i), lease.Rules{Drift: w.Rules.Drift, Most: 8, Fixed: w.Rules.Fixed}
+	name, rules := Name(i), lease.Rules{Drift: w.Rules.Drift, MaxLeases: 8, Fixed: w.Rules.Fixed}
 	for _, t := range w.Rules.Named {
-		rules.Longest = max(rules.Longest, t.Term)
+		rules.MaxTerm = max(rules.MaxTerm, t.Term)
 	}
 	var roster []string
 	listed, some := w.Rosters[name]
@@ -104,7 +104,7 @@
 }
 
 // Want has the i-th member start or stop requesting a lease.
-func (w *LeaseWorld) Want(i int, t lease.Terms, on bool) {
+func (w *LeaseWorld) Want(i int, t lease.Spec, on bool) {
 	w.input(Name(i), lease.Want{Lease: t.Name, Term: t.Term, On: on})
 }
 
@@ -114,7 +114,7 @@
 		if !silent {
 			a.until = math.Inf(-1)
 		}
-		w.input(Name(i), lease.Drop{Lease: name, Fence: a.fence, Silent: silent})
+		w.input(Name(i), lease.Drop{Lease: name, Fence: a.fence, LetExpire: silent})
 	}
 }
 
--- a/internal/trial/measure.go
+++ b/internal/trial/measure.go
@@ -119,12 +119,12 @@
 	p.PerPeriod = float64(w.Probes(from)) / float64(stores) / 5
 	p.Messages = float64(s-sent) / float64(members) / (5 * period) * 1000
 	p.Bytes = float64(b-bytes) / float64(members) / (5 * period) * 1000
-	before := owners(w.Core(0).Duties.Shares()[0])
+	before := owners(w.Core(0).Duties.Statuses()[0])
 	from = w.Net.Now()
 	w.Kill(members - 1)
 	w.Net.Run(4 * period)
 	moved := 0
-	for item, owner := range owners(w.Core(0).Duties.Shares()[0]) {
+	for item, owner := range owners(w.Core(0).Duties.Statuses()[0]) {
 		if before[item] != owner {
 			moved++
 		}
@@ -135,7 +135,7 @@
 	return p
 }
 
-func owners(s duties.Share) map[string]string {
+func owners(s duties.DutyStatus) map[string]string {
 	m := map[string]string{}
 	for _, it := range s.Items {
 		m[it.Name] = it.Owner
--- a/internal/trial/roster_test.go
+++ b/internal/trial/roster_test.go
@@ -18,7 +18,7 @@
 // and the number of acquisitions of the lease.
 func simulateRosterChange(seed uint64, disk bool, sizes []int) (faults []string, held int) {
 	chance := rand.New(rand.NewPCG(seed, 28))
-	r := LeaseRules{Members: 7, Drift: 0.05, Fixed: []lease.Terms{{Name: "x", Term: 1000}}, Disk: disk, Fsync: 5,
+	r := LeaseRules{Members: 7, Drift: 0.05, Fixed: []lease.Spec{{Name: "x", Term: 1000}}, Disk: disk, Fsync: 5,
 		Weather: virtual.Conditions{Delay: 1, Jitter: 10, Loss: 0.02}}
 	w := NewLeaseWorld(seed, r)
 	start := func(i, listed int) {
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -350,7 +350,7 @@
 	w := settled(t, 7, r)
 	owners := func() map[string]string {
 		m := map[string]string{}
-		for _, it := range w.Core(0).Duties.Shares()[0].Items {
+		for _, it := range w.Core(0).Duties.Statuses()[0].Items {
 			m[it.Name] = it.Owner
 		}
 		return m
@@ -439,10 +439,10 @@
 			if n := c.Members.Living(); n != r.Members {
 				t.Fatalf("member %d sees %d of %d", i, n, r.Members)
 			}
-			if c.Members.Held() > 3*r.Members+10 || c.Duties.Held() > 3*r.Stores+r.Members+100 {
-				t.Fatalf("member %d keeps %d members and %d records", i, c.Members.Held(), c.Duties.Held())
+			if c.Members.Held() > 3*r.Members+10 || c.Duties.KeptRecords() > 3*r.Stores+r.Members+100 {
+				t.Fatalf("member %d keeps %d members and %d records", i, c.Members.Held(), c.Duties.KeptRecords())
 			}
-			if c.Members.Counts.Dropped > 0 || c.Leases.Counts.Odd > 0 {
+			if c.Members.Counts.Dropped > 0 || c.Leases.Counts.Unexpected > 0 {
 				t.Fatalf("member %d dropped updates: %+v %+v", i, c.Members.Counts, c.Leases.Counts)
 			}
 		}
--- a/internal/trial/world.go
+++ b/internal/trial/world.go
@@ -135,7 +135,7 @@
 		}
 	}
 	if w.Rules.TaskPeriod > 0 {
-		p.Tasks = []tasks.Task{{Name: Closing, Every: w.Rules.TaskPeriod, Term: w.Rules.Term, Once: true}}
+		p.Tasks = []tasks.Task{{Name: Closing, Every: w.Rules.TaskPeriod, Term: w.Rules.Term, CatchUp: true}}
 	}
 	m := &member{w: w, name: name, core: sharing.New(p)}
 	w.members[name] = m
