--- a/internal/planted/control.go
+++ b/internal/planted/control.go
@@ -36,7 +36,7 @@
 	{"control: a read without contact", roundsFile, "of the replicas answered a read\")\n		return register.Value{}, ErrNoQuorum", "of the replicas answered a read\")\n		return known.Value, nil", "", ""},
 	{"control: a read of what a minority has accepted", lookFile, " && majorityOfEach(l.newest.Value.Quorums(), accepted)", " && (true || accepted(Replica{}))", "", ""},
 	{"control: a read of what is chosen by the set named alone", lookFile, "majorityOfEach(l.newest.Value.Quorums(), accepted)", "majorityOfEach(l.newest.Value.Members.Sets, accepted)", "", ""},
-	{"control: a value sent whole to everybody", roundsFile, "	n.announce(ctx, known, holders)", "	_ = holders\n	n.PublishEverywhere(ctx, recordOf(known), Told.All)", "", ""},
+	{"control: a value sent whole to everybody", roundsFile, "	n.announce(ctx, known, holders)", "	_ = holders\n	n.PublishAndConfirm(ctx, recordOf(known), Delivery.All)", "", ""},
 	{"control: a patch on another base", sectionsFile, "if base.sum != p.Base {", "if false {", "if next.sum != p.Result {", "if false {"},
 	{"control: closed under a request that has arrived", keepaliveFile, " || !netio.Quiet(c.Conn) {", " || !netio.Quiet(c.Conn) && false {", "", ""},
 	{"control: a request that meets the close is handed on", keepaliveFile, "	if c.ended {\n		return 0", "	if c.ended && false {\n		return 0", "", ""},
@@ -60,7 +60,7 @@
 	{"control: nobody is told that an address is another's", operatorFile, `	b.node.Publish(i.Record())
 }`, "}", "", ""},
 	{"control: renewals from before bring a displaced instance back", registryFile, "max(firstDisplaced, e.Epoch+1)", "e.Epoch", "", ""},
-	{"control: a drain confirmed by the voters of an older set", operatorFile, " || !b.node.VotersStand(ctx)", "", "", ""},
+	{"control: a drain confirmed by the voters of an older set", operatorFile, " || !b.node.VotersCurrent(ctx)", "", "", ""},
 	{"control: who does not answer is not passed over", relayFile, "if inFlight == 0 && len(group) > 0 {", "if inFlight == 0 && len(group) > 0 && false {", "		case <-hedge:\n			call()\n", "		case <-hedge:\n"},
 	{"control: the giver tells everybody by itself", relayFile, "	from, member := t.place(self)\n", "	from, member := t.place(self)\n	member = false\n", "", ""},
 	{"control: a value made from another than it is a patch on", announceFile, " || before.Value.Sequence != m.Chosen.From", "", "", ""},
