--- a/cmd/gullstair/fleet.go
+++ b/cmd/gullstair/fleet.go
@@ -120,7 +120,7 @@
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(float64(s.MemoryMB) * memoryShare * bytesPerMB))
 	logger.Info().Str("node", s.NodeName).Msg("broker starting")
-	broker, err := router.New(s, path, logger, cluster.Machine())
+	broker, err := router.New(s, path, logger, cluster.HostEnvironment())
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/alive.go
+++ b/internal/cluster/alive.go
@@ -53,7 +53,7 @@
 // aliveList returns the current list and rebuilds it if needed. n.mu is held.
 func (n *Node) aliveList(now time.Time) *aliveMembers {
 	if !n.alive.valid(now) {
-		n.alive = buildAliveList(n.self, n.store.Of(MemberRecord), n.lastUpdate, now, n.silenceTimeout())
+		n.alive = buildAliveList(n.self, n.store.OfKind(MemberRecord), n.lastUpdate, now, n.silenceTimeout())
 	}
 	return &n.alive
 }
--- a/internal/cluster/alive_test.go
+++ b/internal/cluster/alive_test.go
@@ -79,7 +79,7 @@
 				n.putAndPush([]dissemination.Record{f.renewal(number, nil)}, "10.0.1.1")
 			}
 			now := time.Now()
-			got, want := n.aliveList(now), buildAliveList(n.self, n.store.Of(MemberRecord), n.lastUpdate, now, n.silenceTimeout())
+			got, want := n.aliveList(now), buildAliveList(n.self, n.store.OfKind(MemberRecord), n.lastUpdate, now, n.silenceTimeout())
 			if !slices.Equal(got.all, want.all) || !slices.Equal(got.sameZone, want.sameZone) {
 				t.Fatalf("seed %d, step %d: %v, near %v, want %v, near %v", seed, step, got.all, got.sameZone, want.all, want.sameZone)
 			}
@@ -169,12 +169,12 @@
 	for number := range f.members {
 		n.putAndPush([]dissemination.Record{f.renewal(number, nil)}, "10.0.1.1")
 	}
-	n.TellWork([]byte("abc"), false)
+	n.SendWorkNote([]byte("abc"), false)
 	if len(sent.to) != workFanout {
 		t.Errorf("a note went to %d brokers", len(sent.to))
 	}
 	sent.to = nil
-	n.TellWork([]byte("abc"), true)
+	n.SendWorkNote([]byte("abc"), true)
 	slices.Sort(sent.to)
 	if different := len(slices.Compact(slices.Clone(sent.to))); different != len(f.members) || len(sent.to) != different {
 		t.Errorf("a wide note went to %d brokers, %d of them distinct", len(sent.to), different)
--- a/internal/cluster/announce.go
+++ b/internal/cluster/announce.go
@@ -23,11 +23,11 @@
 // announce notifies all brokers that a value is chosen, and blocks until every live broker has it or the context ends.
 // A small value is part of the announcement. Brokers fetch a large value from the replicas that accepted it, since the
 // proposer's link may be slow.
-func (n *Node) announce(ctx context.Context, known register.Known, holders []string) Told {
+func (n *Node) announce(ctx context.Context, known register.Known, holders []string) Delivery {
 	record := recordOf(known)
 	announced := &peerlink.Announced{Version: record.Version, Ballot: known.Ballot, Holders: holders, Chosen: n.inlineValue(known)}
 	n.putWithoutPush([]dissemination.Record{record})
-	return n.callAll(ctx, peerlink.Message{Announced: announced}, Told.All)
+	return n.callAll(ctx, peerlink.Message{Announced: announced}, Delivery.All)
 }
 
 // maxInlineValue is the maximum size in bytes of a value that is sent within its announcement.
@@ -118,7 +118,7 @@
 	defer cancel()
 	message := peerlink.Message{Records: &peerlink.Records{From: n.self.IP, Wanted: []dissemination.ID{registerID}}}
 	message.Has = n.basePayload()
-	answer, err := n.client.CallWhile(ctx, n.settings.PeerAddress(from), message, callTimeout)
+	answer, err := n.client.CallWithStallTimeout(ctx, n.settings.PeerAddress(from), message, callTimeout)
 	if err == nil && answer.Records != nil && n.restorePayloads(answer) {
 		n.put(answer.Records.Records, from, push)
 	}
@@ -128,7 +128,7 @@
 // that is known here.
 func (n *Node) serveRecords(wanted []dissemination.ID, has *delta.Sum) *peerlink.Message {
 	n.mu.Lock()
-	records := n.store.Take(wanted)
+	records := n.store.GetAll(wanted)
 	n.mu.Unlock()
 	reply := &peerlink.Message{Records: &peerlink.Records{From: n.self.IP, Records: records}}
 	at := slices.IndexFunc(records, func(r dissemination.Record) bool { return r.Kind == RegisterRecord })
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -76,7 +76,9 @@
 }
 
 // HostEnvironment returns the environment of the real machine.
-func Machine() Environment { return Environment{Network: netio.Host{}, OpenDisk: journalfile.Dir} }
+func HostEnvironment() Environment {
+	return Environment{Network: netio.Host{}, OpenDisk: journalfile.Dir}
+}
 
 // Node is a broker's endpoint in the cluster.
 type Node struct {
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -28,7 +28,7 @@
 func (n *Node) Records(kind byte) []dissemination.Record {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.store.Of(kind)
+	return n.store.OfKind(kind)
 }
 
 // Publish stores a record and disseminates it.
@@ -42,26 +42,26 @@
 }
 
 // Delivery counts the brokers that have confirmed a record.
-type Told struct {
+type Delivery struct {
 	Confirmed int  // confirmations from other live brokers
 	Alive     int  // other brokers that this one believes alive
 	Quorum    bool // a majority of the register's voters, alive or not, has confirmed
 }
 
 // All reports whether every other live broker has confirmed.
-func (t Told) All() bool { return t.Confirmed == t.Alive }
+func (t Delivery) All() bool { return t.Confirmed == t.Alive }
 
 // PublishAndConfirm disseminates a record and blocks until enough reports true, all calls have completed, or the
 // context ends. It calls the voters whether they seem alive or not: a broker in a minority partition considers them
 // dead, so a count of live brokers alone would be a statement about its own side of the partition.
-func (n *Node) PublishEverywhere(ctx context.Context, r dissemination.Record, enough func(Told) bool) Told {
+func (n *Node) PublishAndConfirm(ctx context.Context, r dissemination.Record, enough func(Delivery) bool) Delivery {
 	n.putWithoutPush([]dissemination.Record{r})
 	return n.callAll(ctx, peerlink.Message{Records: &peerlink.Records{From: n.self.IP, Records: []dissemination.Record{r}}}, enough)
 }
 
 // callAll calls every voter directly and relays the call to the other live brokers. A reply without Lacks is a
 // confirmation.
-func (n *Node) callAll(ctx context.Context, m peerlink.Message, enough func(Told) bool) Told {
+func (n *Node) callAll(ctx context.Context, m peerlink.Message, enough func(Delivery) bool) Delivery {
 	alive := n.otherAddresses()
 	voters := n.otherVoters()
 	others := slices.DeleteFunc(slices.Clone(alive), func(ip string) bool { return slices.Contains(voters, ip) })
@@ -82,7 +82,7 @@
 		go func() { passed <- n.relayGroup(ctx, m, group) }()
 	}
 	has := map[string]bool{n.self.IP: true}
-	delivery := Told{Alive: len(alive), Quorum: n.quorum(has)}
+	delivery := Delivery{Alive: len(alive), Quorum: n.quorum(has)}
 	for range len(voters) + len(groups) {
 		if enough(delivery) {
 			return delivery
--- a/internal/cluster/notes.go
+++ b/internal/cluster/notes.go
@@ -22,8 +22,8 @@
 type NoteKind byte
 
 const (
-	WorkNote NoteKind = 'w' // dispatched requests and their outcomes
-	KeptNote NoteKind = 'k' // prompt prefixes that an instance has cached
+	WorkNote  NoteKind = 'w' // dispatched requests and their outcomes
+	CacheNote NoteKind = 'k' // prompt prefixes that an instance has cached
 )
 
 const (
@@ -67,7 +67,7 @@
 
 // SendWorkNote sends a note of work to other brokers. It goes to all of them in a small fleet or if wide is set,
 // otherwise to a fresh random sample of the same zone.
-func (n *Node) TellWork(note []byte, wide bool) {
+func (n *Node) SendWorkNote(note []byte, wide bool) {
 	near, all := n.neighbors()
 	if all > largeFleet && !wide {
 		n.sendNote(WorkNote, note, sample(near, workFanout))
@@ -89,8 +89,8 @@
 
 // SendCacheNote queues a note of an instance's cached prefixes for these brokers and sends it when the link has
 // capacity.
-func (n *Node) TellKept(note []byte, members []Member) {
-	datagram := append([]byte{byte(KeptNote)}, note...)
+func (n *Node) SendCacheNote(note []byte, members []Member) {
+	datagram := append([]byte{byte(CacheNote)}, note...)
 	for _, member := range members {
 		if member.IP != n.self.IP {
 			n.pacer.put(outgoing{datagram, n.settings.PeerAddress(member.IP)})
@@ -101,7 +101,7 @@
 
 // CacheNotesQueued reports whether notes of cached prefixes are queued for the link. A caller then holds back further
 // notes, since a note that is written later describes the newer state.
-func (n *Node) KeptWaits() bool { return n.pacer.hasQueued() }
+func (n *Node) CacheNotesQueued() bool { return n.pacer.hasQueued() }
 
 // sendPaced sends what the token bucket allows and schedules itself for the rest. scheduled says whether a timer made
 // the call.
--- a/internal/cluster/pacing_test.go
+++ b/internal/cluster/pacing_test.go
@@ -47,15 +47,15 @@
 				members = append(members, Member{IP: fmt.Sprintf("10.0.0.%d", number+1)})
 			}
 			for range 4 {
-				n.TellKept(make([]byte, 1200), members)
+				n.SendCacheNote(make([]byte, 1200), members)
 			}
-			if waits := n.KeptWaits(); waits != (c.mbps < 100) {
+			if waits := n.CacheNotesQueued(); waits != (c.mbps < 100) {
 				t.Errorf("%v Mbit/s: notes are queued: %t", c.mbps, waits)
 			}
 			time.Sleep(10 * time.Second)
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			if n.KeptWaits() || len(r.order) != 4*len(members) {
+			if n.CacheNotesQueued() || len(r.order) != 4*len(members) {
 				t.Fatalf("%v Mbit/s: %d datagrams were sent", c.mbps, len(r.order))
 			}
 			if r.last < c.least || r.last > c.most {
--- a/internal/cluster/rounds.go
+++ b/internal/cluster/rounds.go
@@ -271,7 +271,7 @@
 // VotersCurrent reports whether the voters that this broker knows are the current ones: a majority of them has
 // answered after the call, and none of these holds a value with other members. A membership change is first accepted
 // by a majority of the previous voters, so every majority contains a voter that knows of it.
-func (n *Node) VotersStand(ctx context.Context) bool {
+func (n *Node) VotersCurrent(ctx context.Context) bool {
 	known, _ := n.Known()
 	look := n.inspect(ctx, known, (*register.QuorumRead).MajorityAnswered)
 	if !look.MajorityAnswered() {
--- a/internal/cluster/voting.go
+++ b/internal/cluster/voting.go
@@ -23,7 +23,7 @@
 	var dueSince time.Time
 	for ctx.Err() == nil {
 		wait := maintenanceInterval
-		if n.Votes() && n.Standing().Allows(standing.ProposeVoters) {
+		if n.Votes() && n.Role().Allows(standing.ProposeVoters) {
 			unanswered := n.probe(ctx)
 			dueSince = n.reviewVoters(ctx, dueSince)
 			if unanswered || !dueSince.IsZero() {
@@ -39,7 +39,7 @@
 }
 
 // Role returns this broker's role towards the register.
-func (n *Node) Standing() standing.State {
+func (n *Node) Role() standing.State {
 	n.mu.Lock()
 	leaving, started := n.self.Leaving, len(n.known.Value.Members.Sets) > 0
 	n.mu.Unlock()
@@ -141,7 +141,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := map[string]Member{}
-	for _, r := range n.store.Of(MemberRecord) {
+	for _, r := range n.store.OfKind(MemberRecord) {
 		if member, ok := r.Body.(Member); ok && member.Core {
 			out[member.IP] = member
 		}
--- a/internal/dissemination/dissemination.go
+++ b/internal/dissemination/dissemination.go
@@ -125,7 +125,7 @@
 func (s *Store) Len() int { return len(s.records) }
 
 // OfKind returns all records of a kind, sorted by key.
-func (s *Store) Of(kind byte) []Record {
+func (s *Store) OfKind(kind byte) []Record {
 	var out []Record
 	for id, r := range s.records {
 		if id.Kind == kind {
@@ -207,7 +207,7 @@
 }
 
 // GetAll returns the records with these IDs that the store has.
-func (s *Store) Take(ids []ID) []Record {
+func (s *Store) GetAll(ids []ID) []Record {
 	var out []Record
 	for _, id := range ids {
 		if r, known := s.records[id]; known {
--- a/internal/dissemination/dissemination_test.go
+++ b/internal/dissemination/dissemination_test.go
@@ -51,7 +51,7 @@
 		}
 	}
 	if rng.IntN(5) > 0 {
-		for _, r := range b.Take(wanted) {
+		for _, r := range b.GetAll(wanted) {
 			a.Put(r)
 		}
 	}
--- a/internal/instances/displaced_test.go
+++ b/internal/instances/displaced_test.go
@@ -77,7 +77,7 @@
 			registries[i], stores[i] = New(), dissemination.New()
 		}
 		exchange := func(from, to int) {
-			for _, record := range stores[from].Of(RecordKind) {
+			for _, record := range stores[from].OfKind(RecordKind) {
 				if stores[to].Put(record) {
 					registries[to].ApplyRecord(record.Body.(Instance), now)
 				}
--- a/internal/peerlink/link.go
+++ b/internal/peerlink/link.go
@@ -251,7 +251,7 @@
 // CallWithStallTimeout sends a message and waits for its reply as long as data arrives on the connection. It returns
 // ErrStalled once no data has arrived for stallTimeout. A large reply can take long on a slow link, so a fixed timeout
 // would not do.
-func (c *Client) CallWhile(ctx context.Context, address string, m Message, stallTimeout time.Duration) (*Message, error) {
+func (c *Client) CallWithStallTimeout(ctx context.Context, address string, m Message, stallTimeout time.Duration) (*Message, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	go c.peer(address).watch(ctx, cancel, stallTimeout)
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -25,7 +25,7 @@
 
 // permit returns an error if this broker's role does not allow an action for the fleet.
 func (b *Broker) permit(act standing.Action) error {
-	if state := b.node.Standing(); !state.Allows(act) {
+	if state := b.node.Role(); !state.Allows(act) {
 		return errors.Newf("this broker is %s", state)
 	}
 	return nil
@@ -171,9 +171,9 @@
 	b.mu.Lock()
 	since := b.registry.DrainingOrGoneSince(i.ID)
 	b.mu.Unlock()
-	enough := func(t cluster.Told) bool { return t.Quorum && (t.All() || time.Since(since) > drainQuorumAfter) }
-	delivery := b.node.PublishEverywhere(ctx, i.Record(), enough)
-	if !enough(delivery) || !b.node.VotersStand(ctx) {
+	enough := func(t cluster.Delivery) bool { return t.Quorum && (t.All() || time.Since(since) > drainQuorumAfter) }
+	delivery := b.node.PublishAndConfirm(ctx, i.Record(), enough)
+	if !enough(delivery) || !b.node.VotersCurrent(ctx) {
 		b.logger.Info().Str("instance", i.ID).Int("confirmed", delivery.Confirmed).Int("alive", delivery.Alive).Bool("quorum", delivery.Quorum).
 			Msg("the end of an instance is not known widely enough yet")
 		return errUnconfirmed
@@ -207,7 +207,7 @@
 // Status returns the state of this broker and what it knows about the fleet.
 func (b *Broker) Status() any {
 	known, _ := b.node.Known()
-	status := Status{Node: b.settings.NodeName, Zone: b.settings.Zone, Standing: b.node.Standing().String(), Ready: b.ready(), Brokers: b.node.Members(),
+	status := Status{Node: b.settings.NodeName, Zone: b.settings.Zone, Standing: b.node.Role().String(), Ready: b.ready(), Brokers: b.node.Members(),
 		Served: b.gateway.Served.Load(), Refused: b.gateway.Refused.Load(), Failed: b.gateway.Failed.Load(), InFlight: b.gateway.InFlight(), Streams: b.gateway.Streams(), Traffic: b.node.Traffic()}
 	for _, replica := range known.Value.Members.Last() {
 		status.Voters = append(status.Voters, replica.Address)
--- a/internal/router/index.go
+++ b/internal/router/index.go
@@ -105,7 +105,7 @@
 	slices.SortStableFunc(all, func(x, y sharedInstance) int { return b.lastShared[x.id].Compare(b.lastShared[y.id]) })
 	interval := min(maxShareInterval, time.Duration(len(members))*shareIntervalPerMember)
 	for _, p := range all {
-		if b.node.KeptWaits() || now.Sub(b.lastShared[p.id]) < interval {
+		if b.node.CacheNotesQueued() || now.Sub(b.lastShared[p.id]) < interval {
 			return
 		}
 		b.lastShared[p.id] = now
@@ -117,7 +117,7 @@
 func (b *Broker) share(p sharedInstance, members []cluster.Member) {
 	others := slices.DeleteFunc(slices.Clone(members), func(m cluster.Member) bool { return slices.Contains(p.pollers, m.Name) })
 	for _, note := range b.sharing.Notes(p.id, time.Now()) {
-		b.node.TellKept(note, others)
+		b.node.SendCacheNote(note, others)
 	}
 }
 
--- a/internal/router/roles.go
+++ b/internal/router/roles.go
@@ -78,7 +78,7 @@
 		all = r.broker.effectiveInstances()
 	}
 	r.broker.mu.Unlock()
-	mayOrder := r.broker.node.Standing().Allows(standing.OrderInstances)
+	mayOrder := r.broker.node.Role().Allows(standing.OrderInstances)
 	for role, present := range state.Leases {
 		r.lease(role).Observe(time.Now(), present)
 	}
@@ -183,7 +183,7 @@
 // brokers are notified first, and none of them sends a request there or has cache parts fetched from there.
 func (r *roles) sendOrder(ctx context.Context, planner *rollout.Planner, lease *ownership.Lease, i instances.Instance, model string, version int64) {
 	loadCtx, cancel := context.WithTimeout(ctx, loadPublishTimeout)
-	r.broker.node.PublishEverywhere(loadCtx, rollout.Progress{ID: i.ID, Model: model, Version: version, Loading: true}.Record(), cluster.Told.All)
+	r.broker.node.PublishAndConfirm(loadCtx, rollout.Progress{ID: i.ID, Model: model, Version: version, Loading: true}.Record(), cluster.Delivery.All)
 	cancel()
 	body, err := json.Marshal(orderBody{Op: "version", Model: model, Version: version, Method: "retain", Holder: lease.Self,
 		FenceToken: lease.Token()})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -79,8 +79,8 @@
 	b.index.OnDisplaced = b.displace
 	node.OnRecord(b.receiveRecord)
 	node.OnNote(cluster.WorkNote, b.gateway.ReceiveNote)
-	node.OnNote(cluster.KeptNote, b.receiveCacheNote)
-	b.gateway.SetNoteSender(node.TellWork)
+	node.OnNote(cluster.CacheNote, b.receiveCacheNote)
+	b.gateway.SetNoteSender(node.SendWorkNote)
 	b.sharing = kvindex.NewSharing(node.Incarnation(), b.gateway.WithHolders)
 	return b, nil
 }
@@ -286,7 +286,7 @@
 	if !b.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	fmt.Fprintf(w, "standing=%s votes=%t\n", b.node.Standing(), b.node.Votes())
+	fmt.Fprintf(w, "standing=%s votes=%t\n", b.node.Role(), b.node.Votes())
 }
 
 // Reload reads the settings file again. New seeds apply at once, all other settings at the next restart.
