--- a/internal/broker/features.go
+++ b/internal/broker/features.go
@@ -77,7 +77,7 @@
 		b.core.Watch(watched)
 	}
 	if c := b.features.Control; c != nil {
-		served := control.Served{Pages: map[string]func() (any, bool){}}
+		served := control.Handlers{Pages: map[string]func() (any, bool){}}
 		if b.features.Cells != nil {
 			served.Pages["cells"] = b.cellViews
 		}
--- a/internal/broker/leases.go
+++ b/internal/broker/leases.go
@@ -173,7 +173,7 @@
 }
 
 // addHandlers adds the orders and streams for leases to the control socket.
-func (s *sharingState) addHandlers(c *control.Served) {
+func (s *sharingState) addHandlers(c *control.Handlers) {
 	if s.b.features.Lease == nil && len(s.b.features.Tasks) == 0 {
 		return
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -28,7 +28,7 @@
 )
 
 // Handlers holds the handlers of a socket by name. Only processes of the same user can connect to the socket.
-type Served struct {
+type Handlers struct {
 	// Pages answer GET /v1/NAME with the JSON of the returned value, or with 503 if the function returns false.
 	Pages map[string]func() (any, bool)
 	// Orders execute POST /v1/NAME with a query. An error is answered with 409 and its text.
@@ -45,7 +45,7 @@
 
 // Listen opens the socket with access for the current user only. It replaces a stale socket file, but returns an error if
 // another process serves the socket or if the path is not a socket.
-func Listen(path string, served Served) (*Server, error) {
+func Listen(path string, served Handlers) (*Server, error) {
 	if conn, err := net.DialTimeout("unix", path, requestTimeout); err == nil {
 		conn.Close()
 		return nil, fmt.Errorf("control socket %s: another process serves it", path)
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -17,7 +17,7 @@
 func TestSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.sock")
 	running := true
-	s, err := Listen(path, Served{Pages: map[string]func() (any, bool){"page": func() (any, bool) { return map[string]int{"n": 7}, running }}})
+	s, err := Listen(path, Handlers{Pages: map[string]func() (any, bool){"page": func() (any, bool) { return map[string]int{"n": 7}, running }}})
 	require.NoError(t, err)
 	info, err := os.Stat(path)
 	require.NoError(t, err)
@@ -28,7 +28,7 @@
 	assert.ErrorContains(t, Get(path, "other", &v), "the feature is off")
 	running = false
 	assert.ErrorContains(t, Get(path, "page", &v), "not running")
-	_, err = Listen(path, Served{})
+	_, err = Listen(path, Handlers{})
 	assert.ErrorContains(t, err, "another process serves it")
 	// Connections beyond the limit wait without blocking the broker, and connections that send nothing are closed.
 	var conns []net.Conn
@@ -48,14 +48,14 @@
 	s.Close()
 	assert.ErrorContains(t, Get(path, "page", &v), "control socket")
 	require.NoError(t, os.WriteFile(path, nil, 0o600))
-	_, err = Listen(path, Served{})
+	_, err = Listen(path, Handlers{})
 	assert.ErrorContains(t, err, "something else is there")
 	os.Remove(path)
 	stale, err := net.Listen("unix", path)
 	require.NoError(t, err)
 	stale.(*net.UnixListener).SetUnlinkOnClose(false)
 	stale.Close()
-	s, err = Listen(path, Served{})
+	s, err = Listen(path, Handlers{})
 	require.NoError(t, err, "a stale socket is replaced")
 	s.Close()
 }
@@ -64,7 +64,7 @@
 // and that open streams do not block other requests.
 func TestOrdersAndStreams(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.sock")
-	s, err := Listen(path, Served{
+	s, err := Listen(path, Handlers{
 		Orders: map[string]func(url.Values) error{"order": func(q url.Values) error {
 			if q.Get("do") != "it" {
 				return errors.New("only it can be done")
