--- a/cmd/gullstair/cells.go
+++ b/cmd/gullstair/cells.go
@@ -31,7 +31,7 @@
 		var why []string
 		for i, n := range v.Counts.By {
 			if n > 0 {
-				why = append(why, fmt.Sprintf("%s %d", quota.Why(i), n))
+				why = append(why, fmt.Sprintf("%s %d", quota.Reason(i), n))
 			}
 		}
 		fmt.Fprintf(w, "%s\t%s\t%d\t%d\t%d\t%d\t%d\t%s\n", v.Name, state, v.Stores, v.Open, v.Tenants, v.Counts.Taken, v.Counts.Throttled,
--- a/cmd/gullstair/lease.go
+++ b/cmd/gullstair/lease.go
@@ -128,7 +128,7 @@
 		}
 	}
 	spec := guard.Spec{Argv: command, Env: broker.Environment(held.Lease, held.Slot, held.Fence, held.UntilMS), Deadline: held.Until, In: os.Stdin, Out: os.Stdout}
-	spec.Grace, spec.Lead = broker.Warning(c.Term)
+	spec.Grace, spec.Lead = broker.GuardTimes(c.Term)
 	updates := make(chan guard.Instruction, 16)
 	ended := make(chan struct{})
 	go func() {
--- a/cmd/gullstair/limits.go
+++ b/cmd/gullstair/limits.go
@@ -49,7 +49,7 @@
 type limitsShowCmd struct{ socketFlags }
 
 func (c *limitsShowCmd) Run(out io.Writer) error {
-	var s broker.LimitsSeen
+	var s broker.LimitsView
 	if err := control.Get(c.Socket, "limits", &s); err != nil {
 		return err
 	}
--- a/cmd/gullstair/limits_test.go
+++ b/cmd/gullstair/limits_test.go
@@ -327,7 +327,7 @@
 // left out.
 func (f *limitFleet) observeOrders() (all []observedOrder) {
 	for i, m := range f.Members {
-		var s broker.LimitsSeen
+		var s broker.LimitsView
 		asked := time.Since(f.started)
 		if m.Ask("limits", &s) == nil && len(s.Limits) > 0 {
 			all = append(all, observedOrder{member: i, asked: asked, came: time.Since(f.started), by: s.Limits[0].Order})
@@ -466,7 +466,7 @@
 	f.setDemand(0, 0, 0, 0, 0)
 	require.NoError(t, rig.Until(40*time.Second, func() bool {
 		for _, m := range f.Members {
-			var s broker.LimitsSeen
+			var s broker.LimitsView
 			if m.Ask("limits", &s) != nil || s.Accounts > 0 {
 				return false
 			}
--- a/cmd/gullstair/serve.go
+++ b/cmd/gullstair/serve.go
@@ -85,9 +85,9 @@
 				log.Error().Err(err).Msg("the new features document was not applied")
 				continue
 			}
-			b.Renew(newConfig)
+			b.ApplyStartFile(newConfig)
 			if f != nil {
-				if err := b.RenewFeatures(f); err != nil {
+				if err := b.ApplyFeatures(f); err != nil {
 					log.Error().Err(err).Msg("the new features document was not applied")
 				}
 			}
--- a/cmd/gullstair/starved_test.go
+++ b/cmd/gullstair/starved_test.go
@@ -154,7 +154,7 @@
 	var all []time.Duration
 	for range rounds {
 		for _, m := range f.Members {
-			for page, into := range map[string]any{"limits": &broker.LimitsSeen{}, "sharing": &sharer.State{}} {
+			for page, into := range map[string]any{"limits": &broker.LimitsView{}, "sharing": &sharer.State{}} {
 				retryAfterStall(t, page+" at "+m.Name, []*rig.Member{m}, func(int) error {
 					begun := time.Now()
 					err := m.Ask(page, into)
--- a/cmd/measure/capacity.go
+++ b/cmd/measure/capacity.go
@@ -115,7 +115,7 @@
 func (r *coreDriver) step(wait float64, in ...core.Input) {
 	r.now += wait
 	for len(r.pending) > 0 && r.dueAt[0] <= r.now {
-		in = append(in, core.Ended{Ref: r.pending[0].Ref, How: core.Answered, At: r.now, Value: "v"})
+		in = append(in, core.Ended{Ref: r.pending[0].Ref, Reason: core.Answered, At: r.now, Value: "v"})
 		r.pending, r.dueAt = r.pending[1:], r.dueAt[1:]
 	}
 	for _, o := range r.core.Step(r.now, in) {
@@ -128,7 +128,7 @@
 }
 
 func query(n, shards int, at float64) *core.Scan {
-	s := &core.Scan{ID: fmt.Sprint("q", n), Text: "t", TimeLeft: timeLeft, At: at}
+	s := &core.Scan{ID: fmt.Sprint("q", n), Text: "t", TimeLeft: timeLeft, ReceivedAt: at}
 	for i := range partsOfQuery {
 		s.Parts = append(s.Parts, core.ScanPart{Shard: (7*n + i) % shards, Weight: 1.0 / partsOfQuery, Work: 50})
 	}
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -120,7 +120,7 @@
 		ConnectTimeout: ms(t.Site.ConnectTimeout), Idle: ms(t.Site.ConnIdle)}, b.clock.Now,
 		func(e core.Ended) { b.put(e) }, log)
 	b.front = &front.Front{Site: t.Site, Now: b.clock.Now, Take: func(s *core.Scan) { b.put(s) },
-		Left: func(s *core.Scan) { b.put(core.Left{Scan: s}) }, Most: t.Sockets - nodeConns - front.ClosingMost - reservedFiles, Ample: t.Sockets / 6, // half of what clients may hold for requests
+		Left: func(s *core.Scan) { b.put(core.ClientLeft{Scan: s}) }, Most: t.Sockets - nodeConns - front.ClosingMost - reservedFiles, Ample: t.Sockets / 6, // half of what clients may hold for requests
 		ReadAhead: t.MemoryMB << 20 / readAheadShare, ReadWithin: readTimeout, Log: log}
 	logInvalid := func(host, why string) { log.Warn().Str("node", host).Msg(why) }
 	known := t.Known.Nodes(logInvalid)
@@ -250,30 +250,30 @@
 			if !b.fleet.Call(v) {
 				now := b.clock.Now()
 				for _, p := range v.Parts {
-					batch = append(batch, core.Ended{Ref: p.Ref, How: core.NoRoom, At: now})
+					batch = append(batch, core.Ended{Ref: p.Ref, Reason: core.QueueFull, At: now})
 				}
 			}
 		case core.Probe:
 			if !b.fleet.Probe(v) {
-				batch = append(batch, core.Ended{Ref: v.Ref, How: core.NoRoom, At: b.clock.Now()})
+				batch = append(batch, core.Ended{Ref: v.Ref, Reason: core.QueueFull, At: b.clock.Now()})
 			}
-		case core.GiveUp:
+		case core.Cancel:
 			b.fleet.GiveUp(v)
 		case core.Reply:
 			front.Reply(v)
-		case core.Move:
+		case core.NodeChange:
 			b.fleet.Move(v)
-		case core.Probed:
+		case core.ProbeResult:
 			b.sharing.offerProbeResult(v)
-		case core.Listed:
+		case core.NodeList:
 			b.sharing.offerNodeList(v)
-		case core.Tell:
+		case core.SendNote:
 			b.sharing.offerNote(v.Note)
-		case core.Judged:
+		case core.OutcomeReport:
 			b.sharing.offerOutcome(v)
-		case core.HeldBack:
+		case core.ScanRefused:
 			b.sharing.offerRefusal(v)
-		case core.Watch:
+		case core.SubscribeList:
 			b.watch.Ask()
 		case core.Log:
 			if v.Fatal {
@@ -290,7 +290,7 @@
 
 // ApplyStartFile applies a start file that was read again: the subscription moves to the discovery address that it names. All
 // other changes take effect at the next start.
-func (b *Broker) Renew(t *config.Told) {
+func (b *Broker) ApplyStartFile(t *config.Told) {
 	b.log.Info().Str("discovery", t.Discovery).Strs("at_next_start", b.startFile.Differ(t)).Msg("start file read again")
 	b.watch.Move(t.Discovery)
 }
@@ -317,7 +317,7 @@
 	b.ln.Close()
 	<-b.frontDone
 	if !answeredAll || !b.front.Flush(finalFlushTimeout, finalFlushTimeout/2) { // every scan gets a reply, if only an error
-		b.put(core.Closing{})
+		b.put(core.Shutdown{})
 		b.front.Flush(finalFlushTimeout, 0)
 	}
 	b.watch.Stop()
@@ -335,16 +335,16 @@
 	ends := zerolog.Dict()
 	for e, n := range c.Ends {
 		if n > 0 {
-			ends.Int(core.End(e).String(), n)
+			ends.Int(core.EndReason(e).String(), n)
 		}
 	}
 	line := b.log.Info()
-	if c.Differs != nil {
-		line.Interface("watched", c.Differs)
+	if c.ShadowDiffs != nil {
+		line.Interface("watched", c.ShadowDiffs)
 	}
-	line.Int("scans", c.Scans).Int("answered", c.Answered).Int("whole", c.Whole).Int("throttled", c.Throttled).
-		Int("full", c.Full).Int("confined", c.Confined).Int("limited", c.Limited).Int("short", c.Short).Int("abandoned", c.Abandoned).Int("left", c.Left).Int("open", b.core.Open()).
-		Int("dispatches", c.Dispatches).Int("late", c.Late).Dict("ends", ends).
+	line.Int("scans", c.Scans).Int("answered", c.Answered).Int("whole", c.Complete).Int("throttled", c.Throttled).
+		Int("full", c.OverCapacity).Int("confined", c.CellThrottled).Int("limited", c.LimitThrottled).Int("short", c.BudgetDenied).Int("abandoned", c.Abandoned).Int("left", c.ClientsLeft).Int("open", b.core.Open()).
+		Int("dispatches", c.Dispatches).Int("late", c.LateEnds).Dict("ends", ends).
 		Int("clients", b.front.Conns()).Int64("requests", fr.Requests.Load()).Int64("malformed", fr.Malformed.Load()).
 		Int64("crowded", fr.Crowded.Load()).Int64("accepts_failed", fr.Failed.Load()).
 		Int("node_conns", b.fleet.Conns()).Int64("dials", fl.Dials.Load()).Int64("dials_failed", fl.DialsFailed.Load()).
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -153,7 +153,7 @@
 	}
 	require.Len(t, batch, 2)
 	last := batch[1].(core.Ended)
-	assert.Equal(t, core.Ended{Ref: 8, How: core.NoRoom, At: last.At}, last)
+	assert.Equal(t, core.Ended{Ref: 8, Reason: core.QueueFull, At: last.At}, last)
 }
 
 // A broker takes over the address of one that is still shutting down.
--- a/internal/broker/features.go
+++ b/internal/broker/features.go
@@ -32,8 +32,8 @@
 	b              *Broker
 	actor          *sharer.Actor
 	sealer         *gossip.Sealer
-	probeResults   chan core.Probed
-	nodeLists      chan core.Listed
+	probeResults   chan core.ProbeResult
+	nodeLists      chan core.NodeList
 	droppedResults atomic.Int64 // results dropped since the queue was full: those turns count as over after a period
 	done           chan struct{}
 
@@ -74,7 +74,7 @@
 		if err != nil {
 			return err
 		}
-		b.core.Watch(watched)
+		b.core.SetShadowSettings(watched)
 	}
 	if c := b.features.Control; c != nil {
 		served := control.Handlers{Pages: map[string]func() (any, bool){}}
@@ -110,7 +110,7 @@
 // startCells confines tenants to cells. Nothing is stored on disk: the map is derived from the features document, and a
 // tenant moves by a change of the pins at the next start.
 func (b *Broker) startCells(k *features.Cells) {
-	plan := cells.Plan{Holders: k.Holders, Default: k.Default, Pins: k.Pins, Least: k.Least}
+	plan := cells.Plan{Holders: k.Holders, Default: k.Default, Pins: k.Pins, MinHolderShare: k.Least}
 	limits := map[string]quota.Limits{}
 	for _, c := range k.Cells {
 		plan.Cells = append(plan.Cells, cells.Cell{Name: c.Name, Weight: c.Weight})
@@ -122,7 +122,7 @@
 		return x
 	}
 	chance := rand.New(rand.NewPCG(b.startFile.Seed, 0xce11))
-	b.core.Confine(plan, limits, num("rules.cold"), num("limit.maxRetryAfter"), chance.Float64)
+	b.core.SetCells(plan, limits, num("rules.cold"), num("limit.maxRetryAfter"), chance.Float64)
 }
 
 // shadowSettings returns the module's settings with those of the watch block in their place.
@@ -154,7 +154,7 @@
 // cellViews queries the actor for the state of the cells; only the actor may access the core.
 func (b *Broker) cellViews() (any, bool) {
 	reply := make(chan []core.CellView, 1)
-	b.put(core.AskCells{Reply: reply})
+	b.put(core.CellsQuery{Reply: reply})
 	select {
 	case v := <-reply:
 		return v, true
@@ -197,13 +197,13 @@
 		}
 		return err
 	}
-	sh := &sharingState{b: b, now: now, limits: limits, runs: map[runKey]*run{}, votes: dir, sealer: sealer, probeResults: make(chan core.Probed, maxProbeResults), nodeLists: make(chan core.Listed, 1), done: make(chan struct{})}
-	sh.nodeLists <- b.core.Share()
+	sh := &sharingState{b: b, now: now, limits: limits, runs: map[runKey]*run{}, votes: dir, sealer: sealer, probeResults: make(chan core.ProbeResult, maxProbeResults), nodeLists: make(chan core.NodeList, 1), done: make(chan struct{})}
+	sh.nodeLists <- b.core.ReportList()
 	if s.Verdicts != nil {
 		zone := fmt.Sprint(b.startFile.Flat["zone"])
 		plan.Verdicts = &verdicts.Rules{Self: plan.Name, Zone: zone, Run: plan.Incarnation, Fresh: ms64(s.Verdicts.Fresh), Quorum: s.Verdicts.Quorum, Widest: s.Verdicts.Widest,
 			Roster: slices.Sorted(maps.Keys(s.Members))}
-		b.core.Judge()
+		b.core.ReportOutcomes()
 		if path := s.Verdicts.Dir; path != "" {
 			orders, found, err := lasting.Open[verdicts.Stored](path, lasting.OrderRecords)
 			if err != nil {
@@ -217,13 +217,13 @@
 		}
 	}
 	plan.Notes = s.Notes
-	work.Verdict, work.Note = sh.applyVerdict, func(note []byte) { b.put(core.Told{Note: note}) }
+	work.Verdict, work.Note = sh.applyVerdict, func(note []byte) { b.put(core.PeerNote{Note: note}) }
 	work.Turn, work.Heard, work.Begin, work.Extend, work.Cancel = sh.probe, sh.peerProbed, sh.begin, sh.extend, sh.cancel
 	sh.actor = sharer.Start(plan, carrier, now, work, b.log)
 	b.sharing = sh
 	if limits != nil {
 		limits.setWake(sh.actor.Poke)
-		b.core.Limit(limits)
+		b.core.SetLimiter(limits)
 	}
 	go sh.forward()
 	return nil
@@ -252,20 +252,20 @@
 // probe has a store probed; peerProbed forwards the result of another broker's probe. The sharing actor calls both.
 func (s *sharingState) probe(duty, item string) {
 	if duty == probeDuty {
-		s.b.put(core.ProbeFor{Host: item})
+		s.b.put(core.ProbeRequest{Host: item})
 	}
 }
 
 func (s *sharingState) peerProbed(duty, item, _ string, age float64, data []byte) {
 	var r probeReport
 	if duty == probeDuty && len(data) > 0 && sharing.Unmarshal(data, &r) == nil {
-		s.b.put(core.ProbeHeard{Host: item, Age: age, Served: r.Served, Load: r.Load})
+		s.b.put(core.PeerProbe{Host: item, Age: age, Served: r.Served, Load: r.Load})
 	}
 }
 
 // offerProbeResult and offerNodeList are called by the core's actor. They never block, since the two actors could
 // deadlock.
-func (s *sharingState) offerProbeResult(p core.Probed) {
+func (s *sharingState) offerProbeResult(p core.ProbeResult) {
 	select {
 	case s.probeResults <- p:
 	default:
@@ -273,7 +273,7 @@
 	}
 }
 
-func (s *sharingState) offerNodeList(l core.Listed) {
+func (s *sharingState) offerNodeList(l core.NodeList) {
 	for {
 		select {
 		case s.nodeLists <- l:
@@ -310,7 +310,7 @@
 
 // ApplyFeatures applies a features document that was read again: keys of the members and limits at once, the rest at
 // the next start.
-func (b *Broker) RenewFeatures(f *features.Document) error {
+func (b *Broker) ApplyFeatures(f *features.Document) error {
 	atNextStart := b.features.Differ(f)
 	if b.sharing != nil && f.Sharing != nil {
 		if err := b.sharing.sealer.Rekey(sealerKeys(f.Sharing.Keys)); err != nil {
--- a/internal/broker/leases.go
+++ b/internal/broker/leases.go
@@ -32,7 +32,7 @@
 
 // GuardTimes returns how long before the end of a lease its command is asked to stop (grace) and how long before it is
 // killed (lead), for a lease term.
-func Warning(term time.Duration) (grace, lead time.Duration) {
+func GuardTimes(term time.Duration) (grace, lead time.Duration) {
 	lead = max(50*time.Millisecond, term/10)
 	return lead + term*3/20, lead
 }
@@ -105,7 +105,7 @@
 		return guard.Result{Code: -1, Why: err.Error()}
 	}
 	spec := guard.Spec{Argv: argv, Timeout: time.Duration(t.Timeout * 1e6)}
-	spec.Grace, spec.Lead = Warning(term)
+	spec.Grace, spec.Lead = GuardTimes(term)
 	s.mu.Lock()
 	spec.Deadline = s.toGuardClock(r.until)
 	s.mu.Unlock()
--- a/internal/broker/limits.go
+++ b/internal/broker/limits.go
@@ -57,7 +57,7 @@
 	if len(b.features.Limits) == 0 {
 		return nil, nil
 	}
-	l := &limiter{now: now, wakeSharing: func() {}, notifyCore: func() { b.put(core.LimitsMoved{}) }, limits: b.features.Limits}
+	l := &limiter{now: now, wakeSharing: func() {}, notifyCore: func() { b.put(core.LimitsChanged{}) }, limits: b.features.Limits}
 	rules := shares.Rules{Self: plan.Name, Boot: boot, Drift: plan.Drift, Most: maxLimitKeys, Loans: true, After: defaultRetryAfter}
 	if after, is := b.startFile.Flat["limit.maxRetryAfter"].(float64); is && after > 0 {
 		rules.After = after
@@ -139,16 +139,16 @@
 }
 
 // Take implements core.Limiter.
-func (l *limiter) Take(account, cell string, work, lasts float64) core.Ruling {
+func (l *limiter) Take(account, cell string, work, lasts float64) core.LimitDecision {
 	return l.decide(l.core.Take, account, cell, work, lasts)
 }
 
 // Retry implements core.Limiter.
-func (l *limiter) Again(account, cell string, work, lasts float64) core.Ruling {
+func (l *limiter) Retry(account, cell string, work, lasts float64) core.LimitDecision {
 	return l.decide(l.core.Again, account, cell, work, lasts)
 }
 
-func (l *limiter) decide(ask func(float64, []shares.Use, float64) shares.Verdict, account, cell string, work, lasts float64) core.Ruling {
+func (l *limiter) decide(ask func(float64, []shares.Use, float64) shares.Verdict, account, cell string, work, lasts float64) core.LimitDecision {
 	l.mu.Lock()
 	v := ask(l.now(), l.scanUses(account, cell, work), lasts+lateEndMs)
 	dueEarlier := l.core.Due() < l.due
@@ -160,9 +160,9 @@
 		l.wakeSharing()
 	}
 	if v.Taken {
-		return core.Ruling{Taken: true}
+		return core.LimitDecision{Admitted: true}
 	}
-	return core.Ruling{Why: l.reasons[v.Limit], After: v.After, Wait: v.Wait}
+	return core.LimitDecision{Why: l.reasons[v.Limit], RetryAfter: v.After, Wait: v.Wait}
 }
 
 // furtherLimit returns the index of the limit on further dispatches, or -1 if there is none.
@@ -172,7 +172,7 @@
 
 // FleetBudget implements core.Limiter. It returns how many further dispatches this broker's share of the fleet's budget
 // allows now; +Inf without a budget.
-func (l *limiter) Left() float64 {
+func (l *limiter) FleetBudget() float64 {
 	i := l.furtherLimit()
 	if i < 0 {
 		return math.Inf(1)
@@ -183,7 +183,7 @@
 }
 
 // TakeFurther implements core.Limiter.
-func (l *limiter) Further() bool {
+func (l *limiter) TakeFurther() bool {
 	i := l.furtherLimit()
 	if i < 0 {
 		return true
@@ -306,15 +306,15 @@
 }
 
 // LimitsView is the state of the fleet's limits for the control socket.
-type LimitsSeen struct {
+type LimitsView struct {
 	Limits   []shares.Seen `json:"limits"` // the busiest keys of each limit
 	Accounts int           `json:"accounts"`
 	Counts   shares.Counts `json:"counts"`
 }
 
-func (l *limiter) view() LimitsSeen {
+func (l *limiter) view() LimitsView {
 	l.mu.Lock()
-	s := LimitsSeen{Limits: l.core.Seen(l.now()), Accounts: l.core.Accounts(), Counts: l.core.Counts}
+	s := LimitsView{Limits: l.core.Seen(l.now()), Accounts: l.core.Accounts(), Counts: l.core.Counts}
 	l.mu.Unlock()
 	s.Limits = shares.Busiest(s.Limits, maxShownKeys) // outside the lock, so that scans do not wait for it
 	return s
--- a/internal/broker/verdicts.go
+++ b/internal/broker/verdicts.go
@@ -21,15 +21,15 @@
 }
 
 // offerOutcome passes an outcome of a store to the sharing actor. The core's actor calls it; it never blocks.
-func (s *sharingState) offerOutcome(j core.Judged) {
+func (s *sharingState) offerOutcome(j core.OutcomeReport) {
 	if s != nil {
-		s.actor.Offer(verdicts.Saw{Store: j.Host, Kind: Seen(j)})
+		s.actor.Offer(verdicts.Saw{Store: j.Host, Kind: ToVerdictKind(j)})
 	}
 }
 
 // offerRefusal passes a tenant that a limit refused to the sharing actor. The core's actor calls it; it never blocks.
 // Each tenant is reported once per refusalInterval, so that busy tenants do not flood the sharing actor.
-func (s *sharingState) offerRefusal(h core.HeldBack) {
+func (s *sharingState) offerRefusal(h core.ScanRefused) {
 	if s == nil {
 		return
 	}
@@ -50,7 +50,7 @@
 )
 
 // ToVerdictKind converts an outcome to the kind of verdict that the brokers exchange.
-func Seen(j core.Judged) verdicts.Kind {
+func ToVerdictKind(j core.OutcomeReport) verdicts.Kind {
 	if j.Late {
 		return verdicts.Slow
 	}
@@ -58,8 +58,8 @@
 }
 
 // ToNodeVerdict converts a verdict for the decision module.
-func Held(v verdicts.Verdict) core.Held {
-	h := core.Held{Host: v.Store, Outcome: logic.Errored, Age: v.Age, Drained: v.Drain}
+func ToNodeVerdict(v verdicts.Verdict) core.NodeVerdict {
+	h := core.NodeVerdict{Host: v.Store, Outcome: logic.Errored, Age: v.Age, Drained: v.Drain}
 	switch {
 	case v.Kind == verdicts.Well && v.Was < verdicts.Fails:
 		// Only a drain has changed, or an overload has ended, which expires in the module by itself. Reported as a recovery
@@ -82,7 +82,7 @@
 
 // applyVerdict passes the fleet's verdict on a store to the module. The sharing actor calls it.
 func (s *sharingState) applyVerdict(v verdicts.Verdict) {
-	s.b.put(Held(v))
+	s.b.put(ToNodeVerdict(v))
 }
 
 // orderVerdict executes an operator's order to drain, rest or clear a store.
--- a/internal/broker/verdicts_test.go
+++ b/internal/broker/verdicts_test.go
@@ -21,9 +21,9 @@
 		{verdicts.Well, verdicts.Silent, logic.Completed}, {verdicts.Slow, verdicts.Well, logic.Saturated}, {verdicts.Full, verdicts.Well, logic.Saturated},
 		{verdicts.Well, verdicts.Slow, 0}, {verdicts.Well, verdicts.Full, 0}, {verdicts.Well, verdicts.Well, 0}, {verdicts.Well, 0, 0},
 	} {
-		got := Held(verdicts.Verdict{Store: "s", Kind: c.kind, Was: c.was, Age: 7, Drain: true})
-		assert.Equal(t, core.Held{Host: "s", Outcome: c.want, Age: 7, Drained: true}, got, "%v after %v", c.kind, c.was)
+		got := ToNodeVerdict(verdicts.Verdict{Store: "s", Kind: c.kind, Was: c.was, Age: 7, Drain: true})
+		assert.Equal(t, core.NodeVerdict{Host: "s", Outcome: c.want, Age: 7, Drained: true}, got, "%v after %v", c.kind, c.was)
 	}
-	assert.Equal(t, verdicts.Slow, Seen(core.Judged{Outcome: logic.Completed, Late: true}))
-	assert.Equal(t, verdicts.Well, Seen(core.Judged{Outcome: logic.Completed}))
+	assert.Equal(t, verdicts.Slow, ToVerdictKind(core.OutcomeReport{Outcome: logic.Completed, Late: true}))
+	assert.Equal(t, verdicts.Well, ToVerdictKind(core.OutcomeReport{Outcome: logic.Completed}))
 }
--- a/internal/cells/cells.go
+++ b/internal/cells/cells.go
@@ -24,11 +24,11 @@
 
 // Plan is the configuration from which a Map is built.
 type Plan struct {
-	Cells   []Cell
-	Holders int               // number of stores of each set in a cell, if the set has that many
-	Default string            // the cell of tenants without a pin; "" spreads them over all cells by weight
-	Pins    map[string]string // tenants that are assigned to a fixed cell
-	Least   float64           // share of a cell's holders of a set that must be up; below it the cell refuses scans
+	Cells          []Cell
+	Holders        int               // number of stores of each set in a cell, if the set has that many
+	Default        string            // the cell of tenants without a pin; "" spreads them over all cells by weight
+	Pins           map[string]string // tenants that are assigned to a fixed cell
+	MinHolderShare float64           // share of a cell's holders of a set that must be up; below it the cell refuses scans
 }
 
 // Cell is a cell with its weight in the distribution of tenants.
@@ -69,7 +69,7 @@
 
 // Build builds a map from a plan, over sets numbered from 0. Tenants that were moved in old keep their cells as long as
 // these exist. Old may be nil.
-func Make(version uint64, plan Plan, stores []Store, sets int, old *Map) (*Map, error) {
+func Build(version uint64, plan Plan, stores []Store, sets int, old *Map) (*Map, error) {
 	if len(plan.Cells) == 0 {
 		return nil, fmt.Errorf("cells: no cell is defined")
 	}
@@ -142,7 +142,7 @@
 }
 
 // CellOf returns the cell of a tenant.
-func (m *Map) Of(tenant string) string { return m.cells[m.index(tenant)].Name }
+func (m *Map) CellOf(tenant string) string { return m.cells[m.index(tenant)].Name }
 
 func (m *Map) index(tenant string) int {
 	if at, moved := m.moved.Get([]byte(tenant)); moved {
@@ -234,7 +234,7 @@
 				n++
 			}
 		}
-		if n == 0 || float64(n) < m.plan.Least*float64(len(holders)) {
+		if n == 0 || float64(n) < m.plan.MinHolderShare*float64(len(holders)) {
 			return set, true
 		}
 	}
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -18,7 +18,7 @@
 }
 
 func plan(cells, holders int) Plan {
-	p := Plan{Holders: holders, Least: 0.5}
+	p := Plan{Holders: holders, MinHolderShare: 0.5}
 	for i := range cells {
 		p.Cells = append(p.Cells, Cell{fmt.Sprint("cell-", i), 1})
 	}
@@ -33,11 +33,11 @@
 		holders := rapid.IntRange(1, 4).Draw(t, "holders")
 		p := plan(rapid.IntRange(1, 8).Draw(t, "cells"), holders)
 		list := stores(sets, each)
-		m, err := Make(1, p, list, sets, nil)
+		m, err := Build(1, p, list, sets, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, _ := Make(1, p, list, sets, nil)
+		again, _ := Build(1, p, list, sets, nil)
 		zone := map[string]string{}
 		for _, s := range list {
 			zone[s.Name] = s.Zone
@@ -65,10 +65,10 @@
 
 func TestRemovedStoreChangesOnlyItsSlots(t *testing.T) {
 	list := stores(4, 6)
-	before, err := Make(1, plan(12, 2), list, 4, nil)
+	before, err := Build(1, plan(12, 2), list, 4, nil)
 	require.NoError(t, err)
 	gone := list[9]
-	after, err := Make(2, plan(12, 2), append(append([]Store{}, list[:9]...), list[10:]...), 4, before)
+	after, err := Build(2, plan(12, 2), append(append([]Store{}, list[:9]...), list[10:]...), 4, before)
 	require.NoError(t, err)
 	for _, c := range before.Names() {
 		was, is := before.Stores(c), after.Stores(c)
@@ -90,36 +90,36 @@
 	p := plan(4, 2)
 	p.Pins = map[string]string{"vip": "cell-3"}
 	p.Cells[0].Weight = 3
-	m, err := Make(5, p, stores(2, 6), 2, nil)
+	m, err := Build(5, p, stores(2, 6), 2, nil)
 	require.NoError(t, err)
 	count := map[string]int{}
 	for i := range 6000 {
-		count[m.Of(fmt.Sprint("t", i))]++
+		count[m.CellOf(fmt.Sprint("t", i))]++
 	}
 	assert.InDelta(t, 3000, count["cell-0"], 150, "weight 3 of 6")
 	assert.InDelta(t, 1000, count["cell-1"], 120)
-	assert.Equal(t, "cell-3", m.Of("vip"))
+	assert.Equal(t, "cell-3", m.CellOf("vip"))
 	to := "cell-1"
-	if m.Of("t1") == to {
+	if m.CellOf("t1") == to {
 		to = "cell-2"
 	}
 	moved, err := m.Move(6, to, "t1", "vip")
 	require.NoError(t, err)
-	assert.Equal(t, to, moved.Of("t1"))
-	assert.Equal(t, to, moved.Of("vip"), "a move overrides a pin")
-	assert.Equal(t, "cell-3", m.Of("vip"), "the old map does not change")
-	later, err := Make(7, p, stores(2, 5), 2, moved)
+	assert.Equal(t, to, moved.CellOf("t1"))
+	assert.Equal(t, to, moved.CellOf("vip"), "a move overrides a pin")
+	assert.Equal(t, "cell-3", m.CellOf("vip"), "the old map does not change")
+	later, err := Build(7, p, stores(2, 5), 2, moved)
 	require.NoError(t, err)
-	assert.Equal(t, to, later.Of("t1"), "moves survive a new list")
+	assert.Equal(t, to, later.CellOf("t1"), "moves survive a new list")
 	fewer := p
 	fewer.Cells, fewer.Pins = []Cell{{Name: "cell-0"}}, nil
-	later, err = Make(8, fewer, stores(2, 5), 2, moved)
+	later, err = Build(8, fewer, stores(2, 5), 2, moved)
 	require.NoError(t, err)
-	assert.Equal(t, "cell-0", later.Of("t1"), "its cell no longer exists")
+	assert.Equal(t, "cell-0", later.CellOf("t1"), "its cell no longer exists")
 	p.Default, p.Pins = "cell-2", nil
-	m, err = Make(9, p, stores(2, 6), 2, nil)
+	m, err = Build(9, p, stores(2, 6), 2, nil)
 	require.NoError(t, err)
-	assert.Equal(t, "cell-2", m.Of("anybody"))
+	assert.Equal(t, "cell-2", m.CellOf("anybody"))
 }
 
 func TestInvalidPlans(t *testing.T) {
@@ -138,10 +138,10 @@
 	} {
 		p, s := plan(2, 2), append([]Store{}, list...)
 		c.do(&p, &s)
-		_, err := Make(1, p, s, 2, nil)
+		_, err := Build(1, p, s, 2, nil)
 		assert.ErrorContains(t, err, c.want, name)
 	}
-	m, err := Make(3, plan(2, 2), list, 2, nil)
+	m, err := Build(3, plan(2, 2), list, 2, nil)
 	require.NoError(t, err)
 	_, err = m.Move(3, "cell-0", "t")
 	assert.ErrorContains(t, err, "does not follow")
@@ -152,7 +152,7 @@
 // A cell that has lost half or more of the holders of a set refuses scans; other cells are not affected unless they share
 // those stores.
 func TestLost(t *testing.T) {
-	m, err := Make(1, plan(10, 3), stores(3, 9), 3, nil)
+	m, err := Build(1, plan(10, 3), stores(3, 9), 3, nil)
 	require.NoError(t, err)
 	down := map[string]bool{}
 	up := func(s string) bool { return !down[s] }
@@ -181,7 +181,7 @@
 
 func TestOverlap(t *testing.T) {
 	assert.Equal(t, 10.0, Combinations(5, 2))
-	m, err := Make(1, plan(20, 2), stores(1, 12), 1, nil)
+	m, err := Build(1, plan(20, 2), stores(1, 12), 1, nil)
 	require.NoError(t, err)
 	var tenants []string
 	for i := range 2000 {
@@ -198,7 +198,7 @@
 // Compares the persistent map with a plain map that is copied for each move, at 100,000 moved tenants.
 func BenchmarkMove(b *testing.B) {
 	b.Run("persistent", func(b *testing.B) {
-		m, err := Make(1, plan(20, 2), stores(2, 6), 2, nil)
+		m, err := Build(1, plan(20, 2), stores(2, 6), 2, nil)
 		require.NoError(b, err)
 		var all []string
 		for i := range many {
@@ -227,7 +227,7 @@
 }
 
 func BenchmarkOf(b *testing.B) {
-	m, err := Make(1, plan(20, 2), stores(2, 6), 2, nil)
+	m, err := Build(1, plan(20, 2), stores(2, 6), 2, nil)
 	require.NoError(b, err)
 	var all []string
 	for i := range many {
--- a/internal/cells/moves.go
+++ b/internal/cells/moves.go
@@ -128,7 +128,7 @@
 func NewMoves(plan Plan, stores []Store, sets int, snapshot []byte, records [][]byte) (*Moves, error) {
 	v := &Moves{plan: plan, sets: sets, stores: stores, moves: map[string]*Move{}, warm: map[string]bool{}, open: map[uint64]int{},
 		pending: map[uint64]record{}, writing: map[string]bool{}}
-	m, err := Make(1, plan, stores, sets, nil)
+	m, err := Build(1, plan, stores, sets, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -276,7 +276,7 @@
 				delete(v.open, o.Version)
 			}
 		case StoresChanged:
-			if next, err := Make(v.Map.Version, v.plan, o.Stores, v.sets, v.Map); err == nil {
+			if next, err := Build(v.Map.Version, v.plan, o.Stores, v.sets, v.Map); err == nil {
 				v.Map, v.stores = next, o.Stores
 			} else {
 				v.refuse("", err.Error()) // the old map stays in use: its cells refuse scans for sets whose stores they lost
@@ -309,7 +309,7 @@
 	}
 	m := Move{ID: o.ID, Author: o.Author, To: o.To, Was: map[string]string{}, State: Planned, Since: v.now}
 	for _, t := range o.Tenants {
-		if m.Was[t] = v.Map.Of(t); m.Was[t] == o.To {
+		if m.Was[t] = v.Map.CellOf(t); m.Was[t] == o.To {
 			return fmt.Sprintf("tenant %q is in cell %q already", t, o.To)
 		}
 	}
@@ -406,7 +406,7 @@
 // tenantsRestored reports whether the tenants of a move are back in their previous cells.
 func (v *Moves) tenantsRestored(m *Move) bool {
 	for t, cell := range m.Was {
-		if v.Map.Of(t) != cell {
+		if v.Map.CellOf(t) != cell {
 			return false
 		}
 	}
--- a/internal/cells/moves_test.go
+++ b/internal/cells/moves_test.go
@@ -85,7 +85,7 @@
 func TestMoveFromEndToEnd(t *testing.T) {
 	b := newHarness(t)
 	old := b.moves.Map
-	was := old.Of("t1")
+	was := old.CellOf("t1")
 	to := "cell-0"
 	if was == to {
 		to = "cell-1"
@@ -93,13 +93,13 @@
 	b.step(ScanStarted{old.Version})
 	b.step(BeginMove{ID: "m", Author: "ops", To: to, Tenants: []string{"t1"}})
 	assert.Equal(t, Warming, b.state("m"), "the stores of the new cell are still cold")
-	assert.Equal(t, was, b.moves.Map.Of("t1"))
+	assert.Equal(t, was, b.moves.Map.CellOf("t1"))
 	b.step(Pause{"m"}, CellWarm{to, true})
 	assert.Equal(t, Warming, b.state("m"), "the move is paused")
 	b.step(Resume{"m"})
 	assert.Equal(t, Switched, b.state("m"), "a scan on the old map is open")
-	assert.Equal(t, to, b.moves.Map.Of("t1"))
-	assert.Equal(t, was, old.Of("t1"), "the old map does not change")
+	assert.Equal(t, to, b.moves.Map.CellOf("t1"))
+	assert.Equal(t, was, old.CellOf("t1"), "the old map does not change")
 	b.step(BeginMove{ID: "n", To: was, Tenants: []string{"t1"}})
 	assert.Contains(t, b.refused[0].Why, `move "m" has one of these tenants`)
 	b.step(ScanStarted{b.moves.Map.Version}, ScanEnded{old.Version})
@@ -108,18 +108,18 @@
 	assert.Contains(t, b.refused[1].Why, "no such move under way")
 	b.restart(t)
 	assert.Equal(t, Done, b.state("m"))
-	assert.Equal(t, to, b.moves.Map.Of("t1"), "after a restart")
+	assert.Equal(t, to, b.moves.Map.CellOf("t1"), "after a restart")
 	snap, err := b.moves.Snapshot()
 	require.NoError(t, err)
 	again, err := NewMoves(plan(4, 2), stores(2, 6), 2, snap, nil)
 	require.NoError(t, err)
-	assert.Equal(t, to, again.Map.Of("t1"), "from a snapshot")
+	assert.Equal(t, to, again.Map.CellOf("t1"), "from a snapshot")
 }
 
 func TestRevert(t *testing.T) {
 	for _, switched := range []bool{false, true} {
 		b := newHarness(t)
-		was := b.moves.Map.Of("t1")
+		was := b.moves.Map.CellOf("t1")
 		to := "cell-0"
 		if was == to {
 			to = "cell-1"
@@ -132,7 +132,7 @@
 		}
 		in := b.moves.Map.Version
 		b.step(Revert{"m"})
-		assert.Equal(t, was, b.moves.Map.Of("t1"))
+		assert.Equal(t, was, b.moves.Map.CellOf("t1"))
 		if switched {
 			assert.Equal(t, Switched, b.state("m"), "scans are open in the new cell")
 			b.step(ScanEnded{in}, ScanEnded{first})
@@ -147,7 +147,7 @@
 func TestSwitchSurvivesCrash(t *testing.T) {
 	b := newHarness(t)
 	to := "cell-0"
-	if b.moves.Map.Of("t1") == to {
+	if b.moves.Map.CellOf("t1") == to {
 		to = "cell-1"
 	}
 	b.step(BeginMove{ID: "m", To: to, Tenants: []string{"t1"}})
@@ -159,7 +159,7 @@
 	b.log, b.holdWrites = append(b.log, b.heldWrites[0].Record), false
 	b.restart(t)
 	assert.Equal(t, Switched, b.state("m"))
-	assert.Equal(t, to, b.moves.Map.Of("t1"))
+	assert.Equal(t, to, b.moves.Map.CellOf("t1"))
 	assert.Empty(t, b.coldSwitches)
 }
 
@@ -249,7 +249,7 @@
 				again, err := NewMoves(plan(4, 2), stores(2, 6), 2, snap, nil)
 				require.NoError(t, err)
 				for i := range 10 {
-					if x, y := again.Map.Of(fmt.Sprint("t", i)), b.moves.Map.Of(fmt.Sprint("t", i)); x != y {
+					if x, y := again.Map.CellOf(fmt.Sprint("t", i)), b.moves.Map.CellOf(fmt.Sprint("t", i)); x != y {
 						t.Fatalf("t%d is in %s after the snapshot, in %s after the records", i, x, y)
 					}
 				}
@@ -297,7 +297,7 @@
 			}
 		}
 		for tenant, cell := range where {
-			if got := b.moves.Map.Of(tenant); got != cell {
+			if got := b.moves.Map.CellOf(tenant); got != cell {
 				t.Fatalf("%s is in %s, but its last move assigns it to %s: %+v", tenant, got, cell, b.moves.List())
 			}
 		}
--- a/internal/confine/confine.go
+++ b/internal/confine/confine.go
@@ -151,7 +151,7 @@
 // Admit decides on a scan. ScanEnded must be called for each admitted scan.
 func (c *Admission) Admit(now float64, tenant string, a quota.Request) Verdict {
 	m := c.moves.Map
-	v := Verdict{Cell: m.Of(tenant), Version: m.Version}
+	v := Verdict{Cell: m.CellOf(tenant), Version: m.Version}
 	k := c.counts[v.Cell]
 	if k == nil {
 		k = &Counts{}
--- a/internal/confine/confine_test.go
+++ b/internal/confine/confine_test.go
@@ -15,7 +15,7 @@
 
 // newTestFleet returns two sets of six stores in three zones, and four cells with two holders of each set.
 func newTestFleet(t *testing.T) (*Admission, *cells.Moves, []Node) {
-	plan := cells.Plan{Holders: 2, Least: 0.6}
+	plan := cells.Plan{Holders: 2, MinHolderShare: 0.6}
 	limits := map[string]quota.Limits{}
 	for i := range 4 {
 		name := fmt.Sprint("cell-", i)
@@ -38,7 +38,7 @@
 
 func tenantOf(m *cells.Map, cell string) string {
 	for i := 0; ; i++ {
-		if t := fmt.Sprint("t", i); m.Of(t) == cell {
+		if t := fmt.Sprint("t", i); m.CellOf(t) == cell {
 			return t
 		}
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -17,13 +17,13 @@
 
 // Counts are the counters of one broker, written to its log.
 type Counts struct {
-	Scans, Answered, Whole, Throttled, Abandoned, Left, Full int
-	Confined                                                 int // scans throttled by the limits of their cell
-	Limited                                                  int // scans throttled by limits that brokers share
-	Short                                                    int // further dispatches denied by the fleet's retry budget
-	Dispatches, Late                                         int // LateEnds: ends of dispatches that had already ended
-	Ends                                                     [Withdrawn + 1]int
-	Differs                                                  map[string]int // decisions that the shadow settings change, by kind; nil without shadow settings
+	Scans, Answered, Complete, Throttled, Abandoned, ClientsLeft, OverCapacity int
+	CellThrottled                                                              int // scans throttled by the limits of their cell
+	LimitThrottled                                                             int // scans throttled by limits that brokers share
+	BudgetDenied                                                               int // further dispatches denied by the fleet's retry budget
+	Dispatches, LateEnds                                                       int // LateEnds: ends of dispatches that had already ended
+	Ends                                                                       [NodeRemoved + 1]int
+	ShadowDiffs                                                                map[string]int // decisions that the shadow settings change, by kind; nil without shadow settings
 }
 
 type scan struct {
@@ -121,9 +121,9 @@
 
 // SetShadowSettings makes the module compare its decisions with those that it would take under other settings.
 // The differences are counted by kind and have no other effect. Call it before the first Step.
-func (c *Core) Watch(flat map[string]any) {
-	c.Counts.Differs = map[string]int{}
-	c.events[0].ShadowSettings, c.events[0].ShadowDiffs = flat, c.Counts.Differs
+func (c *Core) SetShadowSettings(flat map[string]any) {
+	c.Counts.ShadowDiffs = map[string]int{}
+	c.events[0].ShadowSettings, c.events[0].ShadowDiffs = flat, c.Counts.ShadowDiffs
 }
 
 // Due returns the time at which Step must be called next even without input; +Inf if there is none.
@@ -155,13 +155,13 @@
 		switch v := x.(type) {
 		case *Scan:
 			c.receiveScan(v)
-		case LimitsMoved:
+		case LimitsChanged:
 			c.retryQueuedScans(true)
-		case Left:
+		case ClientLeft:
 			if c.dropQueuedScan(v.Scan) {
-				c.Counts.Left++
+				c.Counts.ClientsLeft++
 			} else if s := c.scans[v.Scan.num]; s != nil && s.Scan == v.Scan {
-				c.Counts.Left++
+				c.Counts.ClientsLeft++
 				c.events = append(c.events, logic.Event{Kind: logic.ClientLeft, ID: s.num})
 				c.closeScan(s)
 			}
@@ -169,22 +169,22 @@
 			c.dispatchEnded(v)
 		case List:
 			c.applyList(v)
-		case ProbeFor:
+		case ProbeRequest:
 			c.probeForPeers(v.Host)
-		case ProbeHeard:
+		case PeerProbe:
 			c.applyPeerProbe(v)
-		case Told:
+		case PeerNote:
 			c.events = append(c.events, logic.Event{Kind: logic.PeerNote, Note: v.Note})
-		case Held:
+		case NodeVerdict:
 			c.applyVerdict(v)
-		case AskCells:
+		case CellsQuery:
 			v.Reply <- c.Cells()
-		case Closing:
+		case Shutdown:
 			c.closing = true
 			for len(c.queued) > 0 {
 				w := c.queued[0]
 				c.queued = c.queued[1:]
-				c.throttle(w.scan, w.Ruling)
+				c.throttle(w.scan, w.LimitDecision)
 			}
 			for _, num := range slices.Sorted(maps.Keys(c.scans)) {
 				c.abandon(c.scans[num], "stopping")
@@ -204,8 +204,8 @@
 	c.events = nil
 	for _, d := range over {
 		if !d.finished {
-			c.emit(GiveUp{Host: d.host, Ref: d.ref})
-			c.finish(d, Ended{How: OutOfTime, At: c.now})
+			c.emit(Cancel{Host: d.host, Ref: d.ref})
+			c.finish(d, Ended{Reason: TimedOut, At: c.now})
 		}
 	}
 	c.failedNodes = c.failedNodes[:0]
@@ -236,7 +236,7 @@
 	} else if d.event != nil {
 		c.events = append(c.events, *d.event)
 	} else if d.probe != 0 {
-		c.probeEnded(Ended{Ref: d.probe, How: OutOfTime, At: c.now})
+		c.probeEnded(Ended{Ref: d.probe, Reason: TimedOut, At: c.now})
 	} else if d.admitted == nil {
 		c.events = append(c.events, logic.Event{Kind: logic.TimerDue, Timer: d.moduleTimer})
 	} else if c.scans[d.admitted.num] == d.admitted {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -71,7 +71,7 @@
 
 func (r *harness) scan(typ int, left float64, shards ...int) *core.Scan {
 	r.scans++
-	s := &core.Scan{ID: fmt.Sprint("q", r.scans), Key: "k1", Text: "text", TableType: typ, TimeLeft: left, At: r.now}
+	s := &core.Scan{ID: fmt.Sprint("q", r.scans), Key: "k1", Text: "text", TableType: typ, TimeLeft: left, ReceivedAt: r.now}
 	for _, shard := range shards {
 		s.Parts = append(s.Parts, core.ScanPart{Shard: shard, Weight: 1 / float64(len(shards)), Work: 50})
 	}
@@ -95,7 +95,7 @@
 }
 
 func (r *harness) ok(p core.CallPart, score float64) core.Ended {
-	return core.Ended{Ref: p.Ref, How: core.Answered, At: r.now, Score: score, Value: "v" + p.ID}
+	return core.Ended{Ref: p.Ref, Reason: core.Answered, At: r.now, Score: score, Value: "v" + p.ID}
 }
 
 func TestOneStep(t *testing.T) {
@@ -107,14 +107,14 @@
 	require.Len(t, sent, 3)
 	assert.Equal(t, "q1.0", sent[0].ID)
 	assert.Empty(t, sent[0].Key, "only keyed table types send a key")
-	assert.InDelta(t, r.now+2980, sent[0].Until, 6, "10 ms have passed in the front, and the module reserves 10 ms")
+	assert.InDelta(t, r.now+2980, sent[0].Deadline, 6, "10 ms have passed in the front, and the module reserves 10 ms")
 	assert.Empty(t, pick[core.Reply](r.step(50, r.ok(sent[0], 0), r.ok(sent[1], 0))))
 	replies := pick[core.Reply](r.step(50, r.ok(sent[2], 0), r.ok(sent[2], 0)))
 	require.Len(t, replies, 1)
-	assert.True(t, replies[0].Whole)
+	assert.True(t, replies[0].Complete)
 	assert.ElementsMatch(t, []core.Hit{{Shard: 0, Value: "vq1.0"}, {Shard: 1, Value: "vq1.1"}, {Shard: 2, Value: "vq1.2"}},
 		replies[0].Hits)
-	assert.Equal(t, 1, r.c.Counts.Late, "a second answer to one dispatch is dropped")
+	assert.Equal(t, 1, r.c.Counts.LateEnds, "a second answer to one dispatch is dropped")
 	assert.Zero(t, r.c.Open())
 	assert.Empty(t, r.until(r.now+10000), "no output after the reply")
 }
@@ -134,15 +134,15 @@
 	require.Len(t, second, 2)
 	got := map[string]string{}
 	for _, p := range second {
-		got[p.ID] = p.From
-		assert.True(t, p.Whole)
+		got[p.ID] = p.AnsweredShards
+		assert.True(t, p.FirstStepComplete)
 	}
 	assert.Equal(t, map[string]string{"q1.1.get": "0+1+3+4", "q1.0.get": "0+1+3+4"}, got,
 		"the best scores; ties go to the lower shard")
 	replies := pick[core.Reply](r.step(50, r.ok(second[0], 0), r.ok(second[1], 0)))
 	require.Len(t, replies, 1)
 	assert.Len(t, replies[0].Hits, 2)
-	assert.True(t, replies[0].Whole)
+	assert.True(t, replies[0].Complete)
 }
 
 // Each end reason reaches the module as its outcome: a part that never ran or may be repeated is dispatched again,
@@ -152,9 +152,9 @@
 		r := start(t)
 		sent := parts(r.step(10, r.scan(1, 3000, 0)))
 		require.Len(t, sent, 1, how)
-		r.step(20, core.Ended{Ref: sent[0].Ref, How: how, At: r.now})
-		r.step(0, r.ok(sent[0], 0), core.Ended{Ref: 1 << 40, How: core.Answered})
-		assert.Equal(t, 2, r.c.Counts.Late, how)
+		r.step(20, core.Ended{Ref: sent[0].Ref, Reason: how, At: r.now})
+		r.step(0, r.ok(sent[0], 0), core.Ended{Ref: 1 << 40, Reason: core.Answered})
+		assert.Equal(t, 2, r.c.Counts.LateEnds, how)
 		assert.Equal(t, 1, r.c.Counts.Ends[how], how)
 		again := parts(r.until(r.now + 1000))
 		require.NotEmpty(t, again, how)
@@ -165,11 +165,13 @@
 
 func TestOneReply(t *testing.T) {
 	type step func(r *harness, s *core.Scan, sent []core.CallPart) []core.Output
-	left := func(r *harness, s *core.Scan, _ []core.CallPart) []core.Output { return r.step(0, core.Left{Scan: s}) }
+	left := func(r *harness, s *core.Scan, _ []core.CallPart) []core.Output {
+		return r.step(0, core.ClientLeft{Scan: s})
+	}
 	answers := func(r *harness, _ *core.Scan, sent []core.CallPart) []core.Output {
 		return r.step(0, r.ok(sent[0], 0), r.ok(sent[1], 0))
 	}
-	closing := func(r *harness, _ *core.Scan, _ []core.CallPart) []core.Output { return r.step(0, core.Closing{}) }
+	closing := func(r *harness, _ *core.Scan, _ []core.CallPart) []core.Output { return r.step(0, core.Shutdown{}) }
 	timeUp := func(r *harness, _ *core.Scan, _ []core.CallPart) []core.Output { return r.until(r.now + 20000) }
 	for name, c := range map[string]struct {
 		steps   []step
@@ -181,7 +183,7 @@
 		"the broker closes, then answers come":   {[]step{closing, answers, timeUp}, 1},
 		"the client leaves twice":                {[]step{left, left, timeUp}, 0},
 		"answers and a leaving client in one step": {[]step{func(r *harness, s *core.Scan, sent []core.CallPart) []core.Output {
-			return r.step(0, r.ok(sent[0], 0), core.Left{Scan: s}, r.ok(sent[1], 0))
+			return r.step(0, r.ok(sent[0], 0), core.ClientLeft{Scan: s}, r.ok(sent[1], 0))
 		}, timeUp}, 0},
 	} {
 		r := start(t)
@@ -194,7 +196,7 @@
 		assert.Len(t, pick[core.Reply](r.all), c.replies, name)
 		assert.Zero(t, r.c.Open(), name)
 		gone := map[int64]bool{}
-		for _, g := range pick[core.GiveUp](r.all) {
+		for _, g := range pick[core.Cancel](r.all) {
 			assert.False(t, gone[g.Ref], "%s: cancelled once", name)
 			gone[g.Ref] = true
 		}
@@ -210,11 +212,11 @@
 func TestClientDeadline(t *testing.T) {
 	r := start(t)
 	s := r.scan(1, 800, 0)
-	s.At = r.now - 300 // it has waited in the front
+	s.ReceivedAt = r.now - 300 // it has waited in the front
 	begun := r.now
 	sent := parts(r.step(0, s))
 	require.Len(t, sent, 1)
-	assert.LessOrEqual(t, sent[0].Until, r.now+500)
+	assert.LessOrEqual(t, sent[0].Deadline, r.now+500)
 	for at := r.c.Due(); !math.IsInf(at, 1) && len(pick[core.Reply](r.all)) == 0; at = r.c.Due() {
 		r.step(max(0, at-r.now))
 	}
@@ -222,8 +224,8 @@
 	require.Len(t, replies, 1)
 	assert.NotEqual(t, logic.Answer, replies[0].Kind)
 	assert.LessOrEqual(t, r.now, begun+500)
-	assert.Len(t, pick[core.GiveUp](r.all), len(parts(r.all)))
-	assert.Equal(t, logic.Abandon, pick[core.Reply](r.step(0, &core.Scan{ID: "q2", TableType: 1, TimeLeft: 10, At: r.now - 20,
+	assert.Len(t, pick[core.Cancel](r.all), len(parts(r.all)))
+	assert.Equal(t, logic.Abandon, pick[core.Reply](r.step(0, &core.Scan{ID: "q2", TableType: 1, TimeLeft: 10, ReceivedAt: r.now - 20,
 		Parts: []core.ScanPart{{Shard: 0, Weight: 1}}}))[0].Kind, "a scan that arrives after its deadline")
 }
 
@@ -239,7 +241,7 @@
 		r.now = max(r.now+1, r.c.Due())
 		for _, o := range r.c.Step(r.now, nil) {
 			switch v := o.(type) {
-			case core.GiveUp:
+			case core.Cancel:
 				givenUp[v.Ref] = r.now
 			case core.Call:
 				for _, p := range v.Parts {
@@ -260,7 +262,7 @@
 	r := start(t)
 	open, late := r.scan(1, 3000, 0), r.scan(1, 3000, 1)
 	r.step(0, open)
-	out := r.step(1, core.Closing{}, late)
+	out := r.step(1, core.Shutdown{}, late)
 	replies := pick[core.Reply](out)
 	require.Len(t, replies, 2)
 	assert.Equal(t, [2]any{open, logic.Abandon}, [2]any{replies[0].Scan, replies[0].Kind})
@@ -276,14 +278,14 @@
 	events := map[string]func(r *harness, s *core.Scan, p core.CallPart) core.Input{
 		"answer": func(r *harness, _ *core.Scan, p core.CallPart) core.Input { return r.ok(p, 0) },
 		"error": func(r *harness, _ *core.Scan, p core.CallPart) core.Input {
-			return core.Ended{Ref: p.Ref, How: core.AnsweredError, At: r.now}
+			return core.Ended{Ref: p.Ref, Reason: core.AnsweredError, At: r.now}
 		},
 		"broke": func(r *harness, _ *core.Scan, p core.CallPart) core.Input {
-			return core.Ended{Ref: p.Ref, How: core.ReadBroke, At: r.now}
+			return core.Ended{Ref: p.Ref, Reason: core.ReadFailed, At: r.now}
 		},
-		"left": func(_ *harness, s *core.Scan, _ core.CallPart) core.Input { return core.Left{Scan: s} },
+		"left": func(_ *harness, s *core.Scan, _ core.CallPart) core.Input { return core.ClientLeft{Scan: s} },
 		"gone": func(*harness, *core.Scan, core.CallPart) core.Input { return core.List{Kind: logic.ListFull} },
-		"end":  func(*harness, *core.Scan, core.CallPart) core.Input { return core.Closing{} },
+		"end":  func(*harness, *core.Scan, core.CallPart) core.Input { return core.Shutdown{} },
 	}
 	names := slices.Sorted(maps.Keys(events))
 	for _, wait := range []float64{10, 2999, 3000} { // before the client's deadline, just before it, and at it
@@ -332,7 +334,7 @@
 	}
 	full := pick[core.Reply](r.all)[0]
 	assert.Equal(t, logic.Throttle, full.Kind)
-	assert.Equal(t, 1, r.c.Counts.Full)
+	assert.Equal(t, 1, r.c.Counts.OverCapacity)
 	r.until(r.now + 20000)
 	assert.Len(t, pick[core.Reply](r.all), 7)
 	assert.Empty(t, pick[core.Reply](r.step(0, r.scan(1, 3000, 0, 1))), "capacity is free again")
@@ -347,7 +349,7 @@
 	require.Len(t, sent, 1)
 	assert.Equal(t, "k1", sent[0].Key)
 	assert.Zero(t, sent[0].NotAfter, "the first dispatch has no latest time")
-	r.step(30, core.Ended{Ref: sent[0].Ref, How: core.ReadBroke, At: r.now})
+	r.step(30, core.Ended{Ref: sent[0].Ref, Reason: core.ReadFailed, At: r.now})
 	again := parts(r.until(r.now + 500))
 	require.NotEmpty(t, again)
 	assert.InDelta(t, begun+2500, again[0].NotAfter, 1)
@@ -355,7 +357,7 @@
 		assert.InDelta(t, begun+2500, p.NotAfter, 1)
 	}
 	for _, p := range parts(r.all) {
-		r.step(0, core.Ended{Ref: p.Ref, How: core.DialRefused, At: r.now})
+		r.step(0, core.Ended{Ref: p.Ref, Reason: core.DialRefused, At: r.now})
 	}
 	assert.Empty(t, parts(r.until(begun+5000)), "not dispatched again after the window")
 }
@@ -387,7 +389,7 @@
 	assert.Equal(t, []core.Reply{{Scan: other, Kind: logic.Abandon, Conflict: true,
 		Why: "an open request has this X-Correlation-Id"}}, pick[core.Reply](out))
 	assert.Empty(t, parts(out))
-	done := pick[core.Reply](r.step(10, core.Left{Scan: other}, r.ok(sent[0], 0)))
+	done := pick[core.Reply](r.step(10, core.ClientLeft{Scan: other}, r.ok(sent[0], 0)))
 	require.Len(t, done, 1)
 	assert.Same(t, s, done[0].Scan)
 	assert.Len(t, parts(r.step(10, other)), 1, "the ID is free again after the reply")
@@ -420,26 +422,26 @@
 	}
 	for name, c := range map[string]struct {
 		list core.List
-		want []core.Move
+		want []core.NodeChange
 	}{
 		"nothing new": {core.List{Kind: logic.ListDelta, Nodes: []core.Node{node("s-a", "127.0.0.1:2", logic.Ready)}}, nil},
 		"moved": {core.List{Kind: logic.ListDelta, Nodes: []core.Node{node("s-a", "127.0.0.1:9", logic.Ready)}},
-			[]core.Move{{Host: "s-a", Addr: "127.0.0.1:9"}}},
+			[]core.NodeChange{{Host: "s-a", Addr: "127.0.0.1:9"}}},
 		"draining": {core.List{Kind: logic.ListDelta, Nodes: []core.Node{node("s-a", "127.0.0.1:2", logic.Draining)}},
-			[]core.Move{{Host: "s-a", Addr: "127.0.0.1:2", Draining: true}}},
+			[]core.NodeChange{{Host: "s-a", Addr: "127.0.0.1:2", Draining: true}}},
 		"gone": {core.List{Kind: logic.ListDelta, Nodes: []core.Node{node("s-a", "", logic.Gone)}},
-			[]core.Move{{Host: "s-a", Addr: "127.0.0.1:2", Gone: true}}},
+			[]core.NodeChange{{Host: "s-a", Addr: "127.0.0.1:2", Gone: true}}},
 		"left out of a whole list": {core.List{Kind: logic.ListFull, Nodes: []core.Node{node("s-a", "127.0.0.1:2", logic.Ready)}},
-			[]core.Move{{Host: "s-b", Addr: "127.0.0.1:3", Gone: true}}},
+			[]core.NodeChange{{Host: "s-b", Addr: "127.0.0.1:3", Gone: true}}},
 		"failed":       {core.List{Kind: logic.ListFailed}, nil},
-		"empty, whole": {core.List{Kind: logic.ListFull}, []core.Move{{Host: "s-a", Addr: "127.0.0.1:2", Gone: true}, {Host: "s-b", Addr: "127.0.0.1:3", Gone: true}}},
+		"empty, whole": {core.List{Kind: logic.ListFull}, []core.NodeChange{{Host: "s-a", Addr: "127.0.0.1:2", Gone: true}, {Host: "s-b", Addr: "127.0.0.1:3", Gone: true}}},
 	} {
 		r := start(t)
-		assert.ElementsMatch(t, c.want, pick[core.Move](r.step(0, c.list)), name)
+		assert.ElementsMatch(t, c.want, pick[core.NodeChange](r.step(0, c.list)), name)
 	}
 	r := start(t)
 	r.step(100, core.List{Kind: logic.ListFailed})
-	assert.Equal(t, []core.Output{core.Watch{}}, r.until(r.now+5000), "the module asks for the list once more")
+	assert.Equal(t, []core.Output{core.SubscribeList{}}, r.until(r.now+5000), "the module asks for the list once more")
 	odd := core.Node{Host: "s-c", Addr: "127.0.0.1:4", Zone: "moon", Kind: "odd", Cell: 99, Readiness: logic.Ready}
 	assert.Len(t, pick[core.Log](r.step(0, core.List{Kind: logic.ListDelta, Nodes: []core.Node{odd}})), 2, "unknown zones and kinds are logged")
 	assert.Empty(t, pick[core.Call](r.step(0, core.List{Kind: logic.ListDelta, Nodes: []core.Node{
@@ -471,7 +473,7 @@
 				s := r.scan(i%3, 2500, i%6, (i+2)%6)
 				sent := parts(r.step(7, s))
 				if len(sent) > 0 && i%4 == 0 {
-					r.step(3, core.Ended{Ref: sent[0].Ref, How: core.ReadBroke, At: r.now})
+					r.step(3, core.Ended{Ref: sent[0].Ref, Reason: core.ReadFailed, At: r.now})
 				}
 				if len(sent) > 1 && i%3 > 0 {
 					r.step(11, r.ok(sent[1], 1))
@@ -507,10 +509,10 @@
 func calls(out []core.Output) (kept []any) {
 	for _, o := range out {
 		switch v := o.(type) {
-		case core.Call, core.GiveUp:
+		case core.Call, core.Cancel:
 			kept = append(kept, v)
 		case core.Reply:
-			kept = append(kept, [4]any{v.Scan.ID, v.Kind, v.Whole, v.RetryAfter})
+			kept = append(kept, [4]any{v.Scan.ID, v.Kind, v.Complete, v.RetryAfter})
 		}
 	}
 	return kept
@@ -523,19 +525,19 @@
 		if watch {
 			other := maps.Clone(r.flat)
 			other["tableType.1.effect"], other["limit.dispatches"] = "non-replayable", 1.0
-			r.c.Watch(other)
+			r.c.SetShadowSettings(other)
 		}
 		r.step(0)
 		out := r.step(10, r.scan(1, 3000, 0))
 		p := parts(out)
 		require.Len(t, p, 1)
-		again := r.step(30, core.Ended{Ref: p[0].Ref, How: core.PeerClosed, At: r.now})
+		again := r.step(30, core.Ended{Ref: p[0].Ref, Reason: core.PeerClosed, At: r.now})
 		again = append(again, r.until(r.now+500)...)
 		require.Len(t, parts(again), 1, "sent again")
 		return r
 	}
 	plain, watched := run(false), run(true)
 	assert.Equal(t, plain.all, watched.all)
-	assert.Nil(t, plain.c.Counts.Differs)
-	assert.Equal(t, map[string]int{"effect": 1}, watched.c.Counts.Differs)
+	assert.Nil(t, plain.c.Counts.ShadowDiffs)
+	assert.Equal(t, map[string]int{"effect": 1}, watched.c.Counts.ShadowDiffs)
 }
--- a/internal/core/dispatches.go
+++ b/internal/core/dispatches.go
@@ -30,16 +30,16 @@
 		case logic.SetTimer:
 			c.schedule(timer{at: c.now + a.After, moduleTimer: a.Timer})
 		case logic.Subscribe:
-			c.emit(Watch{})
+			c.emit(SubscribeList{})
 		case logic.Probe:
 			c.probe(a.Node, false)
 		case logic.FleetBudgetDenied:
 			if c.limiter != nil {
-				c.Counts.Short++
-				c.limiter.Further() // the result does not matter: the request records that this broker needs more budget
+				c.Counts.BudgetDenied++
+				c.limiter.TakeFurther() // the result does not matter: the request records that this broker needs more budget
 			}
 		case logic.SendNote:
-			c.emit(Tell{Note: a.Note})
+			c.emit(SendNote{Note: a.Note})
 		case logic.OutcomeRecorded:
 			if at := c.knownNodes[a.Node]; at != nil {
 				how := logic.Overdue // no answer: the module's timeout has passed
@@ -48,7 +48,7 @@
 				} else if slices.Contains(c.failedNodes, a.Node) {
 					how = logic.Errored
 				}
-				c.emit(Judged{Host: at.host, Outcome: how, Late: a.Late})
+				c.emit(OutcomeReport{Host: at.host, Outcome: how, Late: a.Late})
 			}
 		case logic.WriteLog:
 			c.emit(Log{Text: a.Text})
@@ -69,14 +69,14 @@
 	p.outstanding = append(p.outstanding, sent)
 	c.dispatches[sent.ref] = sent
 	switch {
-	case p.attempts > c.settings.Dispatches || s.deadline <= c.now || sent.attempt > 0 && c.limiter != nil && !c.limiter.Further():
-		c.finish(sent, Ended{How: NeverSent, At: c.now})
+	case p.attempts > c.settings.Dispatches || s.deadline <= c.now || sent.attempt > 0 && c.limiter != nil && !c.limiter.TakeFurther():
+		c.finish(sent, Ended{Reason: NeverSent, At: c.now})
 		return
 	case at == nil || at.addr == "":
-		c.finish(sent, Ended{How: NoAddress, At: c.now})
+		c.finish(sent, Ended{Reason: NoAddress, At: c.now})
 		return
 	case a.After < 0:
-		c.finish(sent, Ended{How: OutOfTime, At: c.now})
+		c.finish(sent, Ended{Reason: TimedOut, At: c.now})
 		return
 	case a.After > 0:
 		sent.timeoutAt = min(sent.timeoutAt, c.now+a.After)
@@ -84,12 +84,12 @@
 	sent.host = at.host
 	c.Counts.Dispatches++
 	c.schedule(timer{at: sent.timeoutAt, sent: sent})
-	cp := CallPart{Ref: sent.ref, ID: s.ID + "." + strconv.Itoa(p.shard), Shard: p.shard, Until: sent.timeoutAt, Text: s.Text}
+	cp := CallPart{Ref: sent.ref, ID: s.ID + "." + strconv.Itoa(p.shard), Shard: p.shard, Deadline: sent.timeoutAt, Text: s.Text}
 	if c.settings.Types[s.TableType].Keyed {
 		cp.Key, cp.NotAfter = s.Key, c.notAfter(p)
 	}
 	if s.step == 2 {
-		cp.ID, cp.From, cp.Whole = cp.ID+".get", s.answeredShards, s.firstStepComplete
+		cp.ID, cp.AnsweredShards, cp.FirstStepComplete = cp.ID+".get", s.answeredShards, s.firstStepComplete
 	}
 	if i, begun := calls[a.Node]; begun {
 		if call := c.out[i].(Call); len(call.Parts) < max(1, c.settings.Batch) {
--- a/internal/core/endings.go
+++ b/internal/core/endings.go
@@ -10,8 +10,8 @@
 
 // recall ends an open dispatch whose answer is no longer needed, and cancels it at the node.
 func (c *Core) recall(d *dispatch) {
-	c.emit(GiveUp{Host: d.host, Ref: d.ref})
-	c.finish(d, Ended{How: TakenBack, At: c.now})
+	c.emit(Cancel{Host: d.host, Ref: d.ref})
+	c.finish(d, Ended{Reason: Recalled, At: c.now})
 }
 
 // endStep carries out the module's final action on the current step of a scan. The first answer of a two-step
@@ -24,7 +24,7 @@
 	r := Reply{Kind: a.Kind}
 	switch a.Kind {
 	case logic.Answer:
-		r.Whole = a.Whole
+		r.Complete = a.Whole
 		for _, p := range s.parts {
 			if p.answered {
 				r.Hits = append(r.Hits, Hit{p.shard, p.value})
@@ -74,8 +74,8 @@
 	switch r.Kind {
 	case logic.Answer:
 		c.Counts.Answered++
-		if r.Whole {
-			c.Counts.Whole++
+		if r.Complete {
+			c.Counts.Complete++
 		}
 	case logic.Throttle:
 		c.Counts.Throttled++
--- a/internal/core/ends.go
+++ b/internal/core/ends.go
@@ -4,26 +4,26 @@
 
 // EndReason is the reason why a dispatch ended, which includes the state of its connection. Outcome alone
 // defines how each reason is reported to the module.
-type End uint8
+type EndReason uint8
 
 const (
-	Answered      End = iota + 1 // the node returned a result
-	AnsweredError                // the node returned an error
-	TurnedAway                   // the node rejected it without running it
-	NoAddress                    // the list has no address that can be dialled
-	DialRefused                  // the connection was refused or reset
-	DialTimedOut                 // the connection was not established in time
-	NoRoom                       // the queue or the connections of the peer are full
-	TooLate                      // it waited for a connection until after the latest time at which it may be written
-	WriteBroke                   // the connection broke before the frame's last byte was written
-	PeerClosed                   // the node closed the connection while the dispatch was outstanding
-	ReadBroke                    // the connection broke while the dispatch was outstanding
-	BadFrame                     // the node sent an invalid frame, and the connection was closed
-	NotUsable                    // the node reported that it cannot use a frame, and closes the connection
-	OutOfTime                    // its timeout passed
-	TakenBack                    // the module recalled it, or its scan ended
-	NeverSent                    // its scan had ended, its deadline had passed, or the limit on dispatches was reached
-	Withdrawn                    // its node began to drain or left before the first byte of the frame was written
+	Answered      EndReason = iota + 1 // the node returned a result
+	AnsweredError                      // the node returned an error
+	Rejected                           // the node rejected it without running it
+	NoAddress                          // the list has no address that can be dialled
+	DialRefused                        // the connection was refused or reset
+	DialTimedOut                       // the connection was not established in time
+	QueueFull                          // the queue or the connections of the peer are full
+	WriteExpired                       // it waited for a connection until after the latest time at which it may be written
+	WriteFailed                        // the connection broke before the frame's last byte was written
+	PeerClosed                         // the node closed the connection while the dispatch was outstanding
+	ReadFailed                         // the connection broke while the dispatch was outstanding
+	BadFrame                           // the node sent an invalid frame, and the connection was closed
+	FrameRejected                      // the node reported that it cannot use a frame, and closes the connection
+	TimedOut                           // its timeout passed
+	Recalled                           // the module recalled it, or its scan ended
+	NeverSent                          // its scan had ended, its deadline had passed, or the limit on dispatches was reached
+	NodeRemoved                        // its node began to drain or left before the first byte of the frame was written
 )
 
 var endInfo = [...]struct {
@@ -32,27 +32,27 @@
 }{
 	Answered:      {"answered", logic.Completed},
 	AnsweredError: {"answered with an error", logic.Errored},
-	TurnedAway:    {"turned away", logic.Saturated},
+	Rejected:      {"turned away", logic.Saturated},
 	NoAddress:     {"no address", logic.ConnRefused},
 	DialRefused:   {"connection refused", logic.ConnRefused},
 	DialTimedOut:  {"connection timed out", logic.ConnRefused},
-	NoRoom:        {"no room", logic.ConnRefused},
-	TooLate:       {"too late to be written", logic.Superseded},
-	WriteBroke:    {"broke before it was written", logic.ConnRefused},
+	QueueFull:     {"no room", logic.ConnRefused},
+	WriteExpired:  {"too late to be written", logic.Superseded},
+	WriteFailed:   {"broke before it was written", logic.ConnRefused},
 	PeerClosed:    {"connection closed", logic.Severed},
-	ReadBroke:     {"connection broke", logic.Severed},
+	ReadFailed:    {"connection broke", logic.Severed},
 	BadFrame:      {"bad frame", logic.Severed},
-	NotUsable:     {"frame not usable", logic.Severed},
-	OutOfTime:     {"out of time", logic.Overdue},
-	TakenBack:     {"recalled", logic.Recalled},
+	FrameRejected: {"frame not usable", logic.Severed},
+	TimedOut:      {"out of time", logic.Overdue},
+	Recalled:      {"recalled", logic.Recalled},
 	NeverSent:     {"never sent", logic.Superseded},
-	Withdrawn:     {"withdrawn", logic.Superseded},
+	NodeRemoved:   {"withdrawn", logic.Superseded},
 }
 
 // Outcome returns the outcome that is reported to the module for e.
-func (e End) Outcome() logic.Outcome { return endInfo[e].outcome }
+func (e EndReason) Outcome() logic.Outcome { return endInfo[e].outcome }
 
-func (e End) String() string {
+func (e EndReason) String() string {
 	if int(e) < len(endInfo) && endInfo[e].word != "" {
 		return endInfo[e].word
 	}
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -28,7 +28,7 @@
 
 // SetCells confines all further scans to the cells of a plan, with limits by cell. A node counts as cold for that
 // many ms after its start; chance returns random numbers between 0 and 1.
-func (c *Core) Confine(plan cells.Plan, limits map[string]quota.Limits, coldTime, longestAfter float64, chance func() float64) {
+func (c *Core) SetCells(plan cells.Plan, limits map[string]quota.Limits, coldTime, longestAfter float64, chance func() float64) {
 	c.guard = &guard{plan: plan, sets: c.settings.Cells, coldTime: coldTime, limits: quota.New(c.settings.OpenCap, longestAfter, limits, chance)}
 	c.guard.applyNodes(c)
 }
@@ -72,7 +72,7 @@
 		c.guard.step(c.now, cells.ScanStarted{Version: r.verdict.Version})
 		return true
 	}
-	c.Counts.Confined++
+	c.Counts.CellThrottled++
 	c.Counts.Throttled++
 	c.reportRefusal(r, r.verdict.Reason)
 	reply := Reply{Scan: r, Kind: logic.Throttle, Why: r.verdict.Reason}
@@ -86,36 +86,36 @@
 // Limiter applies the limits that this broker shares with others. Its methods do not block. Cell is "" without
 // cells; lasts is the longest time, in ms, that the scan stays open.
 type Limiter interface {
-	Take(account, cell string, work, lasts float64) Ruling
+	Take(account, cell string, work, lasts float64) LimitDecision
 	// Retry decides again on a queued scan after LimitsChanged.
-	Again(account, cell string, work, lasts float64) Ruling
+	Retry(account, cell string, work, lasts float64) LimitDecision
 	Done(account, cell string, work float64)
 	// FleetBudget returns how many dispatches beyond the first of each part may be sent now; +Inf means no limit.
 	// TakeFurther takes one from it. It is also called for a dispatch that was not sent for lack of budget, so that
 	// budget moves to the brokers that need it.
-	Left() float64
-	Further() bool
+	FleetBudget() float64
+	TakeFurther() bool
 }
 
 // LimitDecision is the decision of a Limiter on a scan. A scan that is not admitted may be queued for Wait ms until
 // another broker lends the missing capacity. No scan is queued twice.
-type Ruling struct {
-	Taken       bool
-	Why         string
-	After, Wait float64
+type LimitDecision struct {
+	Admitted         bool
+	Why              string
+	RetryAfter, Wait float64
 }
 
 // queuedScan is a scan that waits for capacity of the shared limits.
 type queuedScan struct {
 	scan  *Scan
 	until float64
-	Ruling
+	LimitDecision
 }
 
 const maxQueued = 256
 
 // SetLimiter applies shared limits to all further scans.
-func (c *Core) Limit(l Limiter) { c.limiter = l }
+func (c *Core) SetLimiter(l Limiter) { c.limiter = l }
 
 // admittedByLimits reports whether the shared limits admit a scan. If not, the scan has been queued, or throttled and
 // its cell's capacity released.
@@ -124,7 +124,7 @@
 		return true
 	}
 	v := c.limiter.Take(r.Account, r.verdict.Cell, r.work, left)
-	if v.Taken {
+	if v.Admitted {
 		r.holdsLimits = true
 		return true
 	}
@@ -147,14 +147,14 @@
 			c.queued = append(c.queued, waits[i])
 			continue
 		}
-		left := w.scan.TimeLeft - max(0, c.now-w.scan.At)
-		v := c.limiter.Again(w.scan.Account, w.scan.verdict.Cell, w.scan.work, left)
+		left := w.scan.TimeLeft - max(0, c.now-w.scan.ReceivedAt)
+		v := c.limiter.Retry(w.scan.Account, w.scan.verdict.Cell, w.scan.work, left)
 		switch {
-		case v.Taken && left > 0 && c.byClientID[w.scan.ID] == nil:
+		case v.Admitted && left > 0 && c.byClientID[w.scan.ID] == nil:
 			w.scan.holdsLimits = true
 			c.admit(w.scan, left)
 		case over:
-			c.throttle(w.scan, w.Ruling)
+			c.throttle(w.scan, w.LimitDecision)
 		default:
 			c.queued = append(c.queued, waits[i])
 		}
@@ -173,15 +173,15 @@
 }
 
 // throttle rejects a scan that exceeds the shared limits.
-func (c *Core) throttle(r *Scan, v Ruling) {
+func (c *Core) throttle(r *Scan, v LimitDecision) {
 	c.guard.scanEnded(c.now, r)
 	r.verdict.Admitted = false
-	c.Counts.Limited++
+	c.Counts.LimitThrottled++
 	c.Counts.Throttled++
 	c.reportRefusal(r, v.Why)
 	reply := Reply{Scan: r, Kind: logic.Throttle, Why: v.Why}
 	if c.settings.RetryAfterAllowed {
-		reply.RetryAfter = v.After
+		reply.RetryAfter = v.RetryAfter
 	}
 	c.emit(reply)
 }
@@ -191,7 +191,7 @@
 	if c.limiter == nil || len(c.scans) == 0 {
 		return
 	}
-	if left := c.limiter.Left(); !math.IsInf(left, 1) {
+	if left := c.limiter.FleetBudget(); !math.IsInf(left, 1) {
 		c.events = append(c.events, logic.Event{Kind: logic.FleetBudgetChanged, Amount: left})
 	}
 }
@@ -254,6 +254,6 @@
 // reportRefusal emits the account of a scan that a limit refused, if brokers share outcomes.
 func (c *Core) reportRefusal(r *Scan, why string) {
 	if c.reportsOutcomes && r.Account != "" {
-		c.emit(HeldBack{Account: r.Account, Why: why})
+		c.emit(ScanRefused{Account: r.Account, Why: why})
 	}
 }
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -30,14 +30,14 @@
 		nodes = append(nodes, Node{Host: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Zone: "z", Kind: "std", Cell: i % 2, Readiness: logic.Ready, Units: 1})
 	}
 	c := New(site, flat, 1, nodes)
-	plan := cells.Plan{Cells: []cells.Cell{{Name: "a"}, {Name: "b"}}, Holders: 2, Least: 0.6, Pins: map[string]string{"bad": "a", "good": "b"}}
-	c.Confine(plan, map[string]quota.Limits{"a": {Open: 3}, "b": {Open: 3}}, 1000, 900, func() float64 { return 0 })
+	plan := cells.Plan{Cells: []cells.Cell{{Name: "a"}, {Name: "b"}}, Holders: 2, MinHolderShare: 0.6, Pins: map[string]string{"bad": "a", "good": "b"}}
+	c.SetCells(plan, map[string]quota.Limits{"a": {Open: 3}, "b": {Open: 3}}, 1000, 900, func() float64 { return 0 })
 	c.Step(1000, nil)
 	return c, nodes
 }
 
 func board(id, account string) *Scan {
-	return &Scan{ID: id, Account: account, Text: "t", TimeLeft: 2000, At: 1000, Parts: []ScanPart{{0, 0.5, 10}, {1, 0.5, 10}}}
+	return &Scan{ID: id, Account: account, Text: "t", TimeLeft: 2000, ReceivedAt: 1000, Parts: []ScanPart{{0, 0.5, 10}, {1, 0.5, 10}}}
 }
 
 // A tenant that exceeds the limit of its cell is throttled at once with a time to retry; the tenant of the other cell
@@ -66,7 +66,7 @@
 		}
 	}
 	assert.Equal(t, 7, throttled)
-	assert.Equal(t, 7, c.Counts.Confined)
+	assert.Equal(t, 7, c.Counts.CellThrottled)
 	for who, cell := range map[string]string{"bad": "a", "good": "b"} {
 		assert.NotEmpty(t, hosts[who], who)
 		for h := range hosts[who] {
@@ -74,8 +74,8 @@
 		}
 	}
 	first := in[0].(*Scan)
-	c.Step(1010, []Input{Left{first}, board("again", "bad")})
-	assert.Equal(t, 7, c.Counts.Confined, "its capacity is free again")
+	c.Step(1010, []Input{ClientLeft{first}, board("again", "bad")})
+	assert.Equal(t, 7, c.Counts.CellThrottled, "its capacity is free again")
 	assert.Equal(t, 3, c.Cells()[0].Open)
 	c.Step(4000, nil)
 	c.Step(4005, nil)
@@ -106,7 +106,7 @@
 	assert.Equal(t, want, away)
 	assert.True(t, c.Cells()[0].Lost)
 	empty := New(c.settings, nil, 1, nil)
-	empty.Confine(cells.Plan{Cells: []cells.Cell{{Name: "a"}}}, map[string]quota.Limits{"a": {}}, 0, 0, func() float64 { return 0 })
+	empty.SetCells(cells.Plan{Cells: []cells.Cell{{Name: "a"}}}, map[string]quota.Limits{"a": {}}, 0, 0, func() float64 { return 0 })
 	out := step(empty, 1000, board("x", "t"))
 	require.Len(t, out, 1)
 	assert.Contains(t, out[0].(Reply).Why, "no cell can be laid out")
@@ -115,20 +115,20 @@
 // openLimiter limits the number of open scans over all cells and tenants.
 type openLimiter struct{ open, maxOpen, done int }
 
-func (l *openLimiter) Take(account, cell string, work, lasts float64) Ruling {
+func (l *openLimiter) Take(account, cell string, work, lasts float64) LimitDecision {
 	if l.open >= l.maxOpen {
-		return Ruling{Why: "the fleet's limit few", After: 300}
+		return LimitDecision{Why: "the fleet's limit few", RetryAfter: 300}
 	}
 	l.open++
-	return Ruling{Taken: true}
+	return LimitDecision{Admitted: true}
 }
 
-func (l *openLimiter) Again(account, cell string, work, lasts float64) Ruling {
+func (l *openLimiter) Retry(account, cell string, work, lasts float64) LimitDecision {
 	return l.Take(account, cell, work, lasts)
 }
 
-func (l *openLimiter) Left() float64 { return math.Inf(1) }
-func (l *openLimiter) Further() bool { return true }
+func (l *openLimiter) FleetBudget() float64 { return math.Inf(1) }
+func (l *openLimiter) TakeFurther() bool    { return true }
 
 func (l *openLimiter) Done(account, cell string, work float64) { l.open, l.done = l.open-1, l.done+1 }
 
@@ -137,7 +137,7 @@
 func TestLimited(t *testing.T) {
 	c, _ := confinedCore(t)
 	l := &openLimiter{maxOpen: 2}
-	c.Limit(l)
+	c.SetLimiter(l)
 	var in []Input
 	for i := range 5 {
 		in = append(in, board(fmt.Sprint("q", i), "bad"))
@@ -152,9 +152,9 @@
 		}
 	}
 	assert.Equal(t, 3, throttled)
-	assert.Equal(t, 3, c.Counts.Limited)
+	assert.Equal(t, 3, c.Counts.LimitThrottled)
 	assert.Equal(t, 2, c.Cells()[0].Open, "refused scans hold no capacity of the cell")
-	c.Step(1010, []Input{Left{in[0].(*Scan)}})
+	c.Step(1010, []Input{ClientLeft{in[0].(*Scan)}})
 	assert.Equal(t, openLimiter{1, 2, 1}, *l)
 	c.Step(4000, nil)
 	c.Step(4005, nil)
@@ -168,8 +168,8 @@
 	requests int
 }
 
-func (l *budgetLimiter) Left() float64 { return l.left }
-func (l *budgetLimiter) Further() bool {
+func (l *budgetLimiter) FleetBudget() float64 { return l.left }
+func (l *budgetLimiter) TakeFurther() bool {
 	if l.requests++; l.left < 1 {
 		return false
 	}
@@ -183,7 +183,7 @@
 	for left, want := range map[float64]int{0: 0, 1: 0, 2: 2} {
 		c, _ := confinedCore(t)
 		l := &budgetLimiter{openLimiter: openLimiter{maxOpen: 9}, left: left}
-		c.Limit(l)
+		c.SetLimiter(l)
 		sent, answered := 0, 0
 		play := func(now float64, in ...Input) (refs []int64) {
 			for _, o := range c.Step(now, in) {
@@ -205,7 +205,7 @@
 		for now := 1020.0; now < 1200 && answered == 0; now += 5 {
 			var in []Input
 			for _, r := range refs {
-				in = append(in, Ended{Ref: r, How: AnsweredError, At: now})
+				in = append(in, Ended{Ref: r, Reason: AnsweredError, At: now})
 			}
 			refs = play(now, in...)
 		}
@@ -215,7 +215,7 @@
 			assert.Equal(t, 1, answered, "at once")
 		}
 		if left < 2 { // a budget of one would not save the scan and is not spent
-			assert.Positive(t, c.Counts.Short)
+			assert.Positive(t, c.Counts.BudgetDenied)
 		}
 	}
 }
@@ -223,7 +223,7 @@
 // queueingLimiter queues the scans that it does not admit.
 type queueingLimiter struct{ openLimiter }
 
-func (l *queueingLimiter) Take(account, cell string, work, lasts float64) Ruling {
+func (l *queueingLimiter) Take(account, cell string, work, lasts float64) LimitDecision {
 	v := l.openLimiter.Take(account, cell, work, lasts)
 	v.Wait = 25
 	return v
@@ -234,7 +234,7 @@
 func TestQueuedScans(t *testing.T) {
 	c, _ := confinedCore(t)
 	l := &queueingLimiter{}
-	c.Limit(l)
+	c.SetLimiter(l)
 	play := func(now float64, in ...Input) (replies, calls int) {
 		for _, o := range c.Step(now, in) {
 			switch v := o.(type) {
@@ -251,7 +251,7 @@
 	replies, calls := play(1010, board("x", "good"), board("y", "good"), gone)
 	assert.Zero(t, replies+calls, "all are queued")
 	l.maxOpen = 1
-	replies, calls = play(1015, LimitsMoved{}, Left{gone})
+	replies, calls = play(1015, LimitsChanged{}, ClientLeft{gone})
 	assert.Zero(t, replies)
 	assert.Positive(t, calls, "one is admitted")
 	replies, _ = play(1034)
@@ -265,6 +265,6 @@
 	}
 	assert.Equal(t, 1, open, "the cells count only the open scan")
 	c.Step(1040, []Input{board("w", "good")})
-	replies, _ = play(1041, Closing{})
+	replies, _ = play(1041, Shutdown{})
 	assert.Equal(t, 2, replies, "every scan gets a reply")
 }
--- a/internal/core/nodes.go
+++ b/internal/core/nodes.go
@@ -38,7 +38,7 @@
 		for num, at := range c.knownNodes {
 			if !named[num] && !at.gone {
 				at.gone, at.ready = true, false
-				c.emit(Move{Host: at.host, Addr: at.addr, Gone: true})
+				c.emit(NodeChange{Host: at.host, Addr: at.addr, Gone: true})
 			}
 		}
 	}
@@ -58,13 +58,13 @@
 	at.node, at.zone, at.cell, at.born = listed, n.Zone, n.Cell, n.Born
 	at.addr, at.ready, at.gone = cmp.Or(n.Addr, at.addr), ready, gone
 	if moved {
-		c.emit(Move{Host: at.host, Addr: at.addr, Draining: !ready && !gone, Gone: gone})
+		c.emit(NodeChange{Host: at.host, Addr: at.addr, Draining: !ready && !gone, Gone: gone})
 	}
 }
 
 // nodeList returns the nodes that may be probed and all nodes of the list, sorted by name.
-func (c *Core) nodeList() Listed {
-	var l Listed
+func (c *Core) nodeList() NodeList {
+	var l NodeList
 	for _, host := range slices.Sorted(maps.Keys(c.numbers)) {
 		at := c.knownNodes[c.numbers[host]]
 		if at.ready {
@@ -79,7 +79,7 @@
 
 // applyVerdict passes a verdict to the module. A node drained by an operator is reported as draining, as if by the
 // list: it gets no new dispatches, and outstanding ones may finish.
-func (c *Core) applyVerdict(v Held) {
+func (c *Core) applyVerdict(v NodeVerdict) {
 	num, known := c.numbers[v.Host]
 	if was := c.drained[v.Host]; was != v.Drained {
 		if delete(c.drained, v.Host); v.Drained {
@@ -98,10 +98,10 @@
 }
 
 // ReportOutcomes makes the core emit the outcomes of dispatches.
-func (c *Core) Judge() { c.reportsOutcomes = true }
+func (c *Core) ReportOutcomes() { c.reportsOutcomes = true }
 
 // ReportList makes the core emit the node list on each change, and returns the current one.
-func (c *Core) Share() Listed {
+func (c *Core) ReportList() NodeList {
 	c.reportsList = true
 	return c.nodeList()
 }
--- a/internal/core/probe_test.go
+++ b/internal/core/probe_test.go
@@ -16,8 +16,8 @@
 		now  float64
 		want logic.Outcome
 	}{
-		"answered":      {[]Ended{{How: Answered, At: 1040, Load: map[string]float64{"busy": 1}}, {How: ReadBroke}}, 1050, logic.Completed},
-		"no connection": {[]Ended{{How: DialRefused, At: 1040}}, 1050, logic.ConnRefused},
+		"answered":      {[]Ended{{Reason: Answered, At: 1040, Load: map[string]float64{"busy": 1}}, {Reason: ReadFailed}}, 1050, logic.Completed},
+		"no connection": {[]Ended{{Reason: DialRefused, At: 1040}}, 1050, logic.ConnRefused},
 		"silent":        {nil, 1250, logic.Overdue},
 	} {
 		list := []Node{{Host: "s-a", Addr: "127.0.0.1:2"}}
@@ -34,7 +34,7 @@
 		}
 		if len(c.ends) == 0 {
 			k.fire(k.timers[0])
-			k.dispatchEnded(Ended{Ref: p.Ref, How: Answered})
+			k.dispatchEnded(Ended{Ref: p.Ref, Reason: Answered})
 		}
 		if assert.Len(t, k.events, 1, name) {
 			e := k.events[0]
--- a/internal/core/probes.go
+++ b/internal/core/probes.go
@@ -9,7 +9,7 @@
 	ref, at := c.number(), c.knownNodes[num]
 	c.probes[ref] = probe{node: num, at: c.now, shared: shared}
 	if at == nil || at.addr == "" {
-		c.probeEnded(Ended{Ref: ref, How: NoAddress, At: c.now})
+		c.probeEnded(Ended{Ref: ref, Reason: NoAddress, At: c.now})
 		return
 	}
 	c.schedule(timer{at: c.now + c.settings.ConnectTimeout, probe: ref})
@@ -21,10 +21,10 @@
 	p, out := c.probes[e.Ref]
 	if out {
 		delete(c.probes, e.Ref)
-		c.events = append(c.events, logic.Event{Kind: logic.ProbeEnded, Node: p.node, Outcome: e.How.Outcome(),
+		c.events = append(c.events, logic.Event{Kind: logic.ProbeEnded, Node: p.node, Outcome: e.Reason.Outcome(),
 			Elapsed: max(0, e.At-p.at), Load: e.Load})
 		if at := c.knownNodes[p.node]; p.shared && at != nil {
-			c.emit(Probed{Host: at.host, Served: e.How == Answered, Load: e.Load})
+			c.emit(ProbeResult{Host: at.host, Served: e.Reason == Answered, Load: e.Load})
 		}
 	}
 	return out
@@ -35,7 +35,7 @@
 func (c *Core) probeForPeers(host string) {
 	num, known := c.numbers[host]
 	if !known || !c.knownNodes[num].ready {
-		c.emit(Probed{Host: host})
+		c.emit(ProbeResult{Host: host})
 		return
 	}
 	c.probe(num, true)
@@ -43,7 +43,7 @@
 
 // applyPeerProbe passes the result of another broker's probe to the module with its age. Results for unknown nodes are
 // dropped.
-func (c *Core) applyPeerProbe(v ProbeHeard) {
+func (c *Core) applyPeerProbe(v PeerProbe) {
 	num, known := c.numbers[v.Host]
 	if !known || c.knownNodes[num].gone {
 		return
--- a/internal/core/scans.go
+++ b/internal/core/scans.go
@@ -21,9 +21,9 @@
 		return
 	}
 	size := 1 + len(r.Parts)
-	left := r.TimeLeft - max(0, c.now-r.At)
+	left := r.TimeLeft - max(0, c.now-r.ReceivedAt)
 	if c.settings.OpenCap > 0 && c.open+size > c.settings.OpenCap {
-		c.Counts.Full++
+		c.Counts.OverCapacity++
 		c.Counts.Throttled++
 		c.emit(Reply{Scan: r, Kind: logic.Throttle, Why: "too many scans open"})
 		return
@@ -109,7 +109,7 @@
 		return
 	}
 	if d == nil || d.finished {
-		c.Counts.Late++
+		c.Counts.LateEnds++
 		return
 	}
 	c.finish(d, e)
@@ -121,20 +121,20 @@
 	d.finished = true
 	delete(c.dispatches, d.ref)
 	p.outstanding = slices.DeleteFunc(p.outstanding, func(o *dispatch) bool { return o == d })
-	c.Counts.Ends[e.How]++
-	if e.How == Answered && !p.answered {
+	c.Counts.Ends[e.Reason]++
+	if e.Reason == Answered && !p.answered {
 		p.answered, p.value, p.score = true, e.Value, e.Score
 	}
-	if o := e.How.Outcome(); p.firstRunAt == 0 && o != logic.Saturated && o != logic.ConnRefused && o != logic.Superseded {
+	if o := e.Reason.Outcome(); p.firstRunAt == 0 && o != logic.Saturated && o != logic.ConnRefused && o != logic.Superseded {
 		p.firstRunAt = d.at
 	}
-	if c.reportsOutcomes && e.How == TurnedAway {
-		c.emit(Judged{Host: d.host, Outcome: logic.Saturated})
+	if c.reportsOutcomes && e.Reason == Rejected {
+		c.emit(OutcomeReport{Host: d.host, Outcome: logic.Saturated})
 	}
 	open := c.parts[p.id] == p
 	event := logic.Event{Kind: logic.DispatchEnded, ID: p.id, Dispatch: d.attempt, Node: d.node,
-		Outcome: e.How.Outcome(), Elapsed: max(0, e.At-d.at), Closed: p.answered || !open, Load: e.Load}
-	if open && (e.How == OutOfTime || e.How == TakenBack) {
+		Outcome: e.Reason.Outcome(), Elapsed: max(0, e.At-d.at), Closed: p.answered || !open, Load: e.Load}
+	if open && (e.Reason == TimedOut || e.Reason == Recalled) {
 		c.schedule(timer{at: c.now + recallDelay, event: &event}) // the node gets the cancellation now, the module is informed after recallDelay
 		return
 	}
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -17,7 +17,7 @@
 	Account       string // the tenant's name as the client states it; "" is a tenant too
 	Repeat        bool
 	TimeLeft      float64 // how long the client waits, in ms from ReceivedAt
-	At            float64 // clock time at which the first byte was read
+	ReceivedAt    float64 // clock time at which the first byte was read
 	Parts         []ScanPart
 	Client        any // for the front's use only
 
@@ -35,20 +35,20 @@
 }
 
 // ClientLeft reports that the client of a scan has disconnected.
-type Left struct{ Scan *Scan }
+type ClientLeft struct{ Scan *Scan }
 
 // Ended reports why and when a dispatch or a probe ended.
 type Ended struct {
-	Ref   int64
-	How   End
-	At    float64
-	Score float64
-	Value string
-	Load  map[string]float64
+	Ref    int64
+	Reason EndReason
+	At     float64
+	Score  float64
+	Value  string
+	Load   map[string]float64
 }
 
 // Shutdown reports that the broker stops now: each open scan gets its reply.
-type Closing struct{}
+type Shutdown struct{}
 
 // List is a list of nodes, or a change of one, from discovery.
 type List struct {
@@ -65,10 +65,10 @@
 }
 
 // ProbeRequest requests the probe of a node on behalf of all brokers that share this duty. It is answered by ProbeResult.
-type ProbeFor struct{ Host string }
+type ProbeRequest struct{ Host string }
 
 // PeerProbe is the result of another broker's probe of a node. Load is set if the node answered (Served).
-type ProbeHeard struct {
+type PeerProbe struct {
 	Host   string
 	Age    float64 // ms since the probe
 	Served bool
@@ -76,15 +76,15 @@
 }
 
 // LimitsChanged reports that the Limiter may have capacity for queued scans.
-type LimitsMoved struct{}
+type LimitsChanged struct{}
 
 // PeerNote is a note from the module of another broker.
-type Told struct{ Note []byte }
+type PeerNote struct{ Note []byte }
 
 // NodeVerdict is a verdict of several brokers, or of an operator, on a node. Outcome is 0 if there is nothing to
 // report to the module; Age is the time in ms since the newest observation behind it. Drained means that an operator
 // drains the node: it gets no new dispatches.
-type Held struct {
+type NodeVerdict struct {
 	Host    string
 	Outcome logic.Outcome
 	Age     float64
@@ -92,7 +92,7 @@
 }
 
 // CellsQuery queries the state of the cells. Reply must have a buffer of one.
-type AskCells struct{ Reply chan<- []CellView }
+type CellsQuery struct{ Reply chan<- []CellView }
 
 // Output is an output of the core: Call, Cancel, Probe, ProbeResult, NodeList, Reply, NodeChange, SubscribeList, SendNote,
 // OutcomeReport, ScanRefused or Log.
@@ -106,18 +106,18 @@
 
 // CallPart is one part in a Call.
 type CallPart struct {
-	Ref       int64 // number of the dispatch; never reused
-	ID        string
-	Shard     int
-	Until     float64 // clock time at which the dispatch times out
-	NotAfter  float64 // clock time after which it must not be written; 0 means no limit
-	Key, From string  // From: the shards that answered the first step, for a second step
-	Whole     bool
-	Text      string
+	Ref                 int64 // number of the dispatch; never reused
+	ID                  string
+	Shard               int
+	Deadline            float64 // clock time at which the dispatch times out
+	NotAfter            float64 // clock time after which it must not be written; 0 means no limit
+	Key, AnsweredShards string  // From: the shards that answered the first step, for a second step
+	FirstStepComplete   bool
+	Text                string
 }
 
 // Cancel tells a node that the result of a dispatch is no longer needed.
-type GiveUp struct {
+type Cancel struct {
 	Host string
 	Ref  int64
 }
@@ -129,7 +129,7 @@
 }
 
 // ProbeResult is the result of a ProbeRequest.
-type Probed struct {
+type ProbeResult struct {
 	Host   string
 	Served bool
 	Load   map[string]float64
@@ -137,29 +137,29 @@
 
 // NodeList holds the names of the nodes that may be probed and all nodes of the list. It is emitted after each change
 // of the list once Core.ReportList was called.
-type Listed struct {
+type NodeList struct {
 	Hosts []string
 	Nodes []Node
 }
 
 // SendNote is a note to the modules of all other brokers.
-type Tell struct{ Note []byte }
+type SendNote struct{ Note []byte }
 
 // OutcomeReport is an outcome that the module counts for or against a node, or the fact that a node rejected a part.
-type Judged struct {
+type OutcomeReport struct {
 	Host    string
 	Outcome logic.Outcome
 	Late    bool // it completed, but after its target
 }
 
 // ScanRefused reports a scan that a limit refused.
-type HeldBack struct{ Account, Why string }
+type ScanRefused struct{ Account, Why string }
 
 // Reply is the one reply to a scan.
 type Reply struct {
 	Scan       *Scan
 	Kind       logic.ActionKind // Answer, Throttle or Abandon
-	Whole      bool
+	Complete   bool
 	Hits       []Hit
 	RetryAfter float64 // ms; 0 means none
 	Why        string  // reason for the client; may be empty
@@ -173,14 +173,14 @@
 }
 
 // NodeChange reports that a node has a new address, that it drains and gets no new dispatches, or that it is gone.
-type Move struct {
+type NodeChange struct {
 	Host, Addr string
 	Draining   bool
 	Gone       bool
 }
 
 // SubscribeList requests the node list from discovery.
-type Watch struct{}
+type SubscribeList struct{}
 
 // Log is a log line of the module. Fatal means that the module cannot continue.
 type Log struct {
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -131,7 +131,7 @@
 		}
 		left := a.budget - (w.now - a.began)
 		id := strconv.FormatInt(a.n, 36) + "-" + strconv.Itoa(a.tries)
-		t.sc = &core.Scan{ID: id, Key: a.key, Text: a.text, TableType: a.typ, Tenant: a.tenant, Account: tenantName(a.tenant), TimeLeft: left, At: epoch + w.now, Client: t}
+		t.sc = &core.Scan{ID: id, Key: a.key, Text: a.text, TableType: a.typ, Tenant: a.tenant, Account: tenantName(a.tenant), TimeLeft: left, ReceivedAt: epoch + w.now, Client: t}
 		t.sc.Parts = slices.Clone(a.parts)
 		s.open[id] = t
 		w.Judge.taken(w.now, s.n, t.sc, &w.Fleet.Types[a.typ])
@@ -167,7 +167,7 @@
 		typ := &w.Fleet.Types[t.a.typ]
 		took, benefit := w.now-t.a.began, t.a.benefit
 		got := 1.0
-		if !r.Whole && typ.Fetch == 0 {
+		if !r.Complete && typ.Fetch == 0 {
 			got = typ.Partial * float64(len(r.Hits)) / float64(len(t.a.parts)) / max(typ.Need, 0.001)
 		}
 		late := took > typ.Target
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -63,7 +63,7 @@
 
 // plan is the map's, and the limits of each cell.
 func (c Cells) plan() (cells.Plan, map[string]quota.Limits) {
-	p, limits := cells.Plan{Holders: c.Holders, Least: c.Least}, map[string]quota.Limits{}
+	p, limits := cells.Plan{Holders: c.Holders, MinHolderShare: c.Least}, map[string]quota.Limits{}
 	for i := range c.Count {
 		p.Cells = append(p.Cells, cells.Cell{Name: cellName(i)})
 		limits[cellName(i)] = quota.Limits{Open: c.Open, Rate: c.Rate, Burst: c.Rate / 5}
--- a/internal/emulator/judge.go
+++ b/internal/emulator/judge.go
@@ -273,7 +273,7 @@
 	if s == nil || r.Conflict {
 		return
 	}
-	s.note(at, "answered: kind %d, whole %v, %d values", r.Kind, r.Whole, len(r.Hits))
+	s.note(at, "answered: kind %d, whole %v, %d values", r.Kind, r.Complete, len(r.Hits))
 	if s.answered {
 		j.breach(at, RuleLost, s, "a second answer")
 		return
@@ -312,10 +312,10 @@
 		got += weight
 	}
 	switch {
-	case second && r.Whole && len(r.Hits) < min(s.typ.Fetch, len(s.shards)):
+	case second && r.Complete && len(r.Hits) < min(s.typ.Fetch, len(s.shards)):
 		j.breach(at, RuleHonest, s, "marked whole with %d of %d", len(r.Hits), s.typ.Fetch)
 	case second:
-	case r.Whole && got < s.typ.Need-0.001:
+	case r.Complete && got < s.typ.Need-0.001:
 		j.breach(at, RuleHonest, s, "marked whole with %.3f of %.3f", got, s.typ.Need)
 	case got < min(s.typ.Floor, s.typ.Need)-0.001:
 		j.breach(at, RuleHonest, s, "answered from %.3f, the least is %.3f", got, s.typ.Floor)
--- a/internal/emulator/plain.go
+++ b/internal/emulator/plain.go
@@ -157,9 +157,9 @@
 	q.tries++
 	p.refs[q.ref] = q
 	p.out[host]++
-	cp := core.CallPart{Ref: q.ref, ID: q.s.ID + "." + strconv.Itoa(q.shard), Shard: q.shard, Until: q.s.ends, Key: q.s.Key, Text: q.s.Text}
+	cp := core.CallPart{Ref: q.ref, ID: q.s.ID + "." + strconv.Itoa(q.shard), Shard: q.shard, Deadline: q.s.ends, Key: q.s.Key, Text: q.s.Text}
 	if q.s.step == 2 {
-		cp.ID, cp.From = cp.ID+".get", q.s.from
+		cp.ID, cp.AnsweredShards = cp.ID+".get", q.s.from
 	}
 	if i, begun := p.calls[host]; begun {
 		if c := p.outs[i].(core.Call); len(c.Parts) < p.f.Batch {
@@ -185,8 +185,8 @@
 	if p.scans[s.ID] != s || q.ref != e.Ref || q.in {
 		return
 	}
-	if e.How != core.Answered {
-		never := e.How.Outcome() == logic.ConnRefused || e.How.Outcome() == logic.Saturated
+	if e.Reason != core.Answered {
+		never := e.Reason.Outcome() == logic.ConnRefused || e.Reason.Outcome() == logic.Saturated
 		if q.tries < min(2, p.f.Dispatches) && (never || s.typ.Effect == "replayable") {
 			p.again = append(p.again, q)
 		}
@@ -219,12 +219,12 @@
 
 func (p *plain) end(s *plainScan, kind logic.ActionKind, whole bool) {
 	delete(p.scans, s.ID)
-	r := core.Reply{Scan: s.Scan, Kind: kind, Whole: whole}
+	r := core.Reply{Scan: s.Scan, Kind: kind, Complete: whole}
 	for _, q := range s.parts {
 		if q.in {
 			r.Hits = append(r.Hits, core.Hit{Shard: q.shard, Value: q.value})
 		} else if p.refs[q.ref] == q {
-			p.outs = append(p.outs, core.GiveUp{Host: q.host, Ref: q.ref})
+			p.outs = append(p.outs, core.Cancel{Host: q.host, Ref: q.ref})
 			delete(p.refs, q.ref)
 			if p.out[q.host]--; p.out[q.host] <= 0 {
 				delete(p.out, q.host)
--- a/internal/emulator/shared.go
+++ b/internal/emulator/shared.go
@@ -69,7 +69,7 @@
 		limits = append(limits, l.shared())
 	}
 	s.limits = &limiter{w: w, s: s, boot: s.boot, dueAt: math.Inf(1), core: shares.New(r, limits, rand.New(rand.NewPCG(seed, 0x11a17)).Float64)}
-	c.Limit(s.limits)
+	c.SetLimiter(s.limits)
 	s.limits.step()
 }
 
@@ -85,25 +85,25 @@
 	return l.uses
 }
 
-func (l *limiter) Take(account, cell string, _, lasts float64) core.Ruling {
+func (l *limiter) Take(account, cell string, _, lasts float64) core.LimitDecision {
 	return l.rule(l.core.Take(l.w.now, l.asked(account, cell), lasts+slack))
 }
 
-func (l *limiter) Again(account, cell string, _, lasts float64) core.Ruling {
+func (l *limiter) Retry(account, cell string, _, lasts float64) core.LimitDecision {
 	return l.rule(l.core.Again(l.w.now, l.asked(account, cell), lasts+slack))
 }
 
-func (l *limiter) rule(v shares.Verdict) core.Ruling {
+func (l *limiter) rule(v shares.Verdict) core.LimitDecision {
 	l.plan()
 	if v.Taken {
-		return core.Ruling{Taken: true}
+		return core.LimitDecision{Admitted: true}
 	}
-	return core.Ruling{Why: "the fleet's limit " + l.w.Fleet.Limits[v.Limit].Name, After: v.After, Wait: v.Wait}
+	return core.LimitDecision{Why: "the fleet's limit " + l.w.Fleet.Limits[v.Limit].Name, RetryAfter: v.After, Wait: v.Wait}
 }
 
 // Left and Further: the emulated fleet has no budget of further dispatches but each broker's own.
-func (l *limiter) Left() float64 { return math.Inf(1) }
-func (l *limiter) Further() bool { return true }
+func (l *limiter) FleetBudget() float64 { return math.Inf(1) }
+func (l *limiter) TakeFurther() bool    { return true }
 
 func (l *limiter) Done(account, cell string, _ float64) {
 	l.core.Done(l.w.now, l.asked(account, cell))
@@ -141,7 +141,7 @@
 		}
 	}
 	if l.core.Came() {
-		l.w.tell(l.s, l.boot, core.LimitsMoved{})
+		l.w.tell(l.s, l.boot, core.LimitsChanged{})
 	}
 	l.plan()
 }
@@ -266,12 +266,12 @@
 			v.Living = append(v.Living, verdicts.Member{Name: brokerName(i), Zone: w.Fleet.Zones[i%len(w.Fleet.Zones)]})
 		}
 	}
-	c.Judge()
-	s.verdicts.list(c.Share())
+	c.ReportOutcomes()
+	s.verdicts.list(c.ReportList())
 	s.verdicts.step(v)
 }
 
-func (h *holder) list(l core.Listed) {
+func (h *holder) list(l core.NodeList) {
 	if h == nil {
 		return
 	}
@@ -296,7 +296,7 @@
 				}
 			}
 		case verdicts.Verdict:
-			h.w.tell(h.s, h.boot, broker.Held(v))
+			h.w.tell(h.s, h.boot, broker.ToNodeVerdict(v))
 		}
 	}
 	if at := max(h.core.Due(), h.w.now); !math.IsInf(at, 1) {
@@ -313,7 +313,7 @@
 func (w *World) noteAll(from *seat, note []byte) {
 	for _, s := range w.seats {
 		if s.n != from.n {
-			w.between(from, s, func() { w.tell(s, s.boot, core.Told{Note: note}) })
+			w.between(from, s, func() { w.tell(s, s.boot, core.PeerNote{Note: note}) })
 		}
 	}
 }
--- a/internal/emulator/wire.go
+++ b/internal/emulator/wire.go
@@ -148,7 +148,7 @@
 		if err := json.Unmarshal(text, &body); err != nil {
 			return r, true, fmt.Errorf("%w: %v", errWire, err)
 		}
-		r.Kind, r.Whole = logic.Answer, body.AllIn
+		r.Kind, r.Complete = logic.Answer, body.AllIn
 		for _, m := range body.Matches {
 			r.Hits = append(r.Hits, core.Hit{Shard: m.Segment, Value: m.Payload})
 		}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -38,7 +38,7 @@
 	c := core.New(site, flat, seed, known)
 	if f.Confined.Count > 0 {
 		plan, limits := f.Confined.plan()
-		c.Confine(plan, limits, f.Nature.Cold, f.MaxRetryAfter, rand.New(rand.NewPCG(seed, 0xce11)).Float64)
+		c.SetCells(plan, limits, f.Nature.Cold, f.MaxRetryAfter, rand.New(rand.NewPCG(seed, 0xce11)).Float64)
 	}
 	return c, nil
 }
@@ -275,8 +275,8 @@
 	for _, s := range w.Stores {
 		stores = append(stores, cells.Store{Name: s.Name, Zone: w.Fleet.Zones[s.Zone], Set: s.Cell})
 	}
-	if m, err := cells.Make(1, plan, stores, w.Fleet.Cells, nil); err == nil {
-		return m.Of
+	if m, err := cells.Build(1, plan, stores, w.Fleet.Cells, nil); err == nil {
+		return m.CellOf
 	}
 	return func(tenant string) string { return tenant }
 }
@@ -331,17 +331,17 @@
 		switch v := o.(type) {
 		case core.Call:
 			w.call(s, v)
-		case core.GiveUp:
+		case core.Cancel:
 			w.giveUp(s, v)
 		case core.Reply:
 			w.reply(s, v)
 		case core.Probe:
 			w.probe(s, v)
-		case core.Tell:
+		case core.SendNote:
 			w.noteAll(s, v.Note)
-		case core.Judged:
-			s.verdicts.step(verdicts.Saw{Store: v.Host, Kind: broker.Seen(v)})
-		case core.Listed:
+		case core.OutcomeReport:
+			s.verdicts.step(verdicts.Saw{Store: v.Host, Kind: broker.ToVerdictKind(v)})
+		case core.NodeList:
 			s.verdicts.list(v)
 		case core.Log:
 			if v.Fatal {
@@ -426,7 +426,7 @@
 	st, boot := w.Stores[i], s.boot
 	there, lost := w.way(s.zone, st.Zone)
 	back, lostBack := w.way(st.Zone, s.zone)
-	done := func(how core.End) {
+	done := func(how core.EndReason) {
 		l.dialing = false
 		waiting := l.waiting
 		l.waiting = nil
@@ -459,9 +459,9 @@
 	})
 }
 
-func (w *World) endAll(s *seat, boot int, parts []core.CallPart, how core.End) {
+func (w *World) endAll(s *seat, boot int, parts []core.CallPart, how core.EndReason) {
 	for _, p := range parts {
-		w.tell(s, boot, core.Ended{Ref: p.Ref, How: how, At: epoch + w.now})
+		w.tell(s, boot, core.Ended{Ref: p.Ref, Reason: how, At: epoch + w.now})
 	}
 }
 
@@ -472,7 +472,7 @@
 	live := c.Parts[:0:0]
 	for _, p := range c.Parts {
 		if p.NotAfter > 0 && epoch+w.now > p.NotAfter {
-			w.tell(s, s.boot, core.Ended{Ref: p.Ref, How: core.TooLate, At: epoch + w.now})
+			w.tell(s, s.boot, core.Ended{Ref: p.Ref, Reason: core.WriteExpired, At: epoch + w.now})
 		} else {
 			live = append(live, p)
 		}
@@ -483,7 +483,7 @@
 	for _, p := range live {
 		scan, second := scanOf(p.ID)
 		fl := &flight{seat: s.n, boot: s.boot, store: i, link: gen, scan: scan, second: second}
-		fl.part = &Part{ID: p.ID, Ref: p.Ref<<16 | int64(s.n)&0xffff, Broker: s.n, Shard: p.Shard, Until: p.Until - epoch, Text: p.Text}
+		fl.part = &Part{ID: p.ID, Ref: p.Ref<<16 | int64(s.n)&0xffff, Broker: s.n, Shard: p.Shard, Until: p.Deadline - epoch, Text: p.Text}
 		if p.Key != "" {
 			fl.part.Key = p.Key + "/" + strconv.Itoa(p.Shard)
 		}
@@ -603,18 +603,18 @@
 		e := core.Ended{Ref: fl.part.Ref >> 16, At: epoch + w.now}
 		switch d.How {
 		case Served:
-			e.How, e.Value, e.Score = core.Answered, Value(fl.part.Shard, fl.part.Text, fl.second), Score(fl.part.Shard, fl.part.Text)
+			e.Reason, e.Value, e.Score = core.Answered, Value(fl.part.Shard, fl.part.Text, fl.second), Score(fl.part.Shard, fl.part.Text)
 			e.Load = map[string]float64{"running": load.Running, "waiting": load.Waiting, "busy": load.Busy}
 			w.Judge.came(fl.scan, fl.part.Shard, fl.second)
 		case Failed:
-			e.How = core.AnsweredError
+			e.Reason = core.AnsweredError
 		case Rejected:
-			e.How = core.TurnedAway
+			e.Reason = core.Rejected
 		case Reset:
-			e.How = core.ReadBroke
-			w.broke(s, fl.store, core.ReadBroke)
+			e.Reason = core.ReadFailed
+			w.broke(s, fl.store, core.ReadFailed)
 		case Spoilt:
-			e.How = core.BadFrame
+			e.Reason = core.BadFrame
 			w.broke(s, fl.store, core.BadFrame)
 		}
 		w.tell(s, fl.boot, e)
@@ -622,7 +622,7 @@
 }
 
 // broke ends a broker's connection to a store, and with it all that is out there.
-func (w *World) broke(s *seat, store int, how core.End) {
+func (w *World) broke(s *seat, store int, how core.EndReason) {
 	l := s.links[store]
 	if l == nil || !l.up {
 		return
@@ -641,7 +641,7 @@
 		fl.ended = true
 		delete(w.flights, fl.part.Ref)
 		w.Judge.over(fl.part.Ref)
-		w.tell(s, fl.boot, core.Ended{Ref: fl.part.Ref >> 16, How: how, At: epoch + w.now})
+		w.tell(s, fl.boot, core.Ended{Ref: fl.part.Ref >> 16, Reason: how, At: epoch + w.now})
 	}
 }
 
@@ -660,7 +660,7 @@
 			if !lost {
 				w.at(back, func() {
 					if s.boot == boot {
-						w.broke(s, i, core.ReadBroke)
+						w.broke(s, i, core.ReadFailed)
 					}
 				})
 			}
@@ -668,7 +668,7 @@
 	}
 }
 
-func (w *World) giveUp(s *seat, g core.GiveUp) {
+func (w *World) giveUp(s *seat, g core.Cancel) {
 	fl := w.flights[g.Ref<<16|int64(s.n)&0xffff]
 	if fl == nil || fl.ended {
 		return
@@ -690,7 +690,7 @@
 	i, known := w.byHost[p.Host]
 	boot := s.boot
 	if !known {
-		w.tell(s, boot, core.Ended{Ref: p.Ref, How: core.NoAddress, At: epoch + w.now})
+		w.tell(s, boot, core.Ended{Ref: p.Ref, Reason: core.NoAddress, At: epoch + w.now})
 		return
 	}
 	st := w.Stores[i]
@@ -700,9 +700,9 @@
 		return
 	}
 	w.at(there+back, func() {
-		e := core.Ended{Ref: p.Ref, How: core.Answered, At: epoch + w.now}
+		e := core.Ended{Ref: p.Ref, Reason: core.Answered, At: epoch + w.now}
 		if !st.Up() {
-			e.How = core.DialRefused
+			e.Reason = core.DialRefused
 		} else {
 			load := st.Reported(w.now)
 			e.Load = map[string]float64{"running": load.Running, "waiting": load.Waiting, "busy": load.Busy}
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -177,7 +177,7 @@
 	}
 	flooded := c.input.full()
 	reply := <-c.reply
-	c.front.recordAnswerTime(c.front.Now() - scan.At)
+	c.front.recordAnswerTime(c.front.Now() - scan.ReceivedAt)
 	return c.answer(render(reply), last || flooded)
 }
 
--- a/internal/front/client_test.go
+++ b/internal/front/client_test.go
@@ -132,7 +132,7 @@
 	}{{"b", 1000}, {"c", 3000}} {
 		s := receiveScan(t, d.taken)
 		assert.Equal(t, want.id, s.ID)
-		assert.Equal(t, want.at, s.At, want.id)
+		assert.Equal(t, want.at, s.ReceivedAt, want.id)
 		Reply(core.Reply{Scan: s, Kind: logic.Answer})
 	}
 }
--- a/internal/front/http.go
+++ b/internal/front/http.go
@@ -64,7 +64,7 @@
 		body := struct {
 			AllIn   bool    `json:"all_in"`
 			Matches []match `json:"matches"`
-		}{r.Whole, make([]match, len(r.Hits))}
+		}{r.Complete, make([]match, len(r.Hits))}
 		for i, h := range r.Hits {
 			body.Matches[i] = match{h.Shard, h.Value}
 		}
@@ -198,7 +198,7 @@
 		return nil, http.StatusMethodNotAllowed, "a scan is asked for with POST"
 	}
 	s := &core.Scan{ID: req.Header.Get("X-Correlation-Id"), Key: req.Header.Get("Idempotency-Key"), TableType: typ,
-		Repeat: req.Header.Get("X-Repeat") == "1", At: at, Tenant: f.Site.Tenants[req.Header.Get("X-Account")]}
+		Repeat: req.Header.Get("X-Repeat") == "1", ReceivedAt: at, Tenant: f.Site.Tenants[req.Header.Get("X-Account")]}
 	left, err := strconv.ParseUint(req.Header.Get("X-Time-Left-Ms"), 10, 30)
 	switch {
 	case err != nil || left == 0:
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -42,7 +42,7 @@
 
 // Move informs a node's peer of the node's address, or that it drains or is gone. It does not block, and no move is
 // lost: a newer one replaces one that the peer has not processed yet.
-func (f *Fleet) Move(m core.Move) {
+func (f *Fleet) Move(m core.NodeChange) {
 	for host, p := range f.peers { // remove the peers of nodes that are gone
 		if p.closed() {
 			delete(f.peers, host)
@@ -87,7 +87,7 @@
 
 // Cancel cancels an attempt. It does not block, and a cancellation is never lost: an attempt that is not written yet is
 // never written.
-func (f *Fleet) GiveUp(g core.GiveUp) {
+func (f *Fleet) GiveUp(g core.Cancel) {
 	if p := f.peers[g.Host]; p != nil {
 		p.command(func(o *commands) { o.canceled = append(o.canceled, g.Ref) })
 	}
--- a/internal/node/frame.go
+++ b/internal/node/frame.go
@@ -41,13 +41,13 @@
 	b = append(b, ' ')
 	b = strconv.AppendInt(b, int64(p.Shard), 10)
 	b = append(b, " d="...)
-	b = strconv.AppendInt(b, int64(max(1, math.Ceil(p.Until-now))), 10)
+	b = strconv.AppendInt(b, int64(max(1, math.Ceil(p.Deadline-now))), 10)
 	if p.Key != "" {
 		b = append(append(b, ",k="...), p.Key...)
 	}
-	if p.From != "" {
-		b = append(append(b, ",from="...), p.From...)
-		if p.Whole {
+	if p.AnsweredShards != "" {
+		b = append(append(b, ",from="...), p.AnsweredShards...)
+		if p.FirstStepComplete {
 			b = append(b, ",whole=1"...)
 		} else {
 			b = append(b, ",whole=0"...)
@@ -87,12 +87,12 @@
 // answer is the result of one part, or a node's answer to a probe.
 type answer struct {
 	id, value string
-	end       core.End
+	end       core.EndReason
 	score     float64
 	load      map[string]float64
 }
 
-var answerEnds = map[string]core.End{"OK": core.Answered, "ERROR": core.AnsweredError, "REJECTED": core.TurnedAway}
+var answerEnds = map[string]core.EndReason{"OK": core.Answered, "ERROR": core.AnsweredError, "REJECTED": core.Rejected}
 
 // readAnswer parses the rest of a Y frame: ID END SCORE REPORT, a newline, the value.
 func readAnswer(rest []byte) (a answer, err error) {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -95,7 +95,7 @@
 func testCall(host, addr string, refs ...int64) core.Call {
 	c := core.Call{Host: host, Addr: addr}
 	for _, ref := range refs {
-		c.Parts = append(c.Parts, core.CallPart{Ref: ref, ID: "q." + string(rune('0'+ref)), Shard: int(ref), Until: 1239.5, Text: "txt"})
+		c.Parts = append(c.Parts, core.CallPart{Ref: ref, ID: "q." + string(rune('0'+ref)), Shard: int(ref), Deadline: 1239.5, Text: "txt"})
 	}
 	return c
 }
@@ -104,19 +104,19 @@
 	n := newStubNode(t)
 	f, ends := testFleet(t, Reach{})
 	require.True(t, f.Call(core.Call{Host: "a", Addr: n.addr(), Parts: []core.CallPart{
-		{Ref: 1, ID: "9b1f03aa5c7e2d41.3", Shard: 3, Until: 1239.5, Key: "5c0f", Text: "c41e77d0"},
-		{Ref: 2, ID: "9b1f03aa5c7e2d41.5.get", Shard: 5, Until: 1090, From: "3+5", Whole: true, Text: "two\nlines"},
-		{Ref: 3, ID: "9b1f03aa5c7e2d41.6.get", Shard: 6, Until: 1090, From: "6"}}}))
+		{Ref: 1, ID: "9b1f03aa5c7e2d41.3", Shard: 3, Deadline: 1239.5, Key: "5c0f", Text: "c41e77d0"},
+		{Ref: 2, ID: "9b1f03aa5c7e2d41.5.get", Shard: 5, Deadline: 1090, AnsweredShards: "3+5", FirstStepComplete: true, Text: "two\nlines"},
+		{Ref: 3, ID: "9b1f03aa5c7e2d41.6.get", Shard: 6, Deadline: 1090, AnsweredShards: "6"}}}))
 	k := n.accept()
 	assert.Equal(t, "R9b1f03aa5c7e2d41.3 3 d=240,k=5c0f 8\nc41e77d0"+
 		"9b1f03aa5c7e2d41.5.get 5 d=90,from=3+5,whole=1 9\ntwo\nlines9b1f03aa5c7e2d41.6.get 6 d=90,from=6,whole=0 0\n", k.frame())
 	k.send("Y9b1f03aa5c7e2d41.5.get OK 1840277719 inflight=7,util=0.61,novel=x,queue=-1,eps=NaN\nv\n1")
-	assert.Equal(t, core.Ended{Ref: 2, How: core.Answered, At: 1000, Score: 1840277719, Value: "v\n1",
+	assert.Equal(t, core.Ended{Ref: 2, Reason: core.Answered, At: 1000, Score: 1840277719, Value: "v\n1",
 		Load: map[string]float64{"running": 7, "busy": 0.61}}, nextEnd(t, ends))
 	k.send("Y9b1f03aa5c7e2d41.5.get OK 1 -\nagain")
 	k.send("Y9b1f03aa5c7e2d41.3 REJECTED 0 -\n")
-	assert.Equal(t, core.Ended{Ref: 1, How: core.TurnedAway, At: 1000}, nextEnd(t, ends), "a duplicate answer does not affect other attempts")
-	f.GiveUp(core.GiveUp{Host: "a", Ref: 3})
+	assert.Equal(t, core.Ended{Ref: 1, Reason: core.Rejected, At: 1000}, nextEnd(t, ends), "a duplicate answer does not affect other attempts")
+	f.GiveUp(core.Cancel{Host: "a", Ref: 3})
 	assert.Equal(t, "A9b1f03aa5c7e2d41.6.get", k.frame())
 	assert.EqualValues(t, 1, f.Stats.Unknown.Load())
 	assert.Empty(t, k.frame(), "closed once nothing is in flight")
@@ -130,13 +130,13 @@
 	f.Call(testCall("a", n.addr(), 1, 2))
 	k := n.accept()
 	k.frame()
-	f.GiveUp(core.GiveUp{Host: "a", Ref: 1})
+	f.GiveUp(core.Cancel{Host: "a", Ref: 1})
 	assert.Equal(t, "Aq.1", k.frame())
 	f.Call(testCall("a", n.addr(), 3))
 	assert.Contains(t, n.accept().frame(), "q.3", "on another connection")
 	k.send("Yq.1 OK 1 -\nlate") // a late answer to a canceled part is not an error
 	k.send("Yq.2 OK 1 -\nv")
-	assert.Equal(t, core.Ended{Ref: 2, How: core.Answered, At: 1000, Score: 1, Value: "v"}, nextEnd(t, ends))
+	assert.Equal(t, core.Ended{Ref: 2, Reason: core.Answered, At: 1000, Score: 1, Value: "v"}, nextEnd(t, ends))
 	assert.Empty(t, k.frame(), "closed after the remaining answer")
 }
 
@@ -162,10 +162,10 @@
 	k2.conn.SetDeadline(time.Now().Add(testTimeout))
 	assert.Contains(t, k2.frame(), "q.")
 	k.send("Yq.1 OK 1 -\nv")
-	assert.Equal(t, core.Answered, nextEnd(t, ends).How)
+	assert.Equal(t, core.Answered, nextEnd(t, ends).Reason)
 	// Calls sent on the first connection meanwhile may be unread there, and a full close would then reset it.
 	require.NoError(t, k.conn.(*net.TCPConn).CloseWrite())
-	assert.Equal(t, core.PeerClosed, nextEnd(t, ends).How)
+	assert.Equal(t, core.PeerClosed, nextEnd(t, ends).Reason)
 	f.Call(testCall("a", n.addr(), ref))
 	assert.Contains(t, k2.frame(), "q.", "later calls use the second connection")
 }
@@ -176,13 +176,13 @@
 	raw := func(b string) func(*nodeConn) { return func(k *nodeConn) { k.conn.Write([]byte(b)); k.conn.Close() } }
 	for name, c := range map[string]struct {
 		do   func(*nodeConn)
-		want core.End
+		want core.EndReason
 	}{
 		"closed":                      {func(k *nodeConn) { k.conn.Close() }, core.PeerClosed},
-		"reset":                       {func(k *nodeConn) { k.conn.(*net.TCPConn).SetLinger(0); k.conn.Close() }, core.ReadBroke},
-		"closed within a frame":       {raw("\x00\x00\x00\x10Yq.1 O"), core.ReadBroke},
-		"closed within a length":      {raw("\x00\x00"), core.ReadBroke},
-		"not usable":                  {say("Nno such shard"), core.NotUsable},
+		"reset":                       {func(k *nodeConn) { k.conn.(*net.TCPConn).SetLinger(0); k.conn.Close() }, core.ReadFailed},
+		"closed within a frame":       {raw("\x00\x00\x00\x10Yq.1 O"), core.ReadFailed},
+		"closed within a length":      {raw("\x00\x00"), core.ReadFailed},
+		"not usable":                  {say("Nno such shard"), core.FrameRejected},
 		"an empty frame":              {raw("\x00\x00\x00\x00"), core.BadFrame},
 		"an absurd length":            {raw("\xff\xff\xff\xffY"), core.BadFrame},
 		"an unknown letter":           {say("Zq.1 OK 1 -\n"), core.BadFrame},
@@ -200,12 +200,12 @@
 		k := n.accept()
 		require.NotEmpty(t, k.frame(), name)
 		c.do(k)
-		got := map[int64]core.End{}
+		got := map[int64]core.EndReason{}
 		for range 2 {
 			e := nextEnd(t, ends)
-			got[e.Ref] = e.How
+			got[e.Ref] = e.Reason
 		}
-		assert.Equal(t, map[int64]core.End{1: c.want, 2: c.want}, got, name)
+		assert.Equal(t, map[int64]core.EndReason{1: c.want, 2: c.want}, got, name)
 		require.True(t, f.Call(testCall("a", n.addr(), 3)), name)
 		assert.Contains(t, n.accept().frame(), "q.3", "%s: the next call opens a new connection", name)
 		assert.Equal(t, 1, f.Conns(), name)
@@ -217,8 +217,8 @@
 	n.ln.Close()
 	f, ends := testFleet(t, Reach{})
 	require.True(t, f.Call(testCall("a", n.addr(), 1, 2)))
-	assert.Equal(t, core.DialRefused, nextEnd(t, ends).How)
-	assert.Equal(t, core.DialRefused, nextEnd(t, ends).How)
+	assert.Equal(t, core.DialRefused, nextEnd(t, ends).Reason)
+	assert.Equal(t, core.DialRefused, nextEnd(t, ends).Reason)
 	assert.Zero(t, f.Conns())
 }
 
@@ -283,15 +283,15 @@
 	c := testCall("a", n.addr(), 1, 2, 3)
 	c.Parts[1].NotAfter = 999 // the clock is fixed at 1000
 	p.handle(c)
-	f.GiveUp(core.GiveUp{Host: "a", Ref: 1})
+	f.GiveUp(core.Cancel{Host: "a", Ref: 1})
 	p.handle(testCall("a", n.addr(), 4))
-	f.GiveUp(core.GiveUp{Host: "a", Ref: 4})
+	f.GiveUp(core.Cancel{Host: "a", Ref: 4})
 	p.connect(t)
 	p.processPending()
-	assert.Equal(t, core.Ended{Ref: 2, How: core.TooLate, At: 1000}, nextEnd(t, ends))
+	assert.Equal(t, core.Ended{Ref: 2, Reason: core.WriteExpired, At: 1000}, nextEnd(t, ends))
 	k := n.accept()
 	assert.Equal(t, "Rq.3 3 d=240 3\ntxt", k.frame(), "canceled and expired parts are not written")
-	f.GiveUp(core.GiveUp{Host: "a", Ref: 3})
+	f.GiveUp(core.Cancel{Host: "a", Ref: 3})
 	p.processPending()
 	assert.Equal(t, "Aq.3", k.frame())
 }
@@ -305,14 +305,14 @@
 	assert.True(t, f.Call(testCall("a", "", 1)))
 	assert.True(t, f.Call(testCall("a", "", 2)))
 	assert.False(t, f.Call(testCall("a", "", 3)))
-	f.GiveUp(core.GiveUp{Host: "a", Ref: 1})
+	f.GiveUp(core.Cancel{Host: "a", Ref: 1})
 	p.processPending()
 	p.connect(t)
 	p.processPending()
 	assert.Contains(t, n.accept().frame(), "q.2")
 	f.Call(testCall("a", "", 4))
 	f.Call(testCall("a", "", 5))
-	f.Move(core.Move{Host: "a", Gone: true})
+	f.Move(core.NodeChange{Host: "a", Gone: true})
 	p.processPending()
 	assert.True(t, p.gone)
 }
@@ -320,7 +320,7 @@
 // Calls that are queued for a connection when the node starts draining or is gone are never written: they would reach
 // the node as new attempts long after the list excluded it. They end as withdrawn, so other nodes may get them.
 func TestDrainWithdraws(t *testing.T) {
-	for name, m := range map[string]core.Move{
+	for name, m := range map[string]core.NodeChange{
 		"draining": {Host: "a", Draining: true},
 		"gone":     {Host: "a", Gone: true},
 	} {
@@ -332,13 +332,13 @@
 		p.connect(t)
 		p.processPending()
 		for ref := range int64(2) {
-			assert.Equal(t, core.Ended{Ref: ref + 1, How: core.Withdrawn, At: 1000}, nextEnd(t, ends), name)
+			assert.Equal(t, core.Ended{Ref: ref + 1, Reason: core.NodeRemoved, At: 1000}, nextEnd(t, ends), name)
 		}
 		if m.Gone {
 			assert.Empty(t, n.accept().frame(), name)
 			continue
 		}
-		f.Move(core.Move{Host: "a"}) // the node serves again
+		f.Move(core.NodeChange{Host: "a"}) // the node serves again
 		p.handle(testCall("a", n.addr(), 3))
 		p.processPending()
 		assert.Contains(t, n.accept().frame(), "q.3", name)
@@ -361,7 +361,7 @@
 	p.connect(t)
 	p.processPending()
 	assert.Contains(t, n.accept().frame(), "q.", "another connection")
-	f.GiveUp(core.GiveUp{Host: "a", Ref: waits[0]})
+	f.GiveUp(core.Cancel{Host: "a", Ref: waits[0]})
 	now = 1100
 	require.NoError(t, k.conn.(*net.TCPConn).SetReadBuffer(1<<22))
 	go p.run()
@@ -373,7 +373,7 @@
 	}
 	assert.Contains(t, last[:min(40, len(last))], " d=140 ", "the time remaining at the write")
 	k.send(fmt.Sprintf("Yq.%d OK 0 -\nv", waits[1]))
-	assert.Equal(t, core.Answered, nextEnd(t, ends).How)
+	assert.Equal(t, core.Answered, nextEnd(t, ends).Reason)
 }
 
 // A connection that accepts no byte for the length of the connect timeout has failed. Attempts that were not completely
@@ -386,13 +386,13 @@
 	_, c := p.fillSendBuffer(t, n)
 	f.reach.ConnectTimeout = 50 * time.Millisecond // set only now: on a loaded machine filling takes longer, and the connection would fail meanwhile
 	out := len(c.attempts)
-	got := map[core.End]int{}
+	got := map[core.EndReason]int{}
 	go p.run()
 	for range out {
-		got[nextEnd(t, ends).How]++
+		got[nextEnd(t, ends).Reason]++
 	}
-	assert.Equal(t, 3, got[core.WriteBroke], "one partly written, two queued")
-	assert.Equal(t, out-3, got[core.ReadBroke])
+	assert.Equal(t, 3, got[core.WriteFailed], "one partly written, two queued")
+	assert.Equal(t, out-3, got[core.ReadFailed])
 }
 
 func TestRoom(t *testing.T) {
@@ -421,7 +421,7 @@
 		many.Host = string(rune('b' + i))
 		f.Call(many)
 	}
-	assert.Equal(t, core.NoRoom, nextEnd(t, ends).How)
+	assert.Equal(t, core.QueueFull, nextEnd(t, ends).Reason)
 	// A rejected connection is included in the count for a moment.
 	assert.Eventually(t, func() bool { return f.Conns() <= 8 }, testTimeout, time.Millisecond)
 }
@@ -433,16 +433,16 @@
 	f.Call(testCall("a", old.addr(), 1))
 	k := old.accept()
 	k.frame()
-	f.Move(core.Move{Host: "a", Addr: other.addr()})
+	f.Move(core.NodeChange{Host: "a", Addr: other.addr()})
 	f.Call(testCall("a", other.addr(), 2))
 	k2 := other.accept()
 	assert.Contains(t, k2.frame(), "q.2")
 	k.send("Yq.1 OK 0 -\n")
-	assert.Equal(t, core.Answered, nextEnd(t, ends).How)
+	assert.Equal(t, core.Answered, nextEnd(t, ends).Reason)
 	assert.Empty(t, k.frame(), "the old connection is closed once nothing is in flight on it")
-	f.Move(core.Move{Host: "a", Addr: other.addr(), Gone: true})
+	f.Move(core.NodeChange{Host: "a", Addr: other.addr(), Gone: true})
 	k2.send("Yq.2 OK 0 -\n")
-	assert.Equal(t, core.Answered, nextEnd(t, ends).How)
+	assert.Equal(t, core.Answered, nextEnd(t, ends).Reason)
 	assert.Empty(t, k2.frame())
 	p := f.peers["a"]
 	<-p.ended
@@ -466,7 +466,7 @@
 	f.Fuzz(func(t *testing.T, rest []byte) {
 		if a, err := readAnswer(rest); err == nil {
 			assert.NotEmpty(t, a.id)
-			assert.Contains(t, []core.End{core.Answered, core.AnsweredError, core.TurnedAway}, a.end)
+			assert.Contains(t, []core.EndReason{core.Answered, core.AnsweredError, core.Rejected}, a.end)
 		}
 	})
 }
@@ -483,18 +483,18 @@
 	assert.Equal(t, "T", k.frame())
 	assert.Contains(t, k.frame(), "q.3")
 	k.send("Tutil=0.5,queue=3")
-	assert.Equal(t, core.Ended{Ref: 1, How: core.Answered, At: 1000, Load: map[string]float64{"busy": 0.5, "waiting": 3}}, nextEnd(t, ends))
+	assert.Equal(t, core.Ended{Ref: 1, Reason: core.Answered, At: 1000, Load: map[string]float64{"busy": 0.5, "waiting": 3}}, nextEnd(t, ends))
 	k.send("TERROR")
-	assert.Equal(t, core.Ended{Ref: 2, How: core.AnsweredError, At: 1000}, nextEnd(t, ends))
+	assert.Equal(t, core.Ended{Ref: 2, Reason: core.AnsweredError, At: 1000}, nextEnd(t, ends))
 	k.send("T-")
 	require.Eventually(t, func() bool { return f.Stats.Unknown.Load() == 1 }, testTimeout, time.Millisecond, "an unsolicited answer to a probe")
 	f.Probe(core.Probe{Host: "a", Addr: n.addr(), Ref: 4})
 	assert.Equal(t, "T", k.frame())
 	k.conn.Close()
-	got := map[int64]core.End{}
+	got := map[int64]core.EndReason{}
 	for range 2 {
 		e := nextEnd(t, ends)
-		got[e.Ref] = e.How
+		got[e.Ref] = e.Reason
 	}
-	assert.Equal(t, map[int64]core.End{3: core.PeerClosed, 4: core.PeerClosed}, got)
+	assert.Equal(t, map[int64]core.EndReason{3: core.PeerClosed, 4: core.PeerClosed}, got)
 }
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -46,7 +46,7 @@
 // commands are requests that must not be lost when the mailbox is full. They are executed after all messages that were
 // in the mailbox before them.
 type commands struct {
-	move     *core.Move
+	move     *core.NodeChange
 	canceled []int64 // canceled attempts, at most as many as are in flight
 }
 
@@ -69,7 +69,7 @@
 	}
 	connLost struct {
 		conn *connection
-		end  core.End
+		end  core.EndReason
 		err  error
 	}
 	// writeAgain ends the write retry delay of a stalled connection.
@@ -197,7 +197,7 @@
 
 // move applies a change of the node's address or state. When a node drains or is gone, unwritten attempts are
 // withdrawn: they would arrive as new attempts long after the list excluded the node.
-func (p *peer) move(m core.Move) {
+func (p *peer) move(m core.NodeChange) {
 	p.gone = m.Gone
 	if m.Addr != "" {
 		p.addr = m.Addr
@@ -208,14 +208,14 @@
 	for _, c := range p.conns {
 		for _, ref := range c.unsent() {
 			p.forget(c, ref)
-			p.end(ref, core.Withdrawn, answer{})
+			p.end(ref, core.NodeRemoved, answer{})
 		}
 	}
 }
 
 // end reports the result of an attempt.
-func (p *peer) end(ref int64, how core.End, a answer) {
-	p.fleet.report(core.Ended{Ref: ref, How: how, At: p.fleet.now(), Score: a.score, Value: a.value, Load: a.load})
+func (p *peer) end(ref int64, how core.EndReason, a answer) {
+	p.fleet.report(core.Ended{Ref: ref, Reason: how, At: p.fleet.now(), Score: a.score, Value: a.value, Load: a.load})
 }
 
 // call queues a call on a connection with capacity for its parts, or on a new one.
@@ -228,7 +228,7 @@
 	})
 	if best == nil {
 		for i := range v.Parts {
-			p.end(v.Parts[i].Ref, core.NoRoom, answer{})
+			p.end(v.Parts[i].Ref, core.QueueFull, answer{})
 		}
 		return
 	}
@@ -244,7 +244,7 @@
 	p.addr = v.Addr
 	c := p.pick(func(*connection) bool { return true })
 	if c == nil {
-		p.end(v.Ref, core.NoRoom, answer{})
+		p.end(v.Ref, core.QueueFull, answer{})
 		return
 	}
 	c.probes = append(c.probes, v.Ref)
@@ -373,11 +373,11 @@
 	p.frame = buf[:0]
 	switch {
 	case err != nil:
-		p.drop(c, core.ReadBroke, err)
+		p.drop(c, core.ReadFailed, err)
 	case len(c.queue)+len(c.partial) == 0:
 		c.stalledAt = time.Time{}
 	case !c.stalledAt.IsZero() && time.Since(c.stalledAt) > p.fleet.reach.ConnectTimeout:
-		p.drop(c, core.ReadBroke, errStalled)
+		p.drop(c, core.ReadFailed, errStalled)
 	default:
 		p.stall(c, n > 0)
 	}
@@ -429,7 +429,7 @@
 		}
 		if part.NotAfter > 0 && now > part.NotAfter {
 			p.forget(c, part.Ref)
-			p.end(part.Ref, core.TooLate, answer{})
+			p.end(part.Ref, core.WriteExpired, answer{})
 			continue
 		}
 		buf = appendCall(buf, part, now)
@@ -442,7 +442,7 @@
 }
 
 // drop closes a connection and ends all attempts and probes on it.
-func (p *peer) drop(c *connection, how core.End, err error) {
+func (p *peer) drop(c *connection, how core.EndReason, err error) {
 	if !p.remove(c) {
 		return // it is closed already
 	}
@@ -457,7 +457,7 @@
 	for ref, a := range c.attempts {
 		delete(p.connOf, ref)
 		if c.established && !a.written {
-			p.end(ref, core.WriteBroke, answer{})
+			p.end(ref, core.WriteFailed, answer{})
 		} else {
 			p.end(ref, how, answer{})
 		}
@@ -486,7 +486,7 @@
 	for i := len(p.conns) - 1; i >= 0; i-- {
 		c := p.conns[i]
 		if c.idle() && (p.gone || c.retired || c.addr != p.addr || time.Since(c.lastUse) >= idle) {
-			p.drop(c, core.TakenBack, nil)
+			p.drop(c, core.Recalled, nil)
 		}
 	}
 }
--- a/internal/node/reader.go
+++ b/internal/node/reader.go
@@ -49,13 +49,13 @@
 			p.post(connLost{c, core.PeerClosed, err})
 			return
 		case err != nil:
-			p.post(connLost{c, core.ReadBroke, err})
+			p.post(connLost{c, core.ReadFailed, err})
 			return
 		case letter == answerLetter || letter == probeLetter:
 			p.post(arrived{c, letter == probeLetter, a})
 		case letter == refuseLetter:
 			p.fleet.Stats.Malformed.Add(1)
-			p.post(connLost{c, core.NotUsable, fmt.Errorf("%w: %s", syscall.EPROTO, words)})
+			p.post(connLost{c, core.FrameRejected, fmt.Errorf("%w: %s", syscall.EPROTO, words)})
 			return
 		default: // no other frame type is expected
 			p.fleet.Stats.Malformed.Add(1)
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -29,10 +29,10 @@
 }
 
 // Reason is the reason why a scan was throttled; Admitted if it was not.
-type Why uint8
+type Reason uint8
 
 const (
-	Admitted Why = iota
+	Admitted Reason = iota
 	CellRate
 	TenantRate
 	CellOpen
@@ -45,7 +45,7 @@
 var reasonTexts = [...]string{"taken", "the cell's rate", "the tenant's rate", "the cell's open scans", "the cell's outstanding work",
 	"the broker's open scans", "the tenant's share of the cell", "too many tenants"}
 
-func (w Why) String() string { return reasonTexts[w] }
+func (w Reason) String() string { return reasonTexts[w] }
 
 // Request is what a scan requires.
 type Request struct {
@@ -56,7 +56,7 @@
 
 // Verdict is the decision on a scan. RetryAfter is the time in ms after which a throttled client should retry.
 type Verdict struct {
-	Reason     Why
+	Reason     Reason
 	RetryAfter float64
 }
 
@@ -266,7 +266,7 @@
 	return float64(t.open+1) > math.Ceil(float64(most)*float64(max(1, k.open))/float64(max(1, open))*t.weight/sum)
 }
 
-func (c *Limiter) reject(k *cell, why Why, wait float64) Verdict {
+func (c *Limiter) reject(k *cell, why Reason, wait float64) Verdict {
 	k.counts.Throttled++
 	k.counts.By[why]++
 	return Verdict{why, c.retryAfter(wait)}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -16,7 +16,7 @@
 		name   string
 		limits Limits
 		before int // scans admitted before, of the same tenant
-		want   Why
+		want   Reason
 		after  float64
 	}{
 		{"no limit", Limits{}, 5, Admitted, 0},
