--- a/internal/planted/faults.go
+++ b/internal/planted/faults.go
@@ -80,7 +80,7 @@
 	{"verdicts: words on an earlier process count", judgeFile, "		case c.now-h.outcomeAt > c.rules.Fresh, h.Born < born:", "		case c.now-h.outcomeAt > c.rules.Fresh, h.Born < born-1e18:", "", ""},
 	{"verdicts: any number of holders may rest", judgeFile, "if d.Kind.bad() && !c.mayExclude(s, badByObserver) {", "if d.Kind.bad() && !c.mayExclude(s, badByObserver) && false {", "", ""},
 	{"verdicts: who rested is judged apart from who takes its place", judgeFile, "sets[s.Set] {\n			c.dirty[store] = true", "sets[s.Set] && false {\n			c.dirty[store] = true", "", ""},
-	{"verdicts: an older word takes the place of a newer one", wordFile, "		if !w.newerThan(h.Word) {", "		if w == h.Word {", "", ""},
+	{"verdicts: an older word takes the place of a newer one", wordFile, "		if !w.newerThan(h.Report) {", "		if w == h.Report {", "", ""},
 	{"verdicts: who condemns all counts", judgeFile, "case float64(badByObserver[by]) > max(1, maxBadShare*float64(len(c.stores))):", "case false:", "", ""},
 	{"verdicts: a single failure of each is enough", judgeFile, " || e.badInRow < badInRowNeeded:", ":", "", ""},
 	{"verdicts: an older order counts", orderFile, "if x != nil && !o.newerThan(x.Order) || x == nil", "if x == nil", "", ""},
--- a/internal/sharer/sharer.go
+++ b/internal/sharer/sharer.go
@@ -29,7 +29,7 @@
 	leaveTimeout  = 3 * time.Second
 )
 
-// Work holds the callbacks into the broker. None of them may block the actor.
+// Callbacks holds the callbacks into the broker. None of them may block the actor.
 type Work struct {
 	// Turn starts an item of a duty; Finished must be called when it ends.
 	Turn func(duty, item string)
@@ -133,7 +133,7 @@
 	}
 }
 
-// Poke makes the actor check again what is due. It never blocks.
+// Wake makes the actor check again what is due. It never blocks.
 func (a *Actor) Poke() {
 	select {
 	case a.wake <- struct{}{}:
@@ -141,7 +141,7 @@
 	}
 }
 
-// Offer passes an input to the actor, or drops it if the mailbox is full. It never blocks.
+// TrySend passes an input to the actor, or drops it if the mailbox is full. It never blocks.
 func (a *Actor) Offer(in sharing.Input) {
 	select {
 	case a.mail <- in:
@@ -150,7 +150,7 @@
 	}
 }
 
-// Give passes an input to the actor and blocks while the mailbox is full.
+// Send passes an input to the actor and blocks while the mailbox is full.
 func (a *Actor) Give(in sharing.Input) { a.send(in) }
 
 // Items sets all items of a duty.
--- a/internal/shares/marks.go
+++ b/internal/shares/marks.go
@@ -102,7 +102,7 @@
 	return c.marks.rules
 }
 
-// Stores returns the records to store since the last call.
+// PendingStores returns the records to store since the last call.
 func (c *Core) Stores() []Store {
 	all := c.pendingStores
 	c.pendingStores = nil
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -85,7 +85,7 @@
 	Have       Part    // Ask: most that the borrower uses of this lender's loan until the answer
 	Share      Part    // Ask: requested share; Loan: granted share; Recall: share that the borrower may keep
 	Tokens     float64 // tokens transferred with the message
-	Word       *Word   // content of a Told
+	Word       *Word   // content of a SizeInfo
 	Once       bool    // an Ask for the tokens of one scan, or its answer
 }
 
--- a/internal/sharing/sharing.go
+++ b/internal/sharing/sharing.go
@@ -70,11 +70,11 @@
 // Note is a module's message: as an input it goes to all other brokers, as an output it comes from another broker.
 type Note struct{ Data []byte }
 
-// Input is an Arrived, Note, verdicts.Saw, verdicts.HeldBack, verdicts.Stores, verdicts.Set, Leave, duties.Items, duties.Finished, tasks.Ended, tasks.Hold, tasks.Close, tasks.Order, lease.Stored or
+// Input is a Received, Note, verdicts.Outcome, verdicts.TenantThrottled, verdicts.Stores, verdicts.Set, Leave, duties.Items, duties.Finished, tasks.Ended, tasks.Hold, tasks.Close, tasks.Order, lease.Stored or
 // lease.DiskLost.
 type Input any
 
-// Arrived is a received envelope with its source address. The carrier has authenticated From.
+// Received is a received envelope with its source address. The carrier has authenticated From.
 type Arrived struct {
 	Addr     string
 	Envelope Envelope
@@ -83,11 +83,11 @@
 // Leave makes this member release everything it holds and announce to the others that it leaves.
 type Leave struct{}
 
-// Output is a Post, Note, verdicts.Verdict, verdicts.Stored, duties.Turn, duties.Heard, membership.Changed, lease.Store, or one of tasks: Begin, Extend, Cancel, Answer, Granted,
+// Output is a Send, Note, verdicts.Verdict, verdicts.Stored, duties.Turn, duties.Heard, membership.Changed, lease.Store, or one of tasks: Begin, Extend, Cancel, Answer, Granted,
 // Extended and Revoked.
 type Output any
 
-// Post is an envelope to send.
+// Send is an envelope to send.
 type Post struct {
 	Addr     string
 	Envelope Envelope
--- a/internal/verdicts/orders.go
+++ b/internal/verdicts/orders.go
@@ -72,7 +72,7 @@
 	c.unstoredOrders = nil
 }
 
-// Lasting returns the orders to store since the last call.
+// UnstoredOrders returns the orders to store since the last call.
 func (c *Core) Lasting(wall float64) (all []Stored) {
 	for _, store := range c.unstoredOrders {
 		if x := c.orders.all[store]; x != nil {
--- a/internal/verdicts/tenants.go
+++ b/internal/verdicts/tenants.go
@@ -10,7 +10,7 @@
 // Reports on tenants state which tenants brokers throttle, and why. They affect no decision: each broker enforces its own limits, and fleet-wide limits are
 // divided separately. They let an operator see at any broker which tenants are throttled anywhere.
 
-// HeldBack is a scan of a tenant that this broker rejected by a limit.
+// TenantThrottled is a scan of a tenant that this broker rejected by a limit.
 type HeldBack struct{ Tenant, Why string }
 
 // Tenant is the state of a throttled tenant, for operators.
--- a/internal/verdicts/verdicts.go
+++ b/internal/verdicts/verdicts.go
@@ -36,7 +36,7 @@
 // bad reports whether other brokers should not use the store.
 func (k Kind) bad() bool { return k == Fails || k == Silent }
 
-// Word is one observer's report on one store, or on a tenant: its outcomes within the last Window.
+// Report is one observer's report on one store, or on a tenant: its outcomes within the last Window.
 type Word struct {
 	Store    string  `json:"store"`
 	Observer string  `json:"observer"`
@@ -67,13 +67,13 @@
 	Most       int      // most reports kept
 }
 
-// Standard returns the default rules.
+// DefaultRules returns the default rules.
 func Standard() Rules { return Rules{Fresh: 10000, Quorum: 2, Widest: 1.0 / 3, Most: 20000} }
 
-// Input is a Saw, HeldBack, Stores, View, Received or Set.
+// Input is an Outcome, TenantThrottled, Stores, View, Received or Set.
 type Input any
 
-// Saw is an outcome observed by this broker.
+// Outcome is an outcome observed by this broker.
 type Saw struct {
 	Store string
 	Kind  Kind
@@ -556,5 +556,5 @@
 	}
 }
 
-// Held returns the number of reports kept.
+// ReportCount returns the number of reports kept.
 func (c *Core) Held() int { return c.reportCount }
