--- a/internal/broker/features.go
+++ b/internal/broker/features.go
@@ -183,7 +183,7 @@
 	for _, d := range s.Duties {
 		plan.Duties = append(plan.Duties, duties.Duty{Name: d.Name, Period: float64(d.Period) / 1e6})
 	}
-	work := sharer.Work{Wall: wall}
+	work := sharer.Callbacks{Wall: wall}
 	dir, err := b.openLeases(&plan, &work)
 	if err != nil {
 		carrier.Close()
@@ -222,7 +222,7 @@
 	sh.actor = sharer.Start(plan, carrier, now, work, b.log)
 	b.sharing = sh
 	if limits != nil {
-		limits.setWake(sh.actor.Poke)
+		limits.setWake(sh.actor.Wake)
 		b.core.SetLimiter(limits)
 	}
 	go sh.forward()
@@ -300,7 +300,7 @@
 		case l := <-s.nodeLists:
 			s.actor.Items(probeDuty, l.Hosts)
 			if s.b.features.Sharing.Verdicts != nil {
-				s.actor.Give(verdictStores(l.Nodes))
+				s.actor.Send(verdictStores(l.Nodes))
 			}
 		case <-s.done:
 			return
--- a/internal/broker/leases.go
+++ b/internal/broker/leases.go
@@ -38,7 +38,7 @@
 }
 
 // openLeases adds the tasks to the plan and opens the directory of votes.
-func (b *Broker) openLeases(plan *sharing.Plan, work *sharer.Work) (*lasting.Dir[lease.Record], error) {
+func (b *Broker) openLeases(plan *sharing.Plan, work *sharer.Callbacks) (*lasting.Dir[lease.Record], error) {
 	for _, t := range b.features.Tasks {
 		plan.Tasks = append(plan.Tasks, tasks.Task{Name: t.Name, Every: ms64(t.Every), At: t.Schedule, Term: ms64(t.Term), Holders: t.Holders,
 			CatchUp: t.Once, Timeout: ms64(t.Timeout), Prefer: t.Prefer})
--- a/internal/broker/limits.go
+++ b/internal/broker/limits.go
@@ -215,7 +215,7 @@
 	l.pending = nil
 	l.due = l.core.Due()
 	capacityArrived := l.core.Came()
-	stores := l.core.Stores()
+	stores := l.core.PendingStores()
 	var all []shares.Record
 	if l.marksSinceSnapshot += len(stores); l.marksSinceSnapshot >= snapshotEvery {
 		l.marksSinceSnapshot, all = 0, l.core.Records()
@@ -316,6 +316,6 @@
 	l.mu.Lock()
 	s := LimitsView{Limits: l.core.Seen(l.now()), Accounts: l.core.Accounts(), Counts: l.core.Counts}
 	l.mu.Unlock()
-	s.Limits = shares.Busiest(s.Limits, maxShownKeys) // outside the lock, so that scans do not wait for it
+	s.Limits = shares.TopByDemand(s.Limits, maxShownKeys) // outside the lock, so that scans do not wait for it
 	return s
 }
--- a/internal/broker/verdicts.go
+++ b/internal/broker/verdicts.go
@@ -23,7 +23,7 @@
 // offerOutcome passes an outcome of a store to the sharing actor. The core's actor calls it; it never blocks.
 func (s *sharingState) offerOutcome(j core.OutcomeReport) {
 	if s != nil {
-		s.actor.Offer(verdicts.Saw{Store: j.Host, Kind: ToVerdictKind(j)})
+		s.actor.TrySend(verdicts.Outcome{Store: j.Host, Kind: ToVerdictKind(j)})
 	}
 }
 
@@ -41,7 +41,7 @@
 		return
 	}
 	s.reportedTenants[h.Account] = true
-	s.actor.Offer(verdicts.HeldBack{Tenant: h.Account, Why: h.Why})
+	s.actor.TrySend(verdicts.TenantThrottled{Tenant: h.Account, Why: h.Why})
 }
 
 const (
@@ -76,7 +76,7 @@
 // offerNote passes a note of the module to the sharing actor. The core's actor calls it; it never blocks.
 func (s *sharingState) offerNote(note []byte) {
 	if s != nil {
-		s.actor.Offer(sharing.Note{Data: slices.Clone(note)})
+		s.actor.TrySend(sharing.Note{Data: slices.Clone(note)})
 	}
 }
 
@@ -102,6 +102,6 @@
 		return fmt.Errorf("a reason of 200 bytes at most, please")
 	}
 	v.For = ms64(span)
-	s.actor.Give(v)
+	s.actor.Send(v)
 	return nil
 }
--- a/internal/emulator/shared.go
+++ b/internal/emulator/shared.go
@@ -257,7 +257,7 @@
 	if s.verdicts = nil; !is || !w.Fleet.Verdicts {
 		return
 	}
-	r := verdicts.Standard()
+	r := verdicts.DefaultRules()
 	r.Self, r.Zone, r.Run = brokerName(s.n), w.Fleet.Zones[s.zone], uint64(s.boot)
 	s.verdicts = &holder{w: w, s: s, boot: s.boot, dueAt: math.Inf(1), core: verdicts.New(r, rand.New(rand.NewPCG(seed, 0x7e2d)).Float64)}
 	var v verdicts.View
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -340,7 +340,7 @@
 		case core.SendNote:
 			w.noteAll(s, v.Note)
 		case core.OutcomeReport:
-			s.verdicts.step(verdicts.Saw{Store: v.Host, Kind: broker.ToVerdictKind(v)})
+			s.verdicts.step(verdicts.Outcome{Store: v.Host, Kind: broker.ToVerdictKind(v)})
 		case core.NodeList:
 			s.verdicts.list(v)
 		case core.Log:
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -39,9 +39,9 @@
 // Result is the result of one exploration.
 type Result struct {
 	States, Steps, Depth int
-	Whole                bool     // all states within the bounds were visited
+	Complete             bool     // all states within the bounds were visited
 	Held                 int      // number of times that a lease was acquired: an exploration with none proves nothing
-	Trail                []string // steps that led to a violation; nil: there is none
+	Counterexample       []string // steps that led to a violation; nil: there is none
 }
 
 const members = 3
@@ -113,13 +113,13 @@
 	// Depth first with a stack: states are large, and breadth first would keep the widest layer in memory.
 	stack := []entry{{w, &node{}, 0}}
 	e.visit(w)
-	e.result.Whole = true
+	e.result.Complete = true
 	for len(stack) > 0 && e.fail == nil {
 		x := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
 		e.result.Depth = max(e.result.Depth, x.d)
 		if bounds.States > 0 && e.result.States >= bounds.States {
-			e.result.Whole = false
+			e.result.Complete = false
 			break
 		}
 		e.successors(x.w, func(step string, v *world) {
@@ -135,11 +135,11 @@
 		})
 	}
 	if e.fail != nil {
-		e.result.Whole = false
+		e.result.Complete = false
 		for n := e.fail; n.parent != nil; n = n.parent {
-			e.result.Trail = append(e.result.Trail, n.step)
+			e.result.Counterexample = append(e.result.Counterexample, n.step)
 		}
-		slices.Reverse(e.result.Trail)
+		slices.Reverse(e.result.Counterexample)
 	}
 	return e.result
 }
--- a/internal/sharer/sharer.go
+++ b/internal/sharer/sharer.go
@@ -30,7 +30,7 @@
 )
 
 // Callbacks holds the callbacks into the broker. None of them may block the actor.
-type Work struct {
+type Callbacks struct {
 	// Turn starts an item of a duty; Finished must be called when it ends.
 	Turn func(duty, item string)
 	// Heard delivers another member's report, which is age ms old.
@@ -56,7 +56,7 @@
 	core    *sharing.Core
 	carrier *gossip.Carrier
 	now     func() float64
-	work    Work
+	work    Callbacks
 	log     zerolog.Logger
 
 	mail               chan sharing.Input
@@ -98,7 +98,7 @@
 }
 
 // Start starts the actor and serves the carrier's port.
-func Start(plan sharing.Plan, carrier *gossip.Carrier, now func() float64, work Work, log zerolog.Logger) *Actor {
+func Start(plan sharing.Plan, carrier *gossip.Carrier, now func() float64, work Callbacks, log zerolog.Logger) *Actor {
 	a := &Actor{core: sharing.New(plan), carrier: carrier, now: now, work: work, log: log,
 		wake: make(chan struct{}, 1), mail: make(chan sharing.Input, mailboxSize), stateRequests: make(chan chan State), stop: make(chan struct{}),
 		orders: map[uint64]chan tasks.Answer{}, holds: map[uint64]chan<- any{}}
@@ -116,7 +116,7 @@
 	a.goroutines.Go(func() {
 		carrier.Run(func(addr string, e sharing.Envelope) {
 			select {
-			case a.mail <- sharing.Arrived{Addr: addr, Envelope: e}:
+			case a.mail <- sharing.Received{Addr: addr, Envelope: e}:
 			default: // dropped, as any datagram may be
 				a.dropped.Add(1)
 			}
@@ -134,7 +134,7 @@
 }
 
 // Wake makes the actor check again what is due. It never blocks.
-func (a *Actor) Poke() {
+func (a *Actor) Wake() {
 	select {
 	case a.wake <- struct{}{}:
 	default:
@@ -142,7 +142,7 @@
 }
 
 // TrySend passes an input to the actor, or drops it if the mailbox is full. It never blocks.
-func (a *Actor) Offer(in sharing.Input) {
+func (a *Actor) TrySend(in sharing.Input) {
 	select {
 	case a.mail <- in:
 	default:
@@ -151,7 +151,7 @@
 }
 
 // Send passes an input to the actor and blocks while the mailbox is full.
-func (a *Actor) Give(in sharing.Input) { a.send(in) }
+func (a *Actor) Send(in sharing.Input) { a.send(in) }
 
 // Items sets all items of a duty.
 func (a *Actor) Items(duty string, items []string) {
@@ -264,7 +264,7 @@
 func (a *Actor) apply(out []sharing.Output) {
 	for _, o := range out {
 		switch v := o.(type) {
-		case sharing.Post:
+		case sharing.Send:
 			a.carrier.Send(v.Addr, v.Envelope)
 		case duties.Turn:
 			a.work.Turn(v.Duty, v.Item)
--- a/internal/shares/accounts.go
+++ b/internal/shares/accounts.go
@@ -86,7 +86,7 @@
 }
 
 // TopByDemand returns, for each limit, the most accounts with the highest demand, sorted by limit.
-func Busiest(all []Seen, most int) []Seen {
+func TopByDemand(all []Seen, most int) []Seen {
 	slices.SortFunc(all, func(a, b Seen) int {
 		return cmp.Or(cmp.Compare(a.Limit, b.Limit), cmp.Compare(b.Demand, a.Demand), cmp.Compare(a.Key, b.Key))
 	})
--- a/internal/shares/loans.go
+++ b/internal/shares/loans.go
@@ -255,7 +255,7 @@
 		return
 	}
 	switch a := c.accounts[accountID{l.number, m.Key}]; m.Kind {
-	case Told:
+	case SizeInfo:
 		c.handleSizeReport(l, from, m.Word, now)
 	case Ask:
 		if a == nil {
--- a/internal/shares/marks.go
+++ b/internal/shares/marks.go
@@ -103,7 +103,7 @@
 }
 
 // PendingStores returns the records to store since the last call.
-func (c *Core) Stores() []Store {
+func (c *Core) PendingStores() []Store {
 	all := c.pendingStores
 	c.pendingStores = nil
 	return all
--- a/internal/shares/orders.go
+++ b/internal/shares/orders.go
@@ -154,7 +154,7 @@
 		w.Asked = c.seq
 		s.questions[to] = question{c.seq, now}
 	}
-	return Message{Kind: Told, Limit: l.Name, Boot: c.rules.Boot, Word: w}
+	return Message{Kind: SizeInfo, Limit: l.Name, Boot: c.rules.Boot, Word: w}
 }
 
 // handleSizeReport applies another member's report.
--- a/internal/shares/shares.go
+++ b/internal/shares/shares.go
@@ -71,10 +71,10 @@
 type MessageKind uint8
 
 const (
-	Ask    MessageKind = iota + 1 // request for a loan
-	Loan                          // answer to an Ask
-	Recall                        // request to reduce a loan and to confirm it
-	Told                          // report on a limit's size
+	Ask      MessageKind = iota + 1 // request for a loan
+	Loan                            // answer to an Ask
+	Recall                          // request to reduce a loan and to confirm it
+	SizeInfo                        // report on a limit's size
 )
 
 // Message is sent from one member to another.
--- a/internal/shares/shares_test.go
+++ b/internal/shares/shares_test.go
@@ -46,7 +46,7 @@
 func (k *testCluster) step(name string, in ...Input) {
 	out := k.cores[name].Step(k.now, in)
 	if _, has := k.disks[name]; has {
-		for _, s := range k.cores[name].Stores() {
+		for _, s := range k.cores[name].PendingStores() {
 			k.disks[name] = append(k.disks[name], s.Record)
 			defer k.step(name, Stored{s.Number})
 		}
@@ -90,7 +90,7 @@
 }
 
 func (k *testCluster) seen(name string) Seen {
-	all := Busiest(k.cores[name].Seen(k.now), 10)
+	all := TopByDemand(k.cores[name].Seen(k.now), 10)
 	require.NotEmpty(k.t, all)
 	return all[0]
 }
@@ -424,7 +424,7 @@
 		k.cores["a"].Take(k.now, []Use{{Cost: 1}}, 0)
 	}
 	assert.Less(t, sizes()[0], 900.0)
-	k.step("a", Received{"b", Message{Kind: Told, Limit: "r"}}, Received{"b", Message{Kind: Told, Limit: "r", Word: &Word{Size: -1, Burst: 1}}})
+	k.step("a", Received{"b", Message{Kind: SizeInfo, Limit: "r"}}, Received{"b", Message{Kind: SizeInfo, Limit: "r", Word: &Word{Size: -1, Burst: 1}}})
 	assert.Equal(t, 2, k.cores["a"].Counts.Odd)
 }
 
@@ -542,7 +542,7 @@
 		return n
 	}
 	require.Zero(t, loans(c.Step(1000, []Input{ask(1, Whole/10)})))
-	stores := c.Stores()
+	stores := c.PendingStores()
 	require.Len(t, stores, 1)
 	assert.False(t, stores[0].Record.Most.less(Part{Whole / 10, Whole / 10}))
 	assert.Equal(t, 1, loans(c.Step(1010, []Input{Stored{stores[0].Number}})))
--- a/internal/sharing/sharing.go
+++ b/internal/sharing/sharing.go
@@ -75,7 +75,7 @@
 type Input any
 
 // Received is a received envelope with its source address. The carrier has authenticated From.
-type Arrived struct {
+type Received struct {
 	Addr     string
 	Envelope Envelope
 }
@@ -88,7 +88,7 @@
 type Output any
 
 // Send is an envelope to send.
-type Post struct {
+type Send struct {
 	Addr     string
 	Envelope Envelope
 }
@@ -203,7 +203,7 @@
 	}
 	for _, x := range in {
 		switch v := x.(type) {
-		case Arrived:
+		case Received:
 			e := v.Envelope
 			switch {
 			case e.To != "" && e.To != c.plan.Name || e.From == "":
@@ -232,7 +232,7 @@
 			}
 		case duties.Items, duties.Finished:
 			items = append(items, v)
-		case verdicts.Saw, verdicts.HeldBack, verdicts.Stores, verdicts.Set:
+		case verdicts.Outcome, verdicts.TenantThrottled, verdicts.Stores, verdicts.Set:
 			stores = append(stores, v)
 		case Note:
 			c.sendNote(v)
@@ -279,7 +279,7 @@
 				c.out = append(c.out, o)
 			}
 		}
-		for _, s := range c.Stores.Lasting(wall) {
+		for _, s := range c.Stores.UnstoredOrders(wall) {
 			c.out = append(c.out, s)
 		}
 	}
@@ -305,7 +305,7 @@
 		switch v := o.(type) {
 		case membership.Send:
 			m := v.Message
-			c.out = append(c.out, Post{Addr: v.Addr, Envelope: Envelope{From: c.plan.Name, To: m.To, Member: &m}})
+			c.out = append(c.out, Send{Addr: v.Addr, Envelope: Envelope{From: c.plan.Name, To: m.To, Member: &m}})
 		case membership.Changed:
 			if v.Member.Living() {
 				c.addrs[v.Member.Name] = v.Member.Addr
@@ -495,7 +495,7 @@
 func (c *Core) post(to string, e Envelope) {
 	if addr := c.addrs[to]; addr != "" {
 		e.From, e.To = c.plan.Name, to
-		c.out = append(c.out, Post{Addr: addr, Envelope: e})
+		c.out = append(c.out, Send{Addr: addr, Envelope: e})
 	}
 }
 
--- a/internal/trial/limits.go
+++ b/internal/trial/limits.go
@@ -367,7 +367,7 @@
 	out := n.strategy.Step(now, in)
 	e, is := n.strategy.(*escrow)
 	if is {
-		n.store(e.Stores())
+		n.store(e.PendingStores())
 	}
 	if is && e.Came() {
 		waiting := n.waiting
--- a/internal/trial/spread.go
+++ b/internal/trial/spread.go
@@ -117,5 +117,5 @@
 }
 
 func verdictRules(members, stores int) VerdictRules {
-	return VerdictRules{Members: members, Stores: stores, Zones: 3, Sets: 2, Rate: 20, Drift: 0.01, Words: verdicts.Standard(), Weather: virtual.Conditions{Delay: 0.5, Jitter: 2}}
+	return VerdictRules{Members: members, Stores: stores, Zones: 3, Sets: 2, Rate: 20, Drift: 0.01, Words: verdicts.DefaultRules(), Weather: virtual.Conditions{Delay: 0.5, Jitter: 2}}
 }
--- a/internal/trial/verdicts.go
+++ b/internal/trial/verdicts.go
@@ -180,7 +180,7 @@
 	if k.liar {
 		kind = verdicts.Well + verdicts.Fails - kind
 	}
-	k.input(verdicts.Saw{Store: name, Kind: kind})
+	k.input(verdicts.Outcome{Store: name, Kind: kind})
 }
 
 func (k *verdictNode) Due() float64 { return k.core.Due() }
--- a/internal/trial/world.go
+++ b/internal/trial/world.go
@@ -196,12 +196,12 @@
 	inputs := m.inbox
 	m.inbox = nil
 	for _, p := range in {
-		inputs = append(inputs, sharing.Arrived{Addr: p.From, Envelope: copied(p.Data.(sharing.Envelope))})
+		inputs = append(inputs, sharing.Received{Addr: p.From, Envelope: copied(p.Data.(sharing.Envelope))})
 	}
 	var out []virtual.Packet
 	for _, o := range m.core.Step(now, now, inputs) {
 		switch v := o.(type) {
-		case sharing.Post:
+		case sharing.Send:
 			p := virtual.Packet{To: v.Addr, Data: v.Envelope}
 			if m.w.Rules.Sizes {
 				data, err := sharing.Marshal(&v.Envelope)
--- a/internal/verdicts/judge.go
+++ b/internal/verdicts/judge.go
@@ -41,7 +41,7 @@
 		h := c.reports[store][by]
 		switch {
 		case c.now-h.outcomeAt > c.rules.Fresh, h.Born < born: // too old, or about an earlier process of the store
-		case h.Kind == Held: // not a report on a store
+		case h.Kind == Throttled: // not a report on a store
 		case float64(badByObserver[by]) > max(1, maxBadShare*float64(len(c.stores))):
 			c.Counts.Doubted++
 		case h.Kind.bad():
@@ -238,17 +238,17 @@
 
 // Seen is the state of a store, for operators, that is not Well to some observer or has an operator's order.
 type Seen struct {
-	Store  string  `json:"store"`
-	Kind   string  `json:"kind"` // kind in force at this broker
-	Why    string  `json:"why"`
-	Age    float64 `json:"age"` // ms since the newest outcome that supports it
-	Order  *Order  `json:"order,omitempty"`
-	Told   int     `json:"told"`   // members known to have the order
-	Not    int     `json:"not"`    // members not known to have the order
-	Unseen int     `json:"unseen"` // observers whose reports on it are too old to count
-	Words  []Word  `json:"words"`  // fresh reports, with their current ages
-	Wanted int     `json:"wanted"` // independent observers needed for a verdict
-	Zones  int     `json:"zones"`  // zones of which these observers have to be
+	Store  string   `json:"store"`
+	Kind   string   `json:"kind"` // kind in force at this broker
+	Why    string   `json:"why"`
+	Age    float64  `json:"age"` // ms since the newest outcome that supports it
+	Order  *Order   `json:"order,omitempty"`
+	Told   int      `json:"told"`   // members known to have the order
+	Not    int      `json:"not"`    // members not known to have the order
+	Unseen int      `json:"unseen"` // observers whose reports on it are too old to count
+	Words  []Report `json:"words"`  // fresh reports, with their current ages
+	Wanted int      `json:"wanted"` // independent observers needed for a verdict
+	Zones  int      `json:"zones"`  // zones of which these observers have to be
 }
 
 // Seen lists the state of all such stores, sorted by name.
@@ -310,7 +310,7 @@
 				s.Unseen++
 			}
 		}
-		if s.Kind != Well.String() || s.Order != nil || slices.ContainsFunc(s.Words, func(w Word) bool { return w.Kind > Well }) {
+		if s.Kind != Well.String() || s.Order != nil || slices.ContainsFunc(s.Words, func(w Report) bool { return w.Kind > Well }) {
 			all = append(all, s)
 		}
 	}
--- a/internal/verdicts/orders.go
+++ b/internal/verdicts/orders.go
@@ -73,7 +73,7 @@
 }
 
 // UnstoredOrders returns the orders to store since the last call.
-func (c *Core) Lasting(wall float64) (all []Stored) {
+func (c *Core) UnstoredOrders(wall float64) (all []Stored) {
 	for _, store := range c.unstoredOrders {
 		if x := c.orders.all[store]; x != nil {
 			o := x.Order
--- a/internal/verdicts/tenants.go
+++ b/internal/verdicts/tenants.go
@@ -11,7 +11,7 @@
 // divided separately. They let an operator see at any broker which tenants are throttled anywhere.
 
 // TenantThrottled is a scan of a tenant that this broker rejected by a limit.
-type HeldBack struct{ Tenant, Why string }
+type TenantThrottled struct{ Tenant, Why string }
 
 // Tenant is the state of a throttled tenant, for operators.
 type Tenant struct {
@@ -39,7 +39,7 @@
 }
 
 // recordThrottled counts a rejected scan and reports the tenant at most once per interval.
-func (c *Core) recordThrottled(v HeldBack) {
+func (c *Core) recordThrottled(v TenantThrottled) {
 	name := tenantPrefix + v.Tenant
 	if v.Tenant == "" || len(name) > maxNameLength {
 		return
@@ -59,17 +59,17 @@
 	}
 	x.seq++
 	c.Counts.Said++
-	c.storeReport(Word{Store: name, Observer: c.rules.Self, Zone: c.rules.Zone, Run: c.rules.Run, Seq: x.seq, Kind: Held, Times: x.times, Why: x.limit}, c.now)
+	c.storeReport(Report{Store: name, Observer: c.rules.Self, Zone: c.rules.Zone, Run: c.rules.Run, Seq: x.seq, Kind: Throttled, Times: x.times, Why: x.limit}, c.now)
 	x.reportedAt, x.times = c.now, 0
 }
 
 // valid reports whether a report is well-formed. One on a tenant counts no outcomes, one on a store no scans.
-func (w Word) valid() bool {
+func (w Report) valid() bool {
 	if w.Store == "" || w.Observer == "" || len(w.Store) > maxNameLength || len(w.Observer) > maxNameLength || !(w.Age >= 0) || w.Good < 0 || w.Bad < 0 || len(w.Why) > maxLimitNameLength {
 		return false
 	}
 	if strings.HasPrefix(w.Store, tenantPrefix) {
-		return w.Kind == Held && w.Good+w.Bad == 0 && w.Times > 0 && w.Times <= maxThrottledCount
+		return w.Kind == Throttled && w.Good+w.Bad == 0 && w.Times > 0 && w.Times <= maxThrottledCount
 	}
 	return w.Kind >= Well && w.Kind <= Silent && w.Good+w.Bad <= maxOutcomes && w.Row >= 0 && w.Row <= w.Bad && w.Times == 0
 }
--- a/internal/verdicts/verdicts.go
+++ b/internal/verdicts/verdicts.go
@@ -23,11 +23,11 @@
 	Slow
 	Fails
 	Silent
-	Held // only for tenants: the tenant is throttled
+	Throttled // only for tenants: the tenant is throttled
 )
 
 func (k Kind) String() string {
-	if k >= Well && k <= Held {
+	if k >= Well && k <= Throttled {
 		return [...]string{"well", "full", "slow", "fails", "silent", "held back"}[k-Well]
 	}
 	return "unknown"
@@ -37,7 +37,7 @@
 func (k Kind) bad() bool { return k == Fails || k == Silent }
 
 // Report is one observer's report on one store, or on a tenant: its outcomes within the last Window.
-type Word struct {
+type Report struct {
 	Store    string  `json:"store"`
 	Observer string  `json:"observer"`
 	Zone     string  `json:"zone"` // the observer's zone
@@ -54,7 +54,7 @@
 }
 
 // newerThan reports whether a is newer than b, both of the same observer and store.
-func (a Word) newerThan(b Word) bool { return a.Run > b.Run || a.Run == b.Run && a.Seq > b.Seq }
+func (a Report) newerThan(b Report) bool { return a.Run > b.Run || a.Run == b.Run && a.Seq > b.Seq }
 
 // Rules configures a member. All members have the same rules except for Self, Zone and Run.
 type Rules struct {
@@ -68,13 +68,13 @@
 }
 
 // DefaultRules returns the default rules.
-func Standard() Rules { return Rules{Fresh: 10000, Quorum: 2, Widest: 1.0 / 3, Most: 20000} }
+func DefaultRules() Rules { return Rules{Fresh: 10000, Quorum: 2, Widest: 1.0 / 3, Most: 20000} }
 
 // Input is an Outcome, TenantThrottled, Stores, View, Received or Set.
 type Input any
 
 // Outcome is an outcome observed by this broker.
-type Saw struct {
+type Outcome struct {
 	Store string
 	Kind  Kind
 }
@@ -100,7 +100,7 @@
 type Message struct {
 	Zone   string // the sender's zone
 	Run    uint64 // number of the sender's process
-	Words  []Word
+	Words  []Report
 	Orders []Order
 	Known  []Known // versions of the orders that the sender knows
 	Whole  bool    // request for the receiver's full state
@@ -173,12 +173,12 @@
 	count      int // number of outcomes, newest first
 	seq        uint64
 	reportedAt float64
-	lastReport Word // the last report sent
+	lastReport Report // the last report sent
 }
 
 // storedReport is a report with the time of its newest outcome by this member's clock.
 type storedReport struct {
-	Word
+	Report
 	outcomeAt float64
 	sendsLeft int // remaining times to send it
 }
@@ -222,7 +222,7 @@
 
 // New creates the state machine of a member without any reports. The function random returns numbers in [0, 1).
 func New(rules Rules, random func() float64) *Core {
-	std := Standard()
+	std := DefaultRules()
 	rules.Fresh, rules.Quorum, rules.Widest, rules.Most = cmp.Or(rules.Fresh, std.Fresh), cmp.Or(rules.Quorum, std.Quorum), cmp.Or(rules.Widest, std.Widest), cmp.Or(rules.Most, std.Most)
 	return &Core{rules: rules, random: random, stores: map[string]Store{}, local: map[string]*localOutcomes{}, reports: map[string]map[string]*storedReport{}, tenants: map[string]*tenantState{}, zones: map[string]string{}, runs: map[string]uint64{},
 		current: map[string]*currentVerdict{}, dirty: map[string]bool{}, orders: newOrders()}
@@ -246,9 +246,9 @@
 	}
 	for _, x := range in {
 		switch v := x.(type) {
-		case Saw:
+		case Outcome:
 			c.recordOutcome(v)
-		case HeldBack:
+		case TenantThrottled:
 			c.recordThrottled(v)
 		case Stores:
 			c.setStores(v.All)
@@ -305,7 +305,7 @@
 }
 
 // recordOutcome records an outcome and reports it if it changes something: a healthy store fails, a failed one is well, or there is more evidence.
-func (c *Core) recordOutcome(v Saw) {
+func (c *Core) recordOutcome(v Outcome) {
 	if v.Kind < Well || v.Kind > Silent {
 		return
 	}
@@ -347,8 +347,8 @@
 }
 
 // localReport builds this broker's report on a store from the outcomes within the window.
-func (c *Core) localReport(store string, o *localOutcomes) Word {
-	w := Word{Store: store, Observer: c.rules.Self, Zone: c.rules.Zone, Run: c.rules.Run, Kind: o.kinds[0], Born: c.stores[store].Born}
+func (c *Core) localReport(store string, o *localOutcomes) Report {
+	w := Report{Store: store, Observer: c.rules.Self, Zone: c.rules.Zone, Run: c.rules.Run, Kind: o.kinds[0], Born: c.stores[store].Born}
 	for i := range o.count {
 		if c.now-o.times[i] > Window {
 			break
@@ -369,15 +369,15 @@
 }
 
 // storeReport stores a report if it is newer than the stored one of its observer. The time of its newest outcome is at.
-func (c *Core) storeReport(w Word, at float64) bool {
+func (c *Core) storeReport(w Report, at float64) bool {
 	of := c.reports[w.Store]
 	if h := of[w.Observer]; h != nil {
-		if !w.newerThan(h.Word) {
+		if !w.newerThan(h.Report) {
 			return false
 		}
-		h.Word, h.outcomeAt, h.sendsLeft = w, at, c.initialSends()
+		h.Report, h.outcomeAt, h.sendsLeft = w, at, c.initialSends()
 	} else {
-		if c.reportCount >= c.rules.Most || w.Kind == Held && c.reportCount >= c.rules.Most/2 {
+		if c.reportCount >= c.rules.Most || w.Kind == Throttled && c.reportCount >= c.rules.Most/2 {
 			c.Counts.Dropped++
 			return false
 		}
@@ -474,7 +474,7 @@
 	}
 	// Reports on stores come first, since verdicts depend on them; then those sent least often, then the newest.
 	slices.SortStableFunc(wait, func(a, b *storedReport) int {
-		if (a.Kind == Held) != (b.Kind == Held) {
+		if (a.Kind == Throttled) != (b.Kind == Throttled) {
 			return cmp.Compare(a.Kind, b.Kind)
 		}
 		return cmp.Or(cmp.Compare(b.sendsLeft, a.sendsLeft), cmp.Compare(b.outcomeAt, a.outcomeAt))
@@ -496,9 +496,9 @@
 	c.sendReminders()
 }
 
-func (c *Core) withAges(some []*storedReport) (words []Word) {
+func (c *Core) withAges(some []*storedReport) (words []Report) {
 	for _, h := range some {
-		w := h.Word
+		w := h.Report
 		w.Age = max(0, c.now-h.outcomeAt)
 		words = append(words, w)
 	}
@@ -557,4 +557,4 @@
 }
 
 // ReportCount returns the number of reports kept.
-func (c *Core) Held() int { return c.reportCount }
+func (c *Core) ReportCount() int { return c.reportCount }
--- a/internal/verdicts/verdicts_test.go
+++ b/internal/verdicts/verdicts_test.go
@@ -53,35 +53,35 @@
 // Invalid reports and orders are counted and dropped, and the number of reports is bounded.
 func TestInvalidReports(t *testing.T) {
 	c := newCore()
-	good := Word{Store: "s", Observer: "b", Kind: Fails, Bad: 3, Row: 3, Run: 1, Seq: 1}
-	for i, change := range []func(*Word){func(w *Word) { w.Store = "" }, func(w *Word) { w.Observer = strings.Repeat("x", 200) }, func(w *Word) { w.Kind = 9 }, func(w *Word) { w.Kind = 0 },
-		func(w *Word) { w.Age = math.NaN() }, func(w *Word) { w.Age = -1 }, func(w *Word) { w.Good = 9 }, func(w *Word) { w.Bad = -1 }, func(w *Word) { w.Row = 4 },
-		func(w *Word) { w.Observer, w.Run = "a", 7 }} {
+	good := Report{Store: "s", Observer: "b", Kind: Fails, Bad: 3, Row: 3, Run: 1, Seq: 1}
+	for i, change := range []func(*Report){func(w *Report) { w.Store = "" }, func(w *Report) { w.Observer = strings.Repeat("x", 200) }, func(w *Report) { w.Kind = 9 }, func(w *Report) { w.Kind = 0 },
+		func(w *Report) { w.Age = math.NaN() }, func(w *Report) { w.Age = -1 }, func(w *Report) { w.Good = 9 }, func(w *Report) { w.Bad = -1 }, func(w *Report) { w.Row = 4 },
+		func(w *Report) { w.Observer, w.Run = "a", 7 }} {
 		w := good
 		change(&w)
-		c.Step(1100, []Input{Received{"b", Message{Words: []Word{w}}}})
+		c.Step(1100, []Input{Received{"b", Message{Words: []Report{w}}}})
 		assert.Equal(t, i+1, c.Counts.Odd, "%d", i)
 	}
 	c.Step(1100, []Input{Received{"b", Message{Orders: []Order{{Store: "s", Do: "explode", Left: 1}, {Store: "", Do: Drain}, {Store: "s", Do: Drain, Left: math.Inf(1)}}}}})
 	assert.Equal(t, 13, c.Counts.Odd)
-	assert.Zero(t, c.Held())
+	assert.Zero(t, c.ReportCount())
 	c.rules.Most = 1
 	second := good
 	second.Observer = "c"
-	c.Step(1200, []Input{Received{"b", Message{Words: []Word{good, second}}}})
-	assert.Equal(t, [2]int{1, 1}, [2]int{c.Held(), c.Counts.Dropped})
+	c.Step(1200, []Input{Received{"b", Message{Words: []Report{good, second}}}})
+	assert.Equal(t, [2]int{1, 1}, [2]int{c.ReportCount(), c.Counts.Dropped})
 	c.Step(1e6, nil)
-	assert.Zero(t, c.Held(), "old reports are removed")
+	assert.Zero(t, c.ReportCount(), "old reports are removed")
 }
 
 // After a restart a stored order remains in force for its remaining time by the wall clock, never for longer. An expired order stays expired.
 func TestStoredOrders(t *testing.T) {
 	c := newCore()
 	c.Step(1100, []Input{Set{Store: "s", Do: Drain, For: 60000, Reason: "disk"}, Set{Store: "t", Do: Rest, For: 60000}})
-	records := c.Lasting(5e6)
-	assert.Empty(t, c.Lasting(5e6), "each order is returned once")
+	records := c.UnstoredOrders(5e6)
+	assert.Empty(t, c.UnstoredOrders(5e6), "each order is returned once")
 	c.Step(2100, []Input{Set{Store: "t", Do: Rest}})
-	records = append(records, c.Lasting(5e6+1000)...)
+	records = append(records, c.UnstoredOrders(5e6+1000)...)
 	require.Len(t, records, 3)
 	for wall, left := range map[float64]float64{5e6 + 20000: 40000, 5e6 - 3600000: 60000, 5e6 + 3600000: 0} {
 		again := New(Rules{Self: "a", Zone: "x", Run: 2}, half)
@@ -97,7 +97,7 @@
 		assert.False(t, holds, "the order was revoked")
 		_, holds = again.orders.current("u", 701)
 		assert.False(t, holds, "an invalid record is ignored")
-		assert.Empty(t, again.Lasting(wall), "restored orders are stored already")
+		assert.Empty(t, again.UnstoredOrders(wall), "restored orders are stored already")
 	}
 }
 
@@ -108,14 +108,14 @@
 	other.Step(1000, []Input{Stores{[]Store{{Name: "s", Ready: true}, {Name: "tenant/acme", Ready: true}}}, View{[]Member{{Name: "a"}}}})
 	for i := range 50 {
 		now := 1100 + float64(i*100)
-		for _, o := range c.Step(now, []Input{HeldBack{"acme", "the fleet's limit each"}, HeldBack{"", "none"}, HeldBack{strings.Repeat("x", 300), "long"}}) {
+		for _, o := range c.Step(now, []Input{TenantThrottled{"acme", "the fleet's limit each"}, TenantThrottled{"", "none"}, TenantThrottled{strings.Repeat("x", 300), "long"}}) {
 			if s, is := o.(Send); is && s.To == "b" {
 				other.Step(now, []Input{Received{"a", s.Message}, Received{"a", s.Message}})
 			}
 		}
 	}
 	assert.Equal(t, 5, c.Counts.Said, "one report a second")
-	other.Step(6100, []Input{HeldBack{"acme", "cell west"}, Saw{"s", Fails}})
+	other.Step(6100, []Input{TenantThrottled{"acme", "cell west"}, Outcome{"s", Fails}})
 	seen := other.Tenants()
 	require.Len(t, seen, 1)
 	assert.Equal(t, []string{"a", "b"}, seen[0].Observers)
@@ -123,23 +123,23 @@
 	assert.Equal(t, 11, seen[0].Scans)
 	assert.Equal(t, "well", other.Seen()[0].Kind)
 	assert.Equal(t, "s", other.Seen()[0].Store)
-	var first []Word
+	var first []Report
 	for now := 6110.0; len(first) == 0; now += 10 {
-		for _, o := range other.Step(now, []Input{HeldBack{"acme", "cell west"}, Saw{"s", Fails}}) {
+		for _, o := range other.Step(now, []Input{TenantThrottled{"acme", "cell west"}, Outcome{"s", Fails}}) {
 			if s, is := o.(Send); is {
 				first = append(first, s.Message.Words...)
 			}
 		}
 	}
 	assert.Equal(t, "s", first[0].Store)
-	for _, w := range []Word{{Store: "tenant/x", Observer: "a", Kind: Fails, Bad: 1}, {Store: "s", Observer: "a", Kind: Held, Times: 1}, {Store: "tenant/x", Observer: "a", Kind: Held},
-		{Store: "tenant/x", Observer: "a", Kind: Held, Times: 1, Why: strings.Repeat("x", 100)}} {
+	for _, w := range []Report{{Store: "tenant/x", Observer: "a", Kind: Fails, Bad: 1}, {Store: "s", Observer: "a", Kind: Throttled, Times: 1}, {Store: "tenant/x", Observer: "a", Kind: Throttled},
+		{Store: "tenant/x", Observer: "a", Kind: Throttled, Times: 1, Why: strings.Repeat("x", 100)}} {
 		assert.False(t, w.valid(), "%v", w)
 	}
 	other.Step(6e6, nil)
 	assert.Empty(t, other.Tenants())
 	assert.Empty(t, other.tenants)
-	assert.Zero(t, other.Held())
+	assert.Zero(t, other.ReportCount())
 }
 
 // A single slow outcome is not reported. Two in a row make a report, and reports of two observers make a verdict, which the next well outcome ends.
@@ -147,12 +147,12 @@
 	c := newCore()
 	saw := func(at float64, kinds ...Kind) (last []Output) {
 		for i, k := range kinds {
-			last = c.Step(at+float64(i), []Input{Saw{"s", k}})
+			last = c.Step(at+float64(i), []Input{Outcome{"s", k}})
 		}
 		return last
 	}
 	report := func(seq uint64, kind Kind) Received {
-		return Received{"b", Message{Run: 1, Words: []Word{{Store: "s", Observer: "b", Kind: kind, Good: 2, Run: 1, Seq: seq}}}}
+		return Received{"b", Message{Run: 1, Words: []Report{{Store: "s", Observer: "b", Kind: kind, Good: 2, Run: 1, Seq: seq}}}}
 	}
 	saw(1100, Slow, Well, Slow, Well, Slow)
 	assert.Zero(t, c.Counts.Said, "occasional slow outcomes are not reported")
@@ -173,7 +173,7 @@
 	// Slow is relative to each broker's own target times: under overload all stores are slow to all brokers, which excludes none.
 	for _, store := range []string{"s", "t", "u"} {
 		for seq := range uint64(2) {
-			c.Step(3000+float64(seq), []Input{Saw{store, Slow}, Received{"b", Message{Run: 1, Words: []Word{{Store: store, Observer: "b", Kind: Slow, Good: 2, Run: 1, Seq: 9 + seq}}}}})
+			c.Step(3000+float64(seq), []Input{Outcome{store, Slow}, Received{"b", Message{Run: 1, Words: []Report{{Store: store, Observer: "b", Kind: Slow, Good: 2, Run: 1, Seq: 9 + seq}}}}})
 		}
 	}
 	for _, x := range c.Seen() {
