--- a/cmd/gullstair/main.go
+++ b/cmd/gullstair/main.go
@@ -125,7 +125,7 @@
 		return err
 	}
 	fmt.Fprintf(out, "%s: listens on %s, discovery at %s, %d nodes known, %d table types, %d MB, %d sockets\n",
-		cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.Known.Hosts), len(cfg.Site.Types), cfg.MemoryMB, cfg.Sockets)
+		cfg.Name, cfg.Listen, cfg.Discovery, len(cfg.KnownList.Hosts), len(cfg.Site.Types), cfg.MemoryMB, cfg.Sockets)
 	f, err := readFeatures(c.Features, cfg.Name)
 	if err != nil || f == nil {
 		return err
@@ -137,7 +137,7 @@
 		fmt.Fprintf(out, "cells: %d, %d holders of each set, %d pins\n", len(f.Cells.Cells), f.Cells.Holders, len(f.Cells.Pins))
 	}
 	if f.Lease != nil {
-		fmt.Fprintf(out, "lease: by hand up to %v, votes stored in %q\n", f.Lease.Longest, f.Lease.Dir)
+		fmt.Fprintf(out, "lease: by hand up to %v, votes stored in %q\n", f.Lease.MaxTerm, f.Lease.Dir)
 	}
 	for _, t := range f.Tasks {
 		fmt.Fprintf(out, "task %s: %s\n", t.Name, strings.Join(t.Run, " "))
--- a/cmd/measure/capacity.go
+++ b/cmd/measure/capacity.go
@@ -145,7 +145,7 @@
 	if err != nil {
 		return cost, err
 	}
-	known := cfg.Known.Nodes(func(string, string) {})
+	known := cfg.KnownList.Nodes(func(string, string) {})
 	before := heapInUse()
 	r := &coreDriver{core: core.New(cfg.Site, cfg.Flat, cfg.Seed, known), now: coreClock}
 	r.step(0)
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -68,7 +68,7 @@
 
 // Broker is one running broker.
 type Broker struct {
-	startFile *config.Told
+	startFile *config.StartConfig
 	clock     Clock
 	core      *core.Core
 	turn      float64
@@ -94,7 +94,7 @@
 
 // Start starts a broker: it listens, passes the start event and the cached list to the module, and subscribes to
 // the list. Features are the optional features of the installation; nil means none.
-func Start(t *config.Told, f *features.Document, log zerolog.Logger) (*Broker, error) {
+func Start(t *config.StartConfig, f *features.Document, log zerolog.Logger) (*Broker, error) {
 	return StartBy(MachineClocks(), nil, t, f, log)
 }
 
@@ -103,7 +103,7 @@
 
 // StartBy is Start with other clocks for what brokers share. It fails with ErrAbandoned if abandon is closed while
 // the address is still in use by another process.
-func StartBy(clocks Clocks, abandon <-chan struct{}, t *config.Told, f *features.Document, log zerolog.Logger) (*Broker, error) {
+func StartBy(clocks Clocks, abandon <-chan struct{}, t *config.StartConfig, f *features.Document, log zerolog.Logger) (*Broker, error) {
 	if f == nil {
 		f = &features.Document{}
 	}
@@ -116,14 +116,14 @@
 	b := &Broker{startFile: t, clock: NewClock(), turn: t.Site.Turn, mailbox: make(chan core.Input, mailboxSize),
 		stop: make(chan struct{}), frontDone: make(chan struct{}), stopping: make(chan struct{}), ln: ln, log: log, fatal: make(chan error, 1), features: f, clocks: clocks}
 	nodeConns := t.Sockets / 4
-	b.fleet = node.NewFleet(node.Reach{PerConn: t.Site.PartsPerConn, MaxConns: nodeConns,
-		ConnectTimeout: ms(t.Site.ConnectTimeout), Idle: ms(t.Site.ConnIdle)}, b.clock.Now,
+	b.fleet = node.NewFleet(node.ConnLimits{PerConn: t.Site.PartsPerConn, MaxConns: nodeConns,
+		ConnectTimeout: ms(t.Site.ConnectTimeout), IdleTimeout: ms(t.Site.ConnIdle)}, b.clock.Now,
 		func(e core.Ended) { b.put(e) }, log)
-	b.front = &front.Front{Site: t.Site, Now: b.clock.Now, Take: func(s *core.Scan) { b.put(s) },
-		Left: func(s *core.Scan) { b.put(core.ClientLeft{Scan: s}) }, Most: t.Sockets - nodeConns - front.ClosingMost - reservedFiles, Ample: t.Sockets / 6, // half of what clients may hold for requests
+	b.front = &front.Front{Site: t.Site, Now: b.clock.Now, OnScan: func(s *core.Scan) { b.put(s) },
+		OnDisconnect: func(s *core.Scan) { b.put(core.ClientLeft{Scan: s}) }, MaxConns: t.Sockets - nodeConns - front.MaxClosingConns - reservedFiles, SoftMaxConns: t.Sockets / 6, // half of what clients may hold for requests
 		ReadAhead: t.MemoryMB << 20 / readAheadShare, ReadWithin: readTimeout, Log: log}
 	logInvalid := func(host, why string) { log.Warn().Str("node", host).Msg(why) }
-	known := t.Known.Nodes(logInvalid)
+	known := t.KnownList.Nodes(logInvalid)
 	flat := maps.Clone(t.Flat)
 	if s := f.Sharing; s != nil { // the module has to know what brokers share
 		flat["limit.peers"], flat["share.verdicts"] = s.Notes, s.Verdicts != nil
@@ -134,7 +134,7 @@
 		ln.Close()
 		return nil, err
 	}
-	b.watch = discovery.Follow(t.Discovery, discovery.Options{Since: t.Known.Seq, OnAsk: t.Site.SubscribeList, Seed: t.Seed}, func(l core.List) { b.put(l) }, log)
+	b.watch = discovery.Follow(t.Discovery, discovery.Options{Since: t.KnownList.Seq, OnDemand: t.Site.SubscribeList, Seed: t.Seed}, func(l core.List) { b.put(l) }, log)
 	b.actorDone.Go(b.run)
 	go func() {
 		defer close(b.frontDone)
@@ -151,11 +151,11 @@
 			}
 		}
 	}()
-	for _, why := range t.Off {
+	for _, why := range t.DisabledSettings {
 		log.Warn().Msg(why)
 	}
 	log.Info().Str("name", t.Name).Str("listen", ln.Addr().String()).Str("discovery", t.Discovery).
-		Int("known", len(known)).Int64("seq", t.Known.Seq).Int("memory_mb", t.MemoryMB).Int("sockets", t.Sockets).
+		Int("known", len(known)).Int64("seq", t.KnownList.Seq).Int("memory_mb", t.MemoryMB).Int("sockets", t.Sockets).
 		Float64("cores", t.Cores).Int("open_cap", t.Site.OpenCap).Float64("turn_ms", t.Site.Turn).
 		Interface("types", t.Site.Types).Msg("started")
 	return b, nil
@@ -258,7 +258,7 @@
 				batch = append(batch, core.Ended{Ref: v.Ref, Reason: core.QueueFull, At: b.clock.Now()})
 			}
 		case core.Cancel:
-			b.fleet.GiveUp(v)
+			b.fleet.Cancel(v)
 		case core.Reply:
 			front.Reply(v)
 		case core.NodeChange:
@@ -274,7 +274,7 @@
 		case core.ScanRefused:
 			b.sharing.offerRefusal(v)
 		case core.SubscribeList:
-			b.watch.Ask()
+			b.watch.Start()
 		case core.Log:
 			if v.Fatal {
 				select {
@@ -290,8 +290,8 @@
 
 // ApplyStartFile applies a start file that was read again: the subscription moves to the discovery address that it names. All
 // other changes take effect at the next start.
-func (b *Broker) ApplyStartFile(t *config.Told) {
-	b.log.Info().Str("discovery", t.Discovery).Strs("at_next_start", b.startFile.Differ(t)).Msg("start file read again")
+func (b *Broker) ApplyStartFile(t *config.StartConfig) {
+	b.log.Info().Str("discovery", t.Discovery).Strs("at_next_start", b.startFile.RestartKeys(t)).Msg("start file read again")
 	b.watch.Move(t.Discovery)
 }
 
@@ -346,7 +346,7 @@
 		Int("full", c.OverCapacity).Int("confined", c.CellThrottled).Int("limited", c.LimitThrottled).Int("short", c.BudgetDenied).Int("abandoned", c.Abandoned).Int("left", c.ClientsLeft).Int("open", b.core.Open()).
 		Int("dispatches", c.Dispatches).Int("late", c.LateEnds).Dict("ends", ends).
 		Int("clients", b.front.Conns()).Int64("requests", fr.Requests.Load()).Int64("malformed", fr.Malformed.Load()).
-		Int64("crowded", fr.Crowded.Load()).Int64("accepts_failed", fr.Failed.Load()).
+		Int64("crowded", fr.Rejected.Load()).Int64("accepts_failed", fr.AcceptsFailed.Load()).
 		Int("node_conns", b.fleet.Conns()).Int64("dials", fl.Dials.Load()).Int64("dials_failed", fl.DialsFailed.Load()).
 		Int64("unasked", fl.Unknown.Load()).Int64("bad_frames", fl.Malformed.Load()).
 		Uint64("heap_kb", mem.HeapAlloc>>10).Uint64("sys_kb", mem.Sys>>10).Msg("tally")
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -68,7 +68,7 @@
 }
 
 // startFile returns the start file of these tests, parsed with the given environment.
-func startFile(t *testing.T, env map[string]string) *config.Told {
+func startFile(t *testing.T, env map[string]string) *config.StartConfig {
 	text, err := os.ReadFile("../config/testdata/start.json")
 	require.NoError(t, err)
 	cfg, err := config.Parse(text, func(key string) string { return env[key] })
@@ -90,7 +90,7 @@
 func TestReadyWithList(t *testing.T) {
 	a := newFakeDiscovery(t)
 	cfg := startFile(t, map[string]string{"GW_DISCOVERY": a.addr})
-	cfg.Known.Hosts = nil
+	cfg.KnownList.Hosts = nil
 	b, err := Start(cfg, nil, zerolog.Nop())
 	require.NoError(t, err)
 	<-a.requests
@@ -145,7 +145,7 @@
 	held := make(chan struct{})
 	defer close(held)
 	b := &Broker{clock: NewClock(), log: zerolog.Nop()}
-	b.fleet = node.NewFleet(node.Reach{}, b.clock.Now, func(core.Ended) { <-held }, zerolog.Nop())
+	b.fleet = node.NewFleet(node.ConnLimits{}, b.clock.Now, func(core.Ended) { <-held }, zerolog.Nop())
 	c := core.Call{Host: "s-z", Addr: "127.0.0.1:1", Parts: []core.CallPart{{Ref: 7}, {Ref: 8}}}
 	var batch []core.Input
 	for i := 0; len(batch) == 0 && i < 10000; i++ {
@@ -173,13 +173,13 @@
 }
 
 // silentStores returns a listener for stores that accept connections and never answer, and a start file that names them.
-func silentStores(t *testing.T) (net.Listener, *config.Told) {
+func silentStores(t *testing.T) (net.Listener, *config.StartConfig) {
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { silent.Close() })
 	cfg := startFile(t, nil)
-	for i := range cfg.Known.Hosts {
-		cfg.Known.Hosts[i].Dial = silent.Addr().String()
+	for i := range cfg.KnownList.Hosts {
+		cfg.KnownList.Hosts[i].Dial = silent.Addr().String()
 	}
 	return silent, cfg
 }
@@ -291,8 +291,8 @@
 // A scan whose client has left is not dispatched again, although its first dispatch fails just then and could be repeated.
 func TestNoRetryAfterClientLeft(t *testing.T) {
 	stores, cfg := silentStores(t)
-	for i := range cfg.Known.Hosts { // both nodes hold the shard
-		cfg.Known.Hosts[i].Block = 0
+	for i := range cfg.KnownList.Hosts { // both nodes hold the shard
+		cfg.KnownList.Hosts[i].Block = 0
 	}
 	b, err := Start(cfg, nil, zerolog.Nop())
 	require.NoError(t, err)
--- a/internal/broker/features.go
+++ b/internal/broker/features.go
@@ -69,7 +69,7 @@
 	if k := b.features.Cells; k != nil {
 		b.startCells(k)
 	}
-	if w := b.features.Watch; w != nil {
+	if w := b.features.Shadow; w != nil {
 		watched, err := shadowSettings(b.startFile.Flat, b.startFile.Site.TypeIndex, w)
 		if err != nil {
 			return err
@@ -110,11 +110,11 @@
 // startCells confines tenants to cells. Nothing is stored on disk: the map is derived from the features document, and a
 // tenant moves by a change of the pins at the next start.
 func (b *Broker) startCells(k *features.Cells) {
-	plan := cells.Plan{Holders: k.Holders, Default: k.Default, Pins: k.Pins, MinHolderShare: k.Least}
+	plan := cells.Plan{Holders: k.Holders, Default: k.Default, Pins: k.Pins, MinHolderShare: k.MinShare}
 	limits := map[string]quota.Limits{}
 	for _, c := range k.Cells {
 		plan.Cells = append(plan.Cells, cells.Cell{Name: c.Name, Weight: c.Weight})
-		limits[c.Name] = quota.Limits{Rate: c.Rate, Burst: c.Burst, Open: c.Open, Work: c.WorkMS, Weight: c.Weight,
+		limits[c.Name] = quota.Limits{Rate: c.Rate, Burst: c.Burst, Open: c.OpenScans, Work: c.WorkMS, Weight: c.Weight,
 			TenantRate: c.TenantRate, TenantBurst: c.TenantBurst}
 	}
 	num := func(name string) float64 {
@@ -126,7 +126,7 @@
 }
 
 // shadowSettings returns the module's settings with those of the watch block in their place.
-func shadowSettings(flat map[string]any, types map[string]int, w *features.Watch) (map[string]any, error) {
+func shadowSettings(flat map[string]any, types map[string]int, w *features.ShadowSettings) (map[string]any, error) {
 	shadow := maps.Clone(flat)
 	for name, on := range map[string]*bool{"limit.secondCopies": w.SecondCopies, "limit.cancelling": w.Cancelling, "limit.peers": w.Notes} {
 		if on != nil {
@@ -201,7 +201,7 @@
 	sh.nodeLists <- b.core.ReportList()
 	if s.Verdicts != nil {
 		zone := fmt.Sprint(b.startFile.Flat["zone"])
-		plan.Verdicts = &verdicts.Rules{Self: plan.Name, Zone: zone, Run: plan.Incarnation, Fresh: ms64(s.Verdicts.Fresh), Quorum: s.Verdicts.Quorum, Widest: s.Verdicts.Widest,
+		plan.Verdicts = &verdicts.Rules{Self: plan.Name, Zone: zone, Run: plan.Incarnation, Fresh: ms64(s.Verdicts.MaxAge), Quorum: s.Verdicts.Quorum, Widest: s.Verdicts.MaxExcludedShare,
 			Roster: slices.Sorted(maps.Keys(s.Members))}
 		b.core.ReportOutcomes()
 		if path := s.Verdicts.Dir; path != "" {
@@ -311,7 +311,7 @@
 // ApplyFeatures applies a features document that was read again: keys of the members and limits at once, the rest at
 // the next start.
 func (b *Broker) ApplyFeatures(f *features.Document) error {
-	atNextStart := b.features.Differ(f)
+	atNextStart := b.features.RestartChanges(f)
 	if b.sharing != nil && f.Sharing != nil {
 		if err := b.sharing.sealer.Rekey(sealerKeys(f.Sharing.Keys)); err != nil {
 			return fmt.Errorf("features: sharing: %w", err)
--- a/internal/broker/leases.go
+++ b/internal/broker/leases.go
@@ -41,13 +41,13 @@
 func (b *Broker) openLeases(plan *sharing.Plan, work *sharer.Callbacks) (*lasting.Dir[lease.Record], error) {
 	for _, t := range b.features.Tasks {
 		plan.Tasks = append(plan.Tasks, tasks.Task{Name: t.Name, Every: ms64(t.Every), At: t.Schedule, Term: ms64(t.Term), Holders: t.Holders,
-			CatchUp: t.Once, Timeout: ms64(t.Timeout), Prefer: t.Prefer})
+			CatchUp: t.RunMissedOnce, Timeout: ms64(t.Timeout), Prefer: t.Prefer})
 	}
 	l := b.features.Lease
 	if l == nil {
 		return nil, nil
 	}
-	plan.Longest, plan.LeasesMost = ms64(l.Longest), l.Most
+	plan.Longest, plan.LeasesMost = ms64(l.MaxTerm), l.MaxLeases
 	if l.Dir == "" {
 		return nil, nil
 	}
@@ -214,8 +214,8 @@
 	out := json.NewEncoder(conn)
 	holders, err := strconv.Atoi(q.Get("holders"))
 	term, termErr := time.ParseDuration(q.Get("term"))
-	if name := q.Get("name"); err != nil || termErr != nil || name == "" || len(name) > 80 || holders < 1 || holders > 100 || term > s.b.features.Lease.Longest {
-		out.Encode(HoldEvent{Revoked: fmt.Sprintf("a name of 1 to 80 bytes, from 1 to 100 holders and a term of at most %v are needed", s.b.features.Lease.Longest)})
+	if name := q.Get("name"); err != nil || termErr != nil || name == "" || len(name) > 80 || holders < 1 || holders > 100 || term > s.b.features.Lease.MaxTerm {
+		out.Encode(HoldEvent{Revoked: fmt.Sprintf("a name of 1 to 80 bytes, from 1 to 100 holders and a term of at most %v are needed", s.b.features.Lease.MaxTerm)})
 		return
 	}
 	h := tasks.Hold{ID: rand.Uint64(), Name: q.Get("name"), Holders: holders, Term: ms64(term), By: q.Get("by")}
--- a/internal/broker/limits.go
+++ b/internal/broker/limits.go
@@ -68,17 +68,17 @@
 	var limits []shares.Limit
 	for _, f := range l.limits {
 		x := shares.Limit{Name: f.Name, Kind: shares.Rate, Size: f.Rate, Burst: f.Burst, Term: ms64(f.Term), Owners: f.Owners, Available: f.Available,
-			Linger: ms64(f.Linger), Alone: f.Alone}
+			Linger: ms64(f.Linger), Alone: f.PartitionShare}
 		if f.Rate == 0 {
-			x.Kind, x.Size = shares.Stock, f.Open+f.Work
+			x.Kind, x.Size = shares.Stock, f.OpenScans+f.WorkMS
 		}
 		limits = append(limits, x)
 		l.reasons = append(l.reasons, fmt.Sprintf("the fleet's limit %s", f.Name))
 	}
 	l.core = shares.New(rules, limits, rand.New(rand.NewPCG(b.startFile.Seed, boot^0x11a17)).Float64)
 	plan.Limits = l
-	if b.features.Lent != "" {
-		return l, l.openDir(b.features.Lent, b.log)
+	if b.features.LoansDir != "" {
+		return l, l.openDir(b.features.LoansDir, b.log)
 	}
 	return l, nil
 }
@@ -115,7 +115,7 @@
 	l.scratch = l.scratch[:0]
 	for i := range l.limits {
 		f := &l.limits[i]
-		if f.Further {
+		if f.FurtherDispatches {
 			continue // applies to further dispatches, not to scans
 		}
 		u := shares.Use{Limit: i, Cost: 1}
@@ -125,7 +125,7 @@
 		case "cell":
 			u.Key = cell
 		}
-		if f.Work > 0 {
+		if f.WorkMS > 0 {
 			u.Cost = work
 		}
 		if len(u.Key) > maxKeyBytes {
@@ -167,7 +167,7 @@
 
 // furtherLimit returns the index of the limit on further dispatches, or -1 if there is none.
 func (l *limiter) furtherLimit() int {
-	return slices.IndexFunc(l.limits, func(f features.Limit) bool { return f.Further })
+	return slices.IndexFunc(l.limits, func(f features.Limit) bool { return f.FurtherDispatches })
 }
 
 // FleetBudget implements core.Limiter. It returns how many further dispatches this broker's share of the fleet's budget
@@ -298,7 +298,7 @@
 		if slices.ContainsFunc(l.limits, func(o features.Limit) bool { return o.Name == f.Name && (o.Rate > 0) == (f.Rate > 0) }) {
 			size := f.Rate
 			if size == 0 {
-				size = f.Open + f.Work
+				size = f.OpenScans + f.WorkMS
 			}
 			l.enqueue(shares.Document{Limit: f.Name, Size: size, Burst: f.Burst})
 		}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -17,16 +17,16 @@
 )
 
 // StartConfig is a broker's start configuration.
-type Told struct {
+type StartConfig struct {
 	Name, Listen, Discovery string
 	Seed                    uint64
 	Cores                   float64
 	MemoryMB, Sockets       int
-	Known                   discovery.Listing
+	KnownList               discovery.Listing
 	Flat                    map[string]any // the settings, flattened to the decision module's keys
 	Site                    terms.Settings
 
-	Off []string // settings that this program does not support and has disabled, with the reasons
+	DisabledSettings []string // settings that this program does not support and has disabled, with the reasons
 
 	fileDiscovery string // the file's value of discovery, if present
 }
@@ -40,7 +40,7 @@
 )
 
 // Read reads the environment through getenv, and the start file that GW_CONFIG names.
-func Read(getenv func(string) string) (*Told, error) {
+func Read(getenv func(string) string) (*StartConfig, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
 		return nil, errors.New("GW_CONFIG: not set; it must name the start file")
@@ -54,7 +54,7 @@
 
 // Reread reads the start file again while the broker runs. The file's discovery address then takes precedence over the
 // environment variable: the file may have been replaced since the start, while the environment cannot change.
-func Reread(getenv func(string) string) (*Told, error) {
+func Reread(getenv func(string) string) (*StartConfig, error) {
 	t, err := Read(getenv)
 	if err != nil || t.fileDiscovery == "" {
 		return t, err
@@ -67,7 +67,7 @@
 }
 
 // RestartKeys returns the keys whose values differ between t and o and take effect only after a restart.
-func (t *Told) Differ(o *Told) (keys []string) {
+func (t *StartConfig) RestartKeys(o *StartConfig) (keys []string) {
 	for key, same := range map[string]bool{"name": t.Name == o.Name, "listen": t.Listen == o.Listen,
 		"limits":   t.Cores == o.Cores && t.MemoryMB == o.MemoryMB && t.Sockets == o.Sockets,
 		"settings": reflect.DeepEqual(t.Flat, o.Flat)} {
@@ -80,12 +80,12 @@
 }
 
 // Parse parses the text of a start file. An environment variable that is set takes precedence over the file's value.
-func Parse(text []byte, getenv func(string) string) (*Told, error) {
+func Parse(text []byte, getenv func(string) string) (*StartConfig, error) {
 	var tree map[string]json.RawMessage
 	if err := json.Unmarshal(text, &tree); err != nil {
 		return nil, fmt.Errorf("the start file is not a JSON object: %w", err)
 	}
-	t := &Told{}
+	t := &StartConfig{}
 	var limits map[string]json.RawMessage
 	var settings map[string]any
 	steps := []func() error{
@@ -120,13 +120,13 @@
 			t.Sockets = int(n)
 			return err
 		},
-		func() error { return object(tree, "known", false, &t.Known) },
+		func() error { return object(tree, "known", false, &t.KnownList) },
 		func() error { return object(tree, "settings", true, &settings) },
 		func() (err error) {
 			t.Flat = terms.Flatten(settings)
 			if t.Flat["limit.peers"] == true { // unsupported: the module would rely on notes that are never delivered
 				t.Flat["limit.peers"] = false
-				t.Off = append(t.Off, "settings: ceilings.peers: this program does not exchange notes between brokers; they are disabled")
+				t.DisabledSettings = append(t.DisabledSettings, "settings: ceilings.peers: this program does not exchange notes between brokers; they are disabled")
 			}
 			if t.Site, err = terms.ReadSettings(t.Flat); err != nil {
 				return fmt.Errorf("settings: %w", err)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -25,8 +25,8 @@
 	assert.Equal(t, "127.0.0.1:1", cfg.Discovery)
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), cfg.Seed)
 	assert.Equal(t, [2]int{192, 1024}, [2]int{cfg.MemoryMB, cfg.Sockets})
-	assert.EqualValues(t, 41, cfg.Known.Seq)
-	assert.Len(t, cfg.Known.Hosts, 2)
+	assert.EqualValues(t, 41, cfg.KnownList.Seq)
+	assert.Len(t, cfg.KnownList.Hosts, 2)
 	s := cfg.Site
 	assert.Equal(t, [5]int{6, 4, 32, 3, 20}, [5]int{s.Shards, s.Batch, s.PartsPerConn, s.Dispatches, s.OpenCap})
 	assert.Equal(t, [3]float64{5, 30000, 250}, [3]float64{s.Turn, s.ConnIdle, s.ConnectTimeout})
@@ -46,9 +46,9 @@
 	again, err := Reread(func(k string) string { return env[k] })
 	require.NoError(t, err)
 	assert.Equal(t, [2]string{"127.0.0.1:1", "b9"}, [2]string{again.Discovery, again.Name})
-	assert.Empty(t, first.Differ(again))
+	assert.Empty(t, first.RestartKeys(again))
 	again.Name, again.Sockets, again.Flat = "b8", 7, nil
-	assert.Equal(t, []string{"limits", "name", "settings"}, first.Differ(again))
+	assert.Equal(t, []string{"limits", "name", "settings"}, first.RestartKeys(again))
 }
 
 // Each error names the invalid key.
@@ -121,8 +121,8 @@
 		cfg, err := Parse([]byte(strings.Replace(string(startFile(t)), `"peers": false`, was, 1)), nobody)
 		require.NoError(t, err)
 		assert.Equal(t, false, cfg.Flat["limit.peers"])
-		if assert.Len(t, cfg.Off, off, was); off > 0 {
-			assert.Contains(t, cfg.Off[0], "ceilings.peers")
+		if assert.Len(t, cfg.DisabledSettings, off, was); off > 0 {
+			assert.Contains(t, cfg.DisabledSettings[0], "ceilings.peers")
 		}
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -41,7 +41,7 @@
 	require.NoError(t, err)
 	startFile, err := config.Parse(text, func(string) string { return "" })
 	require.NoError(t, err)
-	known := startFile.Known.Nodes(func(host, why string) { t.Errorf("%s: %s", host, why) })
+	known := startFile.KnownList.Nodes(func(host, why string) { t.Errorf("%s: %s", host, why) })
 	for _, c := range changes {
 		maps.Copy(startFile.Flat, c)
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -139,21 +139,21 @@
 
 // Options configure a Watch.
 type Options struct {
-	Since int64  // the version of the list that is already known
-	OnAsk bool   // pull mode: no call is made before Start
-	Seed  uint64 // seed of the backoff jitter, which spreads the retries of many brokers
+	Since    int64  // the version of the list that is already known
+	OnDemand bool   // pull mode: no call is made before Start
+	Seed     uint64 // seed of the backoff jitter, which spreads the retries of many brokers
 }
 
 // Follow starts a watch. It calls deliver with each update in order; deliver may block.
 func Follow(addr string, o Options, deliver func(core.List), log zerolog.Logger) *Watch {
-	w := &Watch{addr: addr, seq: o.Since, pull: o.OnAsk, deliver: deliver, log: log, mailbox: make(chan any, mailboxSize),
+	w := &Watch{addr: addr, seq: o.Since, pull: o.OnDemand, deliver: deliver, log: log, mailbox: make(chan any, mailboxSize),
 		stop: make(chan struct{}), backoff: initialBackoff, retryTimer: time.NewTimer(time.Hour), rand: rand.New(rand.NewPCG(o.Seed, 0)),
 		first: make(chan struct{})}
 	w.retryTimer.Stop()
-	if o.OnAsk {
+	if o.OnDemand {
 		w.finishFirst() // in pull mode the first list comes only after Start
 	} else {
-		w.Ask()
+		w.Start()
 	}
 	go w.run()
 	return w
@@ -174,7 +174,7 @@
 
 // Start starts the watch. A started watch retries failed calls itself until Stop. A further Start adds no call;
 // otherwise a discovery that is down would get an extra call for each failure.
-func (w *Watch) Ask() {
+func (w *Watch) Start() {
 	select {
 	case w.mailbox <- askMsg{}:
 	default: // a full mailbox means that the watch is already active
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -42,7 +42,7 @@
 			a.serve(conn)
 		}
 	}()
-	a.w = Follow(ln.Addr().String(), Options{Since: seq, OnAsk: onAsk}, func(l core.List) { a.updates <- l }, zerolog.Nop())
+	a.w = Follow(ln.Addr().String(), Options{Since: seq, OnDemand: onAsk}, func(l core.List) { a.updates <- l }, zerolog.Nop())
 	t.Cleanup(func() {
 		a.w.Stop()
 		close(a.replies)
@@ -136,12 +136,12 @@
 func TestAsk(t *testing.T) {
 	a := watch(t, 41, true)
 	for range 50 {
-		a.w.Ask()
+		a.w.Start()
 	}
 	next(t, a.requests)
 	a.replies <- body(`{"seq":42,"whole":true,"hosts":[]}`)
 	next(t, a.updates)
-	a.w.Ask()
+	a.w.Start()
 	assert.Contains(t, next(t, a.requests), "since=42")
 	a.replies <- body(`{"seq":43,"whole":true,"hosts":[]}`)
 	next(t, a.updates)
@@ -187,7 +187,7 @@
 // refused call carried no data, so the same call is repeated.
 func TestLateAndRefused(t *testing.T) {
 	a := watch(t, 41, true)
-	a.w.Ask()
+	a.w.Start()
 	opening := "/v1/servers?since=41&timeout_ms=1000"
 	assert.Equal(t, opening, next(t, a.requests))
 	a.replies <- "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -25,59 +25,59 @@
 
 // Document is a parsed features document. A missing block is nil, and its feature is off.
 type Document struct {
-	Sharing *Sharing
-	Control *Control
-	Cells   *Cells
-	Watch   *Watch
-	Lease   *Lease
-	Tasks   []Task
-	Limits  []Limit
-	Lent    string // directory that stores the loans of limits; "": not stored
+	Sharing  *Sharing
+	Control  *Control
+	Cells    *Cells
+	Shadow   *ShadowSettings
+	Lease    *Lease
+	Tasks    []Task
+	Limits   []Limit
+	LoansDir string // directory that stores the loans of limits; "": not stored
 }
 
 // Limit is a limit that the whole fleet shares. Exactly one of Rate, Open and Work is set.
 type Limit struct {
-	Name        string
-	For         string        // fleet, cell or tenant
-	Rate, Burst float64       // scans per second, and burst size
-	Open        float64       // concurrent scans
-	Work        float64       // outstanding work in ms
-	Further     bool          // Rate and Burst limit dispatches beyond each part's first
-	Available   bool          // whether the limit may be exceeded while members are partitioned
-	Term        time.Duration // of a loan
-	Linger      time.Duration // Available: how long a borrowed share stays usable past its term
-	Alone       float64       // Available: minimum share of the limit for each side of a partition
-	Owners      int           // members with a home share of each key; 0: all
+	Name              string
+	For               string        // fleet, cell or tenant
+	Rate, Burst       float64       // scans per second, and burst size
+	OpenScans         float64       // concurrent scans
+	WorkMS            float64       // outstanding work in ms
+	FurtherDispatches bool          // Rate and Burst limit dispatches beyond each part's first
+	Available         bool          // whether the limit may be exceeded while members are partitioned
+	Term              time.Duration // of a loan
+	Linger            time.Duration // Available: how long a borrowed share stays usable past its term
+	PartitionShare    float64       // Available: minimum share of the limit for each side of a partition
+	Owners            int           // members with a home share of each key; 0: all
 }
 
 // Lease enables leases held by operators, and sets where votes on leases are stored.
 type Lease struct {
-	Dir     string        // "": votes are not stored
-	Longest time.Duration // maximum term of a lease held by an operator
-	Most    int           // maximum concurrent leases in the fleet
+	Dir       string        // "": votes are not stored
+	MaxTerm   time.Duration // maximum term of a lease held by an operator
+	MaxLeases int           // maximum concurrent leases in the fleet
 }
 
 // Task is a command that runs periodically on Holders brokers of the fleet, one by default.
 type Task struct {
-	Name     string
-	Every    time.Duration // 0: At sets the schedule
-	At       string        // a cron expression, in UTC unless it begins with CRON_TZ=
-	Schedule cron.Schedule // parsed from At
-	Run      []string
-	Term     time.Duration
-	Timeout  time.Duration // 0: none
-	Holders  int
-	Once     bool // missed runs are made up for by a single run
-	Prefer   []string
+	Name          string
+	Every         time.Duration // 0: At sets the schedule
+	At            string        // a cron expression, in UTC unless it begins with CRON_TZ=
+	Schedule      cron.Schedule // parsed from At
+	Run           []string
+	Term          time.Duration
+	Timeout       time.Duration // 0: none
+	Holders       int
+	RunMissedOnce bool // missed runs are made up for by a single run
+	Prefer        []string
 }
 
 // ShadowSettings holds alternative settings. A broker compares its decisions with those under these settings but does
 // not apply them. A nil pointer means the current value.
-type Watch struct {
+type ShadowSettings struct {
 	SecondCopies, Cancelling, Notes *bool
 	Dispatches                      *float64
 	Budget                          *Budget
-	Types                           []WatchedType
+	Types                           []ShadowTableType
 }
 
 // Budget limits further dispatches: a fixed number, plus a share of the scans and parts accepted within the window.
@@ -88,7 +88,7 @@
 
 // ShadowTableType holds the settings of one table type. Where is its position in the document, for errors found later:
 // only the start file has all names of table types.
-type WatchedType struct {
+type ShadowTableType struct {
 	Name, Effect, Where string
 	RepeatWindow        time.Duration
 }
@@ -110,19 +110,19 @@
 
 // Verdicts configures the verdicts on stores that brokers reach together. A time or share of 0 means the default.
 type Verdicts struct {
-	Dir    string        // directory that stores operators' orders; "": not stored
-	Fresh  time.Duration // older reports are ignored
-	Quorum int           // independent observers required for a verdict
-	Widest float64       // maximum share of any shard's holders that verdicts may exclude
+	Dir              string        // directory that stores operators' orders; "": not stored
+	MaxAge           time.Duration // older reports are ignored
+	Quorum           int           // independent observers required for a verdict
+	MaxExcludedShare float64       // maximum share of any shard's holders that verdicts may exclude
 }
 
 // Cells configures cells, which confine tenants to subsets of the stores.
 type Cells struct {
-	Holders int     // stores of each replica set in a cell
-	Least   float64 // minimum available share of them; below it the cell rejects requests
-	Default string  // cell of unpinned tenants; "": spread over all cells
-	Pins    map[string]string
-	Cells   []Cell
+	Holders  int     // stores of each replica set in a cell
+	MinShare float64 // minimum available share of them; below it the cell rejects requests
+	Default  string  // cell of unpinned tenants; "": spread over all cells
+	Pins     map[string]string
+	Cells    []Cell
 }
 
 // Cell is one cell with its limits. A limit of 0 means no limit.
@@ -130,7 +130,7 @@
 	Name                    string
 	Weight                  float64
 	Rate, Burst             float64 // scans per second, and burst size
-	Open                    int     // concurrent scans
+	OpenScans               int     // concurrent scans
 	WorkMS                  float64 // outstanding work
 	TenantRate, TenantBurst float64
 }
@@ -313,7 +313,7 @@
 		doc.Cells = c.cells(raw.Cells)
 	}
 	if raw.Watch != nil {
-		doc.Watch = c.watch(raw.Watch)
+		doc.Shadow = c.watch(raw.Watch)
 	}
 	if raw.Lease != nil {
 		doc.Lease = c.lease(raw.Lease, doc.Sharing)
@@ -328,15 +328,15 @@
 		doc.Limits = append(doc.Limits, c.limit(l, raw.Limits[:i], doc))
 	}
 	if raw.Lent != nil {
-		if doc.Lent = raw.Lent.Dir; doc.Lent == "" {
+		if doc.LoansDir = raw.Lent.Dir; doc.LoansDir == "" {
 			c.fault([]string{"limits"}, "dir", "a directory is required")
-		} else if !filepath.IsAbs(doc.Lent) {
-			doc.Lent = filepath.Join(c.dir, doc.Lent)
+		} else if !filepath.IsAbs(doc.LoansDir) {
+			doc.LoansDir = filepath.Join(c.dir, doc.LoansDir)
 		}
 		if len(raw.Limits) == 0 {
 			c.fault([]string{"limits"}, "", "no limit block: there are no loans to store")
 		}
-		if doc.Lease != nil && doc.Lease.Dir == doc.Lent {
+		if doc.Lease != nil && doc.Lease.Dir == doc.LoansDir {
 			c.fault([]string{"limits"}, "dir", "this directory already stores the votes on leases")
 		}
 	}
@@ -374,9 +374,9 @@
 func (c *validator) lease(raw *leases, s *Sharing) *Lease {
 	at := []string{"lease"}
 	c.requireMembers(at, s)
-	l := &Lease{Dir: raw.Dir, Longest: defaultLongestTerm, Most: int(c.inRange(at, "most", raw.Most, 1, 10000, defaultMaxLeases))}
+	l := &Lease{Dir: raw.Dir, MaxTerm: defaultLongestTerm, MaxLeases: int(c.inRange(at, "most", raw.Most, 1, 10000, defaultMaxLeases))}
 	if raw.Longest != "" {
-		l.Longest = c.duration(at, "longest", raw.Longest, minTerm, maxTerm)
+		l.MaxTerm = c.duration(at, "longest", raw.Longest, minTerm, maxTerm)
 	}
 	if l.Dir != "" && !filepath.IsAbs(l.Dir) {
 		l.Dir = filepath.Join(c.dir, l.Dir)
@@ -410,7 +410,7 @@
 		key   string
 		value *float64
 		to    *float64
-	}{{"scans_per_s", raw.Rate, &l.Rate}, {"open_scans", raw.Open, &l.Open}, {"work_ms", raw.Work, &l.Work}, {"further_per_s", raw.Further, &l.Rate}} {
+	}{{"scans_per_s", raw.Rate, &l.Rate}, {"open_scans", raw.Open, &l.OpenScans}, {"work_ms", raw.Work, &l.WorkMS}, {"further_per_s", raw.Further, &l.Rate}} {
 		if x.value != nil {
 			sizes++
 			*x.to = c.inRange(at, x.key, x.value, 1e-3, maxLimitSize, 0)
@@ -422,7 +422,7 @@
 	if raw.Burst != nil && raw.Rate == nil && raw.Further == nil {
 		c.fault(at, "burst", "is valid only with scans_per_s or further_per_s")
 	}
-	if l.Further = raw.Further != nil; l.Further && (raw.For != "fleet" || slices.ContainsFunc(before, func(o limit) bool { return o.Further != nil })) {
+	if l.FurtherDispatches = raw.Further != nil; l.FurtherDispatches && (raw.For != "fleet" || slices.ContainsFunc(before, func(o limit) bool { return o.Further != nil })) {
 		c.fault(at, "further_per_s", "only one such limit is allowed, with for = \"fleet\"")
 	}
 	l.Burst = c.inRange(at, "burst", raw.Burst, 1, maxLimitSize, max(1, l.Rate/2))
@@ -437,7 +437,7 @@
 		if raw.Linger != "" {
 			l.Linger = c.duration(at, "linger", raw.Linger, 0, time.Hour)
 		}
-		l.Alone = c.inRange(at, "alone", raw.Alone, 0, 1, 0)
+		l.PartitionShare = c.inRange(at, "alone", raw.Alone, 0, 1, 0)
 	} else if raw.Linger != "" || raw.Alone != nil {
 		c.fault(at, "mode", "linger and alone require mode = \"available\": a strict limit is never exceeded")
 	}
@@ -453,7 +453,7 @@
 	at := []string{"task", raw.Name}
 	c.requireMembers(at, s)
 	t := Task{Name: raw.Name, At: raw.At, Run: raw.Run, Term: defaultTerm, Holders: int(c.inRange(at, "holders", raw.Holders, 1, maxHolders, 1)),
-		Once: raw.Missed == "once", Prefer: raw.Prefer}
+		RunMissedOnce: raw.Missed == "once", Prefer: raw.Prefer}
 	if raw.Name == "" || len(raw.Name) > 80 || strings.ContainsAny(raw.Name, "/ ") {
 		c.fault(at, "", "a task needs a name of 1 to 80 bytes, without spaces and slashes")
 	}
@@ -498,9 +498,9 @@
 
 var effects = []string{"replayable", "keyed", "non-replayable"}
 
-func (c *validator) watch(raw *watch) *Watch {
+func (c *validator) watch(raw *watch) *ShadowSettings {
 	at := []string{"watch"}
-	w := &Watch{SecondCopies: raw.SecondCopies, Cancelling: raw.Cancelling, Notes: raw.Notes, Dispatches: raw.Dispatches}
+	w := &ShadowSettings{SecondCopies: raw.SecondCopies, Cancelling: raw.Cancelling, Notes: raw.Notes, Dispatches: raw.Dispatches}
 	if c.inRange(at, "dispatches", raw.Dispatches, 1, 100, 1); raw.Dispatches != nil && *raw.Dispatches != float64(int(*raw.Dispatches)) {
 		c.fault(at, "dispatches", "%v is not a whole number", *raw.Dispatches)
 	}
@@ -511,7 +511,7 @@
 	}
 	for i, t := range raw.Types {
 		in := []string{"watch", "table_type", t.Name}
-		v := WatchedType{Name: t.Name, Effect: t.Effect, Where: c.where(in, "")}
+		v := ShadowTableType{Name: t.Name, Effect: t.Effect, Where: c.where(in, "")}
 		if slices.ContainsFunc(raw.Types[:i], func(o watchedType) bool { return o.Name == t.Name }) {
 			c.fault(in, "", "duplicate table type")
 		}
@@ -525,7 +525,7 @@
 		}
 		w.Types = append(w.Types, v)
 	}
-	if reflect.DeepEqual(*w, Watch{}) {
+	if reflect.DeepEqual(*w, ShadowSettings{}) {
 		c.fault(at, "", "the block is empty")
 	}
 	return w
@@ -548,7 +548,7 @@
 	if raw.Holders != nil {
 		holders = float64(*raw.Holders)
 	}
-	m := &Cells{Holders: int(c.inRange(at, "holders", &holders, 1, 100, 2)), Least: c.inRange(at, "least_share", raw.Least, 0.01, 1, 0.5),
+	m := &Cells{Holders: int(c.inRange(at, "holders", &holders, 1, 100, 2)), MinShare: c.inRange(at, "least_share", raw.Least, 0.01, 1, 0.5),
 		Default: raw.Default, Pins: raw.Pins}
 	names := map[string]bool{}
 	for _, k := range raw.Cells {
@@ -559,7 +559,7 @@
 		names[k.Name] = true
 		m.Cells = append(m.Cells, Cell{Name: k.Name, Weight: c.inRange(in, "weight", k.Weight, 0.001, 1e6, 1),
 			Rate: c.inRange(in, "scans_per_s", k.Rate, 0.01, 1e6, 0), Burst: c.inRange(in, "burst", k.Burst, 1, 1e6, 0),
-			Open: int(c.inRange(in, "open_scans", k.Open, 1, 1e6, 0)), WorkMS: c.inRange(in, "work_ms", k.Work, 1, 1e9, 0),
+			OpenScans: int(c.inRange(in, "open_scans", k.Open, 1, 1e6, 0)), WorkMS: c.inRange(in, "work_ms", k.Work, 1, 1e9, 0),
 			TenantRate: c.inRange(in, "tenant_scans_per_s", k.TenantRate, 0.01, 1e6, 0), TenantBurst: c.inRange(in, "tenant_burst", k.TenantBurst, 1, 1e6, 0)})
 	}
 	if len(raw.Cells) == 0 || len(raw.Cells) > maxCells {
@@ -682,9 +682,9 @@
 	}
 	if v := raw.Verdicts; v != nil {
 		at := []string{"sharing", "verdicts"}
-		s.Verdicts = &Verdicts{Dir: v.Dir, Fresh: defaultFresh, Quorum: int(c.inRange(at, "observers", v.Quorum, 1, 100, 2)), Widest: c.inRange(at, "widest", v.Widest, 0, 0.9, 1.0/3)}
+		s.Verdicts = &Verdicts{Dir: v.Dir, MaxAge: defaultFresh, Quorum: int(c.inRange(at, "observers", v.Quorum, 1, 100, 2)), MaxExcludedShare: c.inRange(at, "widest", v.Widest, 0, 0.9, 1.0/3)}
 		if v.Fresh != "" {
-			s.Verdicts.Fresh = c.duration(at, "fresh", v.Fresh, time.Second, 5*time.Minute)
+			s.Verdicts.MaxAge = c.duration(at, "fresh", v.Fresh, time.Second, 5*time.Minute)
 		}
 		if v.Dir != "" && !filepath.IsAbs(v.Dir) {
 			s.Verdicts.Dir = filepath.Join(c.dir, v.Dir)
@@ -753,14 +753,14 @@
 		if l.Burst = 0; l.Rate > 0 {
 			l.Rate = 1
 		}
-		l.Open, l.Work = min(l.Open, 1e-9), min(l.Work, 1e-9)
+		l.OpenScans, l.WorkMS = min(l.OpenScans, 1e-9), min(l.WorkMS, 1e-9)
 	}
 	return all
 }
 
 // RestartChanges returns the blocks and keys that differ between d and other and take effect only after a restart. Keys
 // of members and sizes of limits take effect without one.
-func (d *Document) Differ(other *Document) (names []string) {
+func (d *Document) RestartChanges(other *Document) (names []string) {
 	a, b := d.Sharing, other.Sharing
 	if (a == nil) != (b == nil) {
 		names = append(names, "sharing")
@@ -784,10 +784,10 @@
 	if !reflect.DeepEqual(withoutSizes(d.Limits), withoutSizes(other.Limits)) {
 		names = append(names, "limit")
 	}
-	if d.Lent != other.Lent {
+	if d.LoansDir != other.LoansDir {
 		names = append(names, "limits")
 	}
-	if !reflect.DeepEqual(d.Watch, other.Watch) {
+	if !reflect.DeepEqual(d.Shadow, other.Shadow) {
 		names = append(names, "watch")
 	}
 	if !reflect.DeepEqual(d.Cells, other.Cells) {
--- a/internal/features/limit_test.go
+++ b/internal/features/limit_test.go
@@ -23,13 +23,13 @@
 `), "/etc/f.hcl", "n1")
 	require.NoError(t, err)
 	assert.Equal(t, []Limit{{Name: "all", For: "fleet", Rate: 200, Burst: 100, Term: time.Second},
-		{Name: "each", For: "tenant", Open: 40, Burst: 1, Available: true, Alone: 0.5, Term: time.Second, Linger: 10 * time.Second, Owners: 5}}, d.Limits)
+		{Name: "each", For: "tenant", OpenScans: 40, Burst: 1, Available: true, PartitionShare: 0.5, Term: time.Second, Linger: 10 * time.Second, Owners: 5}}, d.Limits)
 	none, err := Parse([]byte(validDocument), "/etc/f.hcl", "n1")
 	require.NoError(t, err)
-	assert.Equal(t, []string{"limit"}, none.Differ(d))
+	assert.Equal(t, []string{"limit"}, none.RestartChanges(d))
 	other, err := Parse([]byte(validDocument+"limit \"all\" {\n  for = \"fleet\"\n  scans_per_s = 90\n}\nlimit \"each\" {\n  for = \"tenant\"\n  open_scans = 4\n  mode = \"available\"\n  alone = 0.5\n}\n"), "/etc/f.hcl", "n1")
 	require.NoError(t, err)
-	assert.Empty(t, d.Differ(other), "sizes take effect without a restart")
+	assert.Empty(t, d.RestartChanges(other), "sizes take effect without a restart")
 }
 
 // Relative directories are relative to the document, and each feature needs its own.
@@ -38,11 +38,11 @@
 	verdicts := strings.Replace(validDocument, "  duty \"probing\"", "  verdicts {\n    dir = \"orders\"\n  }\n  duty \"probing\"", 1)
 	d, err := Parse([]byte(verdicts+limit+"limits {\n  dir = \"lent\"\n}\n"), "/etc/f.hcl", "n1")
 	require.NoError(t, err)
-	assert.Equal(t, "/etc/lent", d.Lent)
+	assert.Equal(t, "/etc/lent", d.LoansDir)
 	assert.Equal(t, "/etc/orders", d.Sharing.Verdicts.Dir)
 	other, err := Parse([]byte(validDocument+limit), "/etc/f.hcl", "n1")
 	require.NoError(t, err)
-	assert.Equal(t, []string{"sharing.Verdicts", "limits"}, other.Differ(d), "both require a restart")
+	assert.Equal(t, []string{"sharing.Verdicts", "limits"}, other.RestartChanges(d), "both require a restart")
 	for text, want := range map[string]string{
 		"limits {\n  dir = \"lent\"\n}":               "no limit block: there are no loans to store",
 		limit + "limits {\n}":                         "dir",
--- a/internal/features/watch_test.go
+++ b/internal/features/watch_test.go
@@ -31,12 +31,12 @@
 func TestWatch(t *testing.T) {
 	d, err := Parse([]byte(watchDocument), "/etc/f.hcl", "n1")
 	require.NoError(t, err)
-	w := d.Watch
+	w := d.Shadow
 	assert.Equal(t, [3]any{false, true, 3.0}, [3]any{*w.SecondCopies, *w.Notes, *w.Dispatches})
 	assert.Nil(t, w.Cancelling, "a missing key stays nil")
 	assert.Equal(t, &Budget{20, 0.05, 5 * time.Second}, w.Budget)
-	assert.Equal(t, WatchedType{"switch", "keyed", "f.hcl:10: watch table_type switch", 3 * time.Second}, w.Types[0])
-	assert.Equal(t, []string{"watch"}, d.Differ(&Document{}))
+	assert.Equal(t, ShadowTableType{"switch", "keyed", "f.hcl:10: watch table_type switch", 3 * time.Second}, w.Types[0])
+	assert.Equal(t, []string{"watch"}, d.RestartChanges(&Document{}))
 	for _, c := range []struct{ old, is, want string }{
 		{watchDocument, "watch {\n}\n", "f.hcl:1: watch: the block is empty"},
 		{`dispatches = 3`, `dispatches = 0`, "f.hcl:4: watch.dispatches: 0 is not from 1 to 100"},
--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -163,16 +163,16 @@
 // process passes a scan on and writes its answer. It returns false if the connection must close.
 func (c *client) process(scan *core.Scan, last bool) bool {
 	if c.input.gone() {
-		c.front.Stats.LeftAtWork.Add(1) // the client is gone, so the scan is not started
+		c.front.Stats.LeftWhileProcessing.Add(1) // the client is gone, so the scan is not started
 		return false
 	}
 	scan.Client = c
 	c.enter(processing, time.Time{})
-	c.front.Take(scan)
+	c.front.OnScan(scan)
 	// Read from the connection while the scan runs, to detect a client that closes it. Reply unblocks the read.
 	if c.input.watch() {
-		c.front.Stats.LeftAtWork.Add(1)
-		c.front.Left(scan)
+		c.front.Stats.LeftWhileProcessing.Add(1)
+		c.front.OnDisconnect(scan)
 		return false
 	}
 	flooded := c.input.full()
--- a/internal/front/client_test.go
+++ b/internal/front/client_test.go
@@ -87,7 +87,7 @@
 	defer ln.Close()
 	took := make(chan *core.Scan, 10)
 	f := newFront(10)
-	f.Take = func(s *core.Scan) { took <- s }
+	f.OnScan = func(s *core.Scan) { took <- s }
 	for range 5 {
 		conn, err := net.Dial("tcp", ln.Addr().String())
 		require.NoError(t, err)
@@ -96,13 +96,13 @@
 		require.NoError(t, conn.Close())
 	}
 	go f.Serve(ln) // accepts the connections only now
-	require.Eventually(t, func() bool { return f.Stats.LeftAtWork.Load() == 5 }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return f.Stats.LeftWhileProcessing.Load() == 5 }, testTimeout, time.Millisecond)
 	assert.Empty(t, took)
 }
 
 // newFront returns a Front without a core; each test sets OnScan.
 func newFront(most int) *Front {
-	f := &Front{Most: most, Ample: most, ReadAhead: 1 << 20, ReadWithin: testTimeout, Now: func() float64 { return 1000 }, Log: zerolog.Nop()}
+	f := &Front{MaxConns: most, SoftMaxConns: most, ReadAhead: 1 << 20, ReadWithin: testTimeout, Now: func() float64 { return 1000 }, Log: zerolog.Nop()}
 	f.Site = testSite
 	f.Ready()
 	return f
@@ -207,12 +207,12 @@
 // The number of connections stays bounded even if clients never close theirs.
 func TestShutConnectionsAreBounded(t *testing.T) {
 	d := startFront(t, 2)
-	for range 3 * ClosingMost {
+	for range 3 * MaxClosingConns {
 		d.dial().send(healthRequest).response() // each takes another's slot, and no client closes its connection
 		d.front.mu.Lock()
 		open := len(d.front.conns)
 		d.front.mu.Unlock()
-		assert.LessOrEqual(t, open, 2+ClosingMost)
+		assert.LessOrEqual(t, open, 2+MaxClosingConns)
 		require.Eventually(t, func() bool {
 			d.front.mu.Lock()
 			defer d.front.mu.Unlock()
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -53,7 +53,7 @@
 	d.front = newFront(most)
 	d.front.Now = d.now
 	d.front.ReadWithin = append(within, testTimeout)[0]
-	d.front.Take, d.front.Left = func(s *core.Scan) { d.taken <- s }, func(s *core.Scan) { d.left <- s }
+	d.front.OnScan, d.front.OnDisconnect = func(s *core.Scan) { d.taken <- s }, func(s *core.Scan) { d.left <- s }
 	go d.front.Serve(ln)
 	t.Cleanup(func() { ln.Close() })
 	return d
@@ -336,7 +336,7 @@
 func TestAmple(t *testing.T) {
 	d := startFront(t, 10)
 	d.front.mu.Lock()
-	d.front.Ample = 2
+	d.front.SoftMaxConns = 2
 	d.front.mu.Unlock()
 	kept := d.dial().send(healthRequest)
 	_, _, res := kept.response()
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -29,20 +29,20 @@
 )
 
 // MaxClosingConns is the maximum number of closing connections, in addition to MaxConns in service.
-const ClosingMost = 16
+const MaxClosingConns = 16
 
 // Front serves clients. It calls OnScan with each scan, and OnDisconnect with each scan whose client disconnected; both
 // may block.
 type Front struct {
-	Site terms.Settings
-	Now  func() float64
-	Take func(*core.Scan)
-	Left func(*core.Scan)
-	Most int // maximum client connections in service
+	Site         terms.Settings
+	Now          func() float64
+	OnScan       func(*core.Scan)
+	OnDisconnect func(*core.Scan)
+	MaxConns     int // maximum client connections in service
 	// SoftMaxConns is the number of connections up to which the front keeps them open. Above it a connection closes
 	// with its next answer, and one that has sent no request closes soon: a client, or a machine in between, may count
 	// it against its own limit. At worst such a client has to connect again.
-	Ample int
+	SoftMaxConns int
 	// ReadAhead is the total number of bytes of pipelined requests that all connections together may buffer.
 	ReadAhead int
 	// ReadWithin is the timeout of an idle connection and of reading a request. For the first request it counts from
@@ -66,11 +66,11 @@
 
 // Stats are the front's counters.
 type Stats struct {
-	Accepted, Failed, Requests, Malformed, Crowded atomic.Int64
+	Accepted, AcceptsFailed, Requests, Malformed, Rejected atomic.Int64
 	// Closed connections by cause: by the client between two requests or during one, by the front after an answer that
 	// announced it, by the front to free a slot or after the idle timeout.
-	ByClient, LeftAtWork, ByAnswer, ByFront atomic.Int64
-	lastAccept                              atomic.Int64 // wall clock, ns
+	ByClient, LeftWhileProcessing, ByAnswer, ByFront atomic.Int64
+	lastAccept                                       atomic.Int64 // wall clock, ns
 }
 
 // Ready makes /healthz report that the broker is ready.
@@ -81,7 +81,7 @@
 func (f *Front) crowded() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.inService() > f.Ample && !f.stopping.Load()
+	return f.inService() > f.SoftMaxConns && !f.stopping.Load()
 }
 
 // Conns returns the number of open client connections.
@@ -129,7 +129,7 @@
 		if err != nil {
 			// No descriptor is free, or the client closed the connection before the accept. Returning would lose all
 			// open scans, so retry after a short pause.
-			f.Stats.Failed.Add(1)
+			f.Stats.AcceptsFailed.Add(1)
 			f.freeDescriptor()
 			time.Sleep(acceptRetryDelay)
 			continue
@@ -138,7 +138,7 @@
 		f.Stats.lastAccept.Store(time.Now().UnixNano())
 		c := newClient(f, conn)
 		if !f.admit(c) {
-			f.Stats.Crowded.Add(1)
+			f.Stats.Rejected.Add(1)
 			conn.Close()
 			continue
 		}
@@ -151,12 +151,12 @@
 func (f *Front) admit(c *client) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for f.inService() >= f.Ample && f.requestCloseOfOldest(idle, silentTimeout, true) {
+	for f.inService() >= f.SoftMaxConns && f.requestCloseOfOldest(idle, silentTimeout, true) {
 	}
-	if f.inService() >= f.Most && !f.requestCloseOfOldest(idle, 0, false) && !f.requestCloseOfOldest(reading, minIdleAge, false) {
+	if f.inService() >= f.MaxConns && !f.requestCloseOfOldest(idle, 0, false) && !f.requestCloseOfOldest(reading, minIdleAge, false) {
 		return false
 	}
-	for tries := 0; len(f.conns) >= f.Most+ClosingMost; tries++ {
+	for tries := 0; len(f.conns) >= f.MaxConns+MaxClosingConns; tries++ {
 		if f.closeOldestShut() {
 			continue
 		}
@@ -227,11 +227,11 @@
 	begun, st := time.Now(), &f.Stats
 	defer func(open int, byClient, atWork, byAnswer, byFront, requests int64) {
 		f.Log.Info().Int("open_at_stop", open).Int64("by_client", st.ByClient.Load()-byClient).
-			Int64("left_at_work", st.LeftAtWork.Load()-atWork).Int64("by_answer", st.ByAnswer.Load()-byAnswer).
+			Int64("left_at_work", st.LeftWhileProcessing.Load()-atWork).Int64("by_answer", st.ByAnswer.Load()-byAnswer).
 			Int64("by_front", st.ByFront.Load()-byFront).Int64("requests", st.Requests.Load()-requests).
 			Float64("last_accept_ms", float64(st.lastAccept.Load()-begun.UnixNano())/1e6).
 			Float64("took_ms", float64(time.Since(begun))/1e6).Int("open", f.Conns()).Msg("front stopped")
-	}(f.Conns(), st.ByClient.Load(), st.LeftAtWork.Load(), st.ByAnswer.Load(), st.ByFront.Load(), st.Requests.Load())
+	}(f.Conns(), st.ByClient.Load(), st.LeftWhileProcessing.Load(), st.ByAnswer.Load(), st.ByFront.Load(), st.Requests.Load())
 	for {
 		f.mu.Lock()
 		o := end.Step(ending.State{Elapsed: float64(time.Since(begun)) / 1e6, AnswerTime: f.slowestAnswer, Clients: len(f.conns)})
--- a/internal/gossip/carrier.go
+++ b/internal/gossip/carrier.go
@@ -65,7 +65,7 @@
 
 // Run receives envelopes and passes them to take until the carrier is closed. take must not block.
 func (c *Carrier) Run(take func(addr string, e sharing.Envelope)) {
-	buf := make([]byte, Most+1)
+	buf := make([]byte, MaxDatagram+1)
 	for {
 		n, from, err := c.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -41,7 +41,7 @@
 	}{
 		"too short":    {d[:20], 5000, ErrShort},
 		"empty":        {nil, 5000, ErrShort},
-		"too long":     {make([]byte, Most+1), 5000, ErrShort},
+		"too long":     {make([]byte, MaxDatagram+1), 5000, ErrShort},
 		"version":      {flipped(0), 5000, ErrVersion},
 		"key":          {flipped(1), 5000, ErrKey},
 		"body":         {flipped(27), 5000, ErrForged},
@@ -61,7 +61,7 @@
 	assert.Equal(t, "body", string(body))
 	_, err = to.Open(d, 5900)
 	assert.ErrorIs(t, err, ErrReplayed)
-	_, err = from.Seal(make([]byte, Most), 5000)
+	_, err = from.Seal(make([]byte, MaxDatagram), 5000)
 	assert.Error(t, err)
 	assert.Error(t, to.Rekey(nil))
 	assert.Error(t, to.Rekey([]Key{{1, []byte("short")}}))
--- a/internal/gossip/seal.go
+++ b/internal/gossip/seal.go
@@ -19,7 +19,7 @@
 	headerSize = 1 + 1 + 8 + 8 + 8
 	macSize    = 16
 	// MaxDatagram is the maximum size of a datagram in bytes. It fits an MTU of 1,500 without fragmentation.
-	Most = 1400
+	MaxDatagram = 1400
 	// windowBits is the size of the replay window: how far a counter may lag behind the newest of its sender.
 	windowBits       = 1024
 	maxSenders       = 2048  // senders with a replay window in memory
@@ -98,7 +98,7 @@
 
 // Seal returns a datagram with the given body and wall-clock time.
 func (s *Sealer) Seal(body []byte, wall float64) ([]byte, error) {
-	if headerSize+len(body)+macSize > Most {
+	if headerSize+len(body)+macSize > MaxDatagram {
 		return nil, fmt.Errorf("a message of %d bytes does not fit into a datagram: %w", len(body), ErrShort)
 	}
 	s.mu.Lock()
@@ -122,7 +122,7 @@
 
 // Open authenticates a datagram and returns its body. A rejected datagram leaves no state behind.
 func (s *Sealer) Open(d []byte, wall float64) ([]byte, error) {
-	if len(d) < headerSize+macSize || len(d) > Most {
+	if len(d) < headerSize+macSize || len(d) > MaxDatagram {
 		return nil, ErrShort
 	}
 	if d[0] != version {
--- a/internal/membership/leaving.go
+++ b/internal/membership/leaving.go
@@ -81,4 +81,4 @@
 }
 
 // LeaveComplete reports whether this member has left and has announced it for Timing.LeaveDuration.
-func (c *Core) Gone() bool { return c.left && c.leaveAt == 0 }
+func (c *Core) LeaveComplete() bool { return c.left && c.leaveAt == 0 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -115,25 +115,25 @@
 func (c *Core) Health() int { return c.health }
 
 // MemberStatus is a member and the local times of its last changes.
-type Seen struct {
+type MemberStatus struct {
 	Member
 	Since float64 `json:"since"` // when its state changed, by the local clock
 	Heard float64 `json:"heard"` // when its last message arrived
 }
 
 // Members returns all known members including this one, sorted by name.
-func (c *Core) Members() []Seen {
-	all := []Seen{{Member: c.self, Heard: c.now}}
+func (c *Core) Members() []MemberStatus {
+	all := []MemberStatus{{Member: c.self, Heard: c.now}}
 	for _, k := range c.members {
-		all = append(all, Seen{Member: k.Member, Since: k.stateSince, Heard: k.heardAt})
+		all = append(all, MemberStatus{Member: k.Member, Since: k.stateSince, Heard: k.heardAt})
 	}
-	slices.SortFunc(all, func(a, b Seen) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b MemberStatus) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
 
 // EntryCount returns the number of entries in memory: members, queued updates and relays. Timing.MaxMembers and the
 // updates kept per member bound it.
-func (c *Core) Held() int { return len(c.members) + len(c.updates) + len(c.relays) }
+func (c *Core) EntryCount() int { return len(c.members) + len(c.updates) + len(c.relays) }
 
 // Living returns the number of members that are alive or suspect, including this one.
 func (c *Core) Living() int {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -157,7 +157,7 @@
 	for now := 1000.0; now < 1e6; now = max(now+1, few.Due()) {
 		few.Step(now, nil)
 	}
-	assert.Equal(t, 0, few.Held(), "dead members are removed")
+	assert.Equal(t, 0, few.EntryCount(), "dead members are removed")
 }
 
 // A relay forwards the Ack, or sends a Nack when the target does not answer.
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -10,16 +10,16 @@
 )
 
 // ConnLimits holds the limits and timeouts of connections to nodes.
-type Reach struct {
+type ConnLimits struct {
 	PerConn        int // maximum parts in flight on one connection
 	MaxConns       int // maximum connections to all nodes together
 	ConnectTimeout time.Duration
-	Idle           time.Duration // idle time after which a node closes a connection
+	IdleTimeout    time.Duration // idle time after which a node closes a connection
 }
 
 // Fleet manages one peer per node. Only the goroutine that executes the core's outputs may call its methods.
 type Fleet struct {
-	reach  Reach
+	reach  ConnLimits
 	report func(core.Ended)
 	now    func() float64
 	log    zerolog.Logger
@@ -33,7 +33,7 @@
 type Stats struct{ Dials, DialsFailed, Broken, Unknown, Malformed, Stalled atomic.Int64 }
 
 // NewFleet returns an empty fleet. It calls report with the result of each attempt; report may block.
-func NewFleet(reach Reach, now func() float64, report func(core.Ended), log zerolog.Logger) *Fleet {
+func NewFleet(reach ConnLimits, now func() float64, report func(core.Ended), log zerolog.Logger) *Fleet {
 	return &Fleet{reach: reach, report: report, now: now, log: log, peers: map[string]*peer{}}
 }
 
@@ -87,7 +87,7 @@
 
 // Cancel cancels an attempt. It does not block, and a cancellation is never lost: an attempt that is not written yet is
 // never written.
-func (f *Fleet) GiveUp(g core.Cancel) {
+func (f *Fleet) Cancel(g core.Cancel) {
 	if p := f.peers[g.Host]; p != nil {
 		p.command(func(o *commands) { o.canceled = append(o.canceled, g.Ref) })
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -67,7 +67,7 @@
 	require.NoError(k.t, err)
 }
 
-func testFleet(t *testing.T, reach Reach) (*Fleet, chan core.Ended) {
+func testFleet(t *testing.T, reach ConnLimits) (*Fleet, chan core.Ended) {
 	if reach.PerConn == 0 {
 		reach.PerConn = 32
 	}
@@ -75,8 +75,8 @@
 	if reach.ConnectTimeout == 0 {
 		reach.ConnectTimeout = testTimeout
 	}
-	if reach.Idle == 0 {
-		reach.Idle = time.Minute
+	if reach.IdleTimeout == 0 {
+		reach.IdleTimeout = time.Minute
 	}
 	ends := make(chan core.Ended, 100)
 	return NewFleet(reach, func() float64 { return 1000 }, func(e core.Ended) { ends <- e }, zerolog.Nop()), ends
@@ -102,7 +102,7 @@
 
 func TestFrames(t *testing.T) {
 	n := newStubNode(t)
-	f, ends := testFleet(t, Reach{})
+	f, ends := testFleet(t, ConnLimits{})
 	require.True(t, f.Call(core.Call{Host: "a", Addr: n.addr(), Parts: []core.CallPart{
 		{Ref: 1, ID: "9b1f03aa5c7e2d41.3", Shard: 3, Deadline: 1239.5, Key: "5c0f", Text: "c41e77d0"},
 		{Ref: 2, ID: "9b1f03aa5c7e2d41.5.get", Shard: 5, Deadline: 1090, AnsweredShards: "3+5", FirstStepComplete: true, Text: "two\nlines"},
@@ -116,7 +116,7 @@
 	k.send("Y9b1f03aa5c7e2d41.5.get OK 1 -\nagain")
 	k.send("Y9b1f03aa5c7e2d41.3 REJECTED 0 -\n")
 	assert.Equal(t, core.Ended{Ref: 1, Reason: core.Rejected, At: 1000}, nextEnd(t, ends), "a duplicate answer does not affect other attempts")
-	f.GiveUp(core.Cancel{Host: "a", Ref: 3})
+	f.Cancel(core.Cancel{Host: "a", Ref: 3})
 	assert.Equal(t, "A9b1f03aa5c7e2d41.6.get", k.frame())
 	assert.EqualValues(t, 1, f.Stats.Unknown.Load())
 	assert.Empty(t, k.frame(), "closed once nothing is in flight")
@@ -126,11 +126,11 @@
 // a node whose slots are all occupied stops reading, so it does not read the cancellation either.
 func TestRetired(t *testing.T) {
 	n := newStubNode(t)
-	f, ends := testFleet(t, Reach{})
+	f, ends := testFleet(t, ConnLimits{})
 	f.Call(testCall("a", n.addr(), 1, 2))
 	k := n.accept()
 	k.frame()
-	f.GiveUp(core.Cancel{Host: "a", Ref: 1})
+	f.Cancel(core.Cancel{Host: "a", Ref: 1})
 	assert.Equal(t, "Aq.1", k.frame())
 	f.Call(testCall("a", n.addr(), 3))
 	assert.Contains(t, n.accept().frame(), "q.3", "on another connection")
@@ -144,7 +144,7 @@
 // connection affects few parts. They do not wait for it while another connection is established.
 func TestSpread(t *testing.T) {
 	n := newStubNode(t)
-	f, ends := testFleet(t, Reach{})
+	f, ends := testFleet(t, ConnLimits{})
 	f.Call(testCall("a", n.addr(), 1))
 	k := n.accept()
 	k.frame()
@@ -195,7 +195,7 @@
 		"a frame that stops coming":   {func(k *nodeConn) { k.conn.Write([]byte("\x00\x00\x00\x10Yq.1 O")) }, core.BadFrame},
 	} {
 		n := newStubNode(t)
-		f, ends := testFleet(t, Reach{ConnectTimeout: 200 * time.Millisecond})
+		f, ends := testFleet(t, ConnLimits{ConnectTimeout: 200 * time.Millisecond})
 		require.True(t, f.Call(testCall("a", n.addr(), 1, 2)), name)
 		k := n.accept()
 		require.NotEmpty(t, k.frame(), name)
@@ -215,7 +215,7 @@
 func TestCannotConnect(t *testing.T) {
 	n := newStubNode(t)
 	n.ln.Close()
-	f, ends := testFleet(t, Reach{})
+	f, ends := testFleet(t, ConnLimits{})
 	require.True(t, f.Call(testCall("a", n.addr(), 1, 2)))
 	assert.Equal(t, core.DialRefused, nextEnd(t, ends).Reason)
 	assert.Equal(t, core.DialRefused, nextEnd(t, ends).Reason)
@@ -278,20 +278,20 @@
 
 func TestWaitingForAConnection(t *testing.T) {
 	n := newStubNode(t)
-	f, ends := testFleet(t, Reach{})
+	f, ends := testFleet(t, ConnLimits{})
 	p := idlePeer(f, "a", n.addr())
 	c := testCall("a", n.addr(), 1, 2, 3)
 	c.Parts[1].NotAfter = 999 // the clock is fixed at 1000
 	p.handle(c)
-	f.GiveUp(core.Cancel{Host: "a", Ref: 1})
+	f.Cancel(core.Cancel{Host: "a", Ref: 1})
 	p.handle(testCall("a", n.addr(), 4))
-	f.GiveUp(core.Cancel{Host: "a", Ref: 4})
+	f.Cancel(core.Cancel{Host: "a", Ref: 4})
 	p.connect(t)
 	p.processPending()
 	assert.Equal(t, core.Ended{Ref: 2, Reason: core.WriteExpired, At: 1000}, nextEnd(t, ends))
 	k := n.accept()
 	assert.Equal(t, "Rq.3 3 d=240 3\ntxt", k.frame(), "canceled and expired parts are not written")
-	f.GiveUp(core.Cancel{Host: "a", Ref: 3})
+	f.Cancel(core.Cancel{Host: "a", Ref: 3})
 	p.processPending()
 	assert.Equal(t, "Aq.3", k.frame())
 }
@@ -300,12 +300,12 @@
 // connection is established is never written, and a move is applied.
 func TestFullMailbox(t *testing.T) {
 	n := newStubNode(t)
-	f, _ := testFleet(t, Reach{})
+	f, _ := testFleet(t, ConnLimits{})
 	p := idlePeer(f, "a", n.addr())
 	assert.True(t, f.Call(testCall("a", "", 1)))
 	assert.True(t, f.Call(testCall("a", "", 2)))
 	assert.False(t, f.Call(testCall("a", "", 3)))
-	f.GiveUp(core.Cancel{Host: "a", Ref: 1})
+	f.Cancel(core.Cancel{Host: "a", Ref: 1})
 	p.processPending()
 	p.connect(t)
 	p.processPending()
@@ -325,7 +325,7 @@
 		"gone":     {Host: "a", Gone: true},
 	} {
 		n := newStubNode(t)
-		f, ends := testFleet(t, Reach{})
+		f, ends := testFleet(t, ConnLimits{})
 		p := idlePeer(f, "a", n.addr())
 		p.handle(testCall("a", n.addr(), 1, 2))
 		f.Move(m)
@@ -349,7 +349,7 @@
 // that is written once the node reads again carries the time that remains then.
 func TestNodeThatReadsNothing(t *testing.T) {
 	n := newStubNode(t)
-	f, ends := testFleet(t, Reach{PerConn: 1 << 20})
+	f, ends := testFleet(t, ConnLimits{PerConn: 1 << 20})
 	now := 1000.0
 	f.now = func() float64 { return now }
 	p := idlePeer(f, "a", n.addr())
@@ -361,7 +361,7 @@
 	p.connect(t)
 	p.processPending()
 	assert.Contains(t, n.accept().frame(), "q.", "another connection")
-	f.GiveUp(core.Cancel{Host: "a", Ref: waits[0]})
+	f.Cancel(core.Cancel{Host: "a", Ref: waits[0]})
 	now = 1100
 	require.NoError(t, k.conn.(*net.TCPConn).SetReadBuffer(1<<22))
 	go p.run()
@@ -380,7 +380,7 @@
 // written did not run; the others may have.
 func TestStalledForLong(t *testing.T) {
 	n := newStubNode(t)
-	f, ends := testFleet(t, Reach{PerConn: 1 << 20})
+	f, ends := testFleet(t, ConnLimits{PerConn: 1 << 20})
 	p := idlePeer(f, "a", n.addr())
 	p.mailbox = make(chan any, mailboxSize)
 	_, c := p.fillSendBuffer(t, n)
@@ -397,7 +397,7 @@
 
 func TestRoom(t *testing.T) {
 	n := newStubNode(t)
-	f, ends := testFleet(t, Reach{PerConn: 2})
+	f, ends := testFleet(t, ConnLimits{PerConn: 2})
 	f.Call(testCall("a", n.addr(), 1))
 	f.Call(testCall("a", n.addr(), 2))
 	k := n.accept()
@@ -429,7 +429,7 @@
 // When a node moves or is gone, its old connections stay open while attempts are in flight, and take no new calls.
 func TestMoves(t *testing.T) {
 	old, other := newStubNode(t), newStubNode(t)
-	f, ends := testFleet(t, Reach{})
+	f, ends := testFleet(t, ConnLimits{})
 	f.Call(testCall("a", old.addr(), 1))
 	k := old.accept()
 	k.frame()
@@ -452,7 +452,7 @@
 
 func TestIdle(t *testing.T) {
 	n := newStubNode(t)
-	f, ends := testFleet(t, Reach{Idle: 2 * time.Second}) // less the margin this expires at the next check
+	f, ends := testFleet(t, ConnLimits{IdleTimeout: 2 * time.Second}) // less the margin this expires at the next check
 	f.Call(testCall("a", n.addr(), 1))
 	k := n.accept()
 	k.frame()
@@ -474,7 +474,7 @@
 // Probes are answered in order on a connection that also carries calls, and end when it fails.
 func TestProbes(t *testing.T) {
 	n := newStubNode(t)
-	f, ends := testFleet(t, Reach{})
+	f, ends := testFleet(t, ConnLimits{})
 	require.True(t, f.Probe(core.Probe{Host: "a", Addr: n.addr(), Ref: 1}))
 	k := n.accept()
 	assert.Equal(t, "T", k.frame())
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -482,7 +482,7 @@
 // sweep closes idle connections before the node's idle timeout, with a margin so that no frame crosses the node's
 // close. If the node has moved or is gone it closes them at once.
 func (p *peer) sweep() {
-	idle := p.fleet.reach.Idle - max(p.fleet.reach.Idle/10, 2*sweepInterval)
+	idle := p.fleet.reach.IdleTimeout - max(p.fleet.reach.IdleTimeout/10, 2*sweepInterval)
 	for i := len(p.conns) - 1; i >= 0; i-- {
 		c := p.conns[i]
 		if c.idle() && (p.gone || c.retired || c.addr != p.addr || time.Since(c.lastUse) >= idle) {
--- a/internal/sharer/sharer.go
+++ b/internal/sharer/sharer.go
@@ -78,23 +78,23 @@
 
 // State is the state shown on the control socket.
 type State struct {
-	Self     membership.Member   `json:"self"`
-	Health   int                 `json:"health"` // 0: healthy
-	Now      float64             `json:"now"`
-	Common   float64             `json:"common"` // the members' common time
-	Members  []membership.Seen   `json:"members"`
-	Duties   []duties.DutyStatus `json:"duties"`
-	Leases   []lease.View        `json:"leases"`
-	Counts   membership.Counts   `json:"counts"`
-	Done     duties.Counts       `json:"done"`
-	Tasks    []tasks.View        `json:"tasks"`
-	Fenced   lease.Counts        `json:"fenced"`
-	Carrier  gossip.Counts       `json:"carrier"`
-	Crowded  int64               `json:"crowded"`  // datagrams dropped because the mailbox was full
-	Verdicts []verdicts.Seen     `json:"verdicts"` // of stores that some observer reports as not well, or that have an operator's order
-	Tenants  []verdicts.Tenant   `json:"tenants"`  // tenants that some broker throttles
-	Judged   verdicts.Counts     `json:"judged"`
-	Gone     bool                `json:"gone"` // the member has left, and has announced it for long enough
+	Self     membership.Member         `json:"self"`
+	Health   int                       `json:"health"` // 0: healthy
+	Now      float64                   `json:"now"`
+	Common   float64                   `json:"common"` // the members' common time
+	Members  []membership.MemberStatus `json:"members"`
+	Duties   []duties.DutyStatus       `json:"duties"`
+	Leases   []lease.View              `json:"leases"`
+	Counts   membership.Counts         `json:"counts"`
+	Done     duties.Counts             `json:"done"`
+	Tasks    []tasks.View              `json:"tasks"`
+	Fenced   lease.Counts              `json:"fenced"`
+	Carrier  gossip.Counts             `json:"carrier"`
+	Crowded  int64                     `json:"crowded"`  // datagrams dropped because the mailbox was full
+	Verdicts []verdicts.Seen           `json:"verdicts"` // of stores that some observer reports as not well, or that have an operator's order
+	Tenants  []verdicts.Tenant         `json:"tenants"`  // tenants that some broker throttles
+	Judged   verdicts.Counts           `json:"judged"`
+	Gone     bool                      `json:"gone"` // the member has left, and has announced it for long enough
 }
 
 // Start starts the actor and serves the carrier's port.
@@ -318,7 +318,7 @@
 		Members: a.core.Members.Members(), Duties: a.core.Duties.Statuses(), Leases: a.core.Leases.Views(),
 		Tasks:  a.core.Tasks.Views(a.core.Leases.Note),
 		Counts: a.core.Members.Counts, Done: a.core.Duties.Counts, Fenced: a.core.Leases.Counts,
-		Carrier: a.carrier.Counts(), Crowded: a.dropped.Load(), Gone: a.core.Members.Gone() && !a.core.Busy()}
+		Carrier: a.carrier.Counts(), Crowded: a.dropped.Load(), Gone: a.core.Members.LeaveComplete() && !a.core.Busy()}
 	if a.core.Stores != nil {
 		s.Verdicts, s.Tenants, s.Judged = a.core.Stores.Seen(), a.core.Stores.Tenants(), a.core.Stores.Counts
 	}
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -439,8 +439,8 @@
 			if n := c.Members.Living(); n != r.Members {
 				t.Fatalf("member %d sees %d of %d", i, n, r.Members)
 			}
-			if c.Members.Held() > 3*r.Members+10 || c.Duties.KeptRecords() > 3*r.Stores+r.Members+100 {
-				t.Fatalf("member %d keeps %d members and %d records", i, c.Members.Held(), c.Duties.KeptRecords())
+			if c.Members.EntryCount() > 3*r.Members+10 || c.Duties.KeptRecords() > 3*r.Stores+r.Members+100 {
+				t.Fatalf("member %d keeps %d members and %d records", i, c.Members.EntryCount(), c.Duties.KeptRecords())
 			}
 			if c.Members.Counts.Dropped > 0 || c.Leases.Counts.Unexpected > 0 {
 				t.Fatalf("member %d dropped updates: %+v %+v", i, c.Members.Counts, c.Leases.Counts)
