--- a/cmd/gullstair/leases_test.go
+++ b/cmd/gullstair/leases_test.go
@@ -77,23 +77,23 @@
 	if how == "fenced" {
 		env = append(env, "RIG_FENCE="+filepath.Join(dir0, "fence"))
 	}
-	f, err := rig.New(rig.Plan{Dir: dir0, Members: members, Program: []string{os.Args[0], "serve", "--log", "info"}, Env: env,
+	f, err := rig.New(rig.Config{Dir: dir0, Members: members, Program: []string{os.Args[0], "serve", "--log", "info"}, Env: env,
 		Start: startTree(t), Features: taskDocument(w.Addr, span, how, dir), Seed: 1})
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		f.Close()
 		// Guards outlive their brokers up to their deadlines, and must be gone by then.
 		last := 0
-		assert.NoError(t, rig.Until(10*time.Second, func() bool {
-			n := len(w.Seen())
+		assert.NoError(t, rig.WaitUntil(10*time.Second, func() bool {
+			n := len(w.Observed())
 			idle := n == last && guardsGone(w)
 			last = n
 			return idle
 		}), "work outlives its lease")
-		for _, k := range w.Seen() {
-			assert.Empty(t, k.Left(), "processes left of the work under fencing number %d", k.Fence)
+		for _, k := range w.Observed() {
+			assert.Empty(t, k.Remaining(), "processes left of the work under fencing number %d", k.Fence)
 		}
-		assert.Empty(t, w.Judge())
+		assert.Empty(t, w.Violations())
 		w.Close()
 		if t.Failed() {
 			for _, m := range f.Members {
@@ -113,15 +113,15 @@
 
 // guardsGone reports whether no process that reported to the witness is left.
 func guardsGone(w *rig.Witness) bool {
-	return !slices.ContainsFunc(w.Seen(), func(k rig.Work) bool { return len(k.Left()) > 0 })
+	return !slices.ContainsFunc(w.Observed(), func(k rig.Work) bool { return len(k.Remaining()) > 0 })
 }
 
 // newerWork waits for work under a higher fencing number than the given work.
 func (f *leaseFleet) newerWork(than rig.Work) (rig.Work, *rig.Member) {
 	f.t.Helper()
 	var last rig.Work
-	require.NoError(f.t, rig.Until(takeoverTimeout, func() bool {
-		if all := f.witness.Seen(); len(all) > 0 {
+	require.NoError(f.t, rig.WaitUntil(takeoverTimeout, func() bool {
+		if all := f.witness.Observed(); len(all) > 0 {
 			last = all[len(all)-1]
 		}
 		return last.Fence > than.Fence
@@ -133,8 +133,8 @@
 func (f *leaseFleet) currentWork() (k rig.Work, m *rig.Member) {
 	f.t.Helper()
 	now := guard.BootTime()
-	require.NoError(f.t, rig.Until(takeoverTimeout, func() bool {
-		for _, k = range f.witness.Seen() {
+	require.NoError(f.t, rig.WaitUntil(takeoverTimeout, func() bool {
+		for _, k = range f.witness.Observed() {
 			if strings.HasPrefix(k.Lease, "task/") && k.Last > now {
 				// Work that a killed broker's guard continues up to its deadline has no holder any more.
 				if m = f.holder(k.Fence); m != nil {
@@ -154,7 +154,7 @@
 			continue
 		}
 		var s sharer.State
-		if m.Ask("sharing", &s) != nil {
+		if m.Query("sharing", &s) != nil {
 			continue
 		}
 		for _, l := range s.Leases {
@@ -169,7 +169,7 @@
 func (f *leaseFleet) others(m *rig.Member) (all []int) {
 	for _, o := range f.Members {
 		if o != m {
-			all = append(all, o.N)
+			all = append(all, o.Index)
 		}
 	}
 	return all
@@ -180,7 +180,7 @@
 func TestLeaseFaults(t *testing.T) {
 	runParallel(t)
 	f := startLeases(t, 5, "1500ms", "stubborn", "votes", func(m *rig.Member) {
-		require.NoError(t, m.Bend([]float64{0.99, 1.01, 1}[m.N%3], 0)) // the configured drift, at both ends of its range
+		require.NoError(t, m.SkewClocks([]float64{0.99, 1.01, 1}[m.Index%3], 0)) // the configured drift, at both ends of its range
 	})
 	for _, c := range []struct {
 		name string
@@ -213,30 +213,30 @@
 		}},
 		{"no member receives from the holder", func(k rig.Work, m *rig.Member) {
 			for i := range f.Members {
-				f.Switch.Set(m.N, i, func(l *rig.Link) { l.Cut = true })
+				f.Switch.Set(m.Index, i, func(l *rig.Link) { l.Cut = true })
 			}
 			f.newerWork(k)
 			f.Switch.Heal()
 		}},
 		{"the holder receives from no member", func(k rig.Work, m *rig.Member) {
 			for i := range f.Members {
-				f.Switch.Set(i, m.N, func(l *rig.Link) { l.Cut = true })
+				f.Switch.Set(i, m.Index, func(l *rig.Link) { l.Cut = true })
 			}
 			f.newerWork(k)
 			f.Switch.Heal()
 		}},
 		{"a partition of three and two", func(k rig.Work, m *rig.Member) {
 			o := f.others(m)
-			f.Switch.Split([]int{m.N, o[0]}, o[1:])
+			f.Switch.Split([]int{m.Index, o[0]}, o[1:])
 			f.newerWork(k)
 			f.Switch.Heal()
 		}},
 		{"a partition of two, two and one", func(_ rig.Work, m *rig.Member) {
 			o := f.others(m)
-			f.Switch.Split([]int{m.N, o[0]}, o[1:3])
-			before := len(f.witness.Seen())
-			require.NoError(t, rig.Until(takeoverTimeout, func() bool { return f.holderOf() == nil }), "no side has a majority, so the lease has no holder")
-			assert.LessOrEqual(t, len(f.witness.Seen()), before+1)
+			f.Switch.Split([]int{m.Index, o[0]}, o[1:3])
+			before := len(f.witness.Observed())
+			require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool { return f.holderOf() == nil }), "no side has a majority, so the lease has no holder")
+			assert.LessOrEqual(t, len(f.witness.Observed()), before+1)
 			f.Switch.Heal()
 		}},
 		{"loss, duplicates, reordering and corruption", func(rig.Work, *rig.Member) {
@@ -254,12 +254,12 @@
 		}},
 		{"wall clocks an hour apart, and jumping", func(k rig.Work, m *rig.Member) {
 			o := f.others(m)
-			require.NoError(t, m.Bend(1, time.Hour)) // its own clock cuts it off from the others, which continue
-			require.NoError(t, f.Members[o[0]].Bend(1, -10*time.Second))
+			require.NoError(t, m.SkewClocks(1, time.Hour)) // its own clock cuts it off from the others, which continue
+			require.NoError(t, f.Members[o[0]].SkewClocks(1, -10*time.Second))
 			_, other := f.newerWork(k)
 			assert.NotEqual(t, m, other)
-			require.NoError(t, m.Bend(1, 0))
-			require.NoError(t, f.Members[o[0]].Bend(1, 0))
+			require.NoError(t, m.SkewClocks(1, 0))
+			require.NoError(t, f.Members[o[0]].SkewClocks(1, 0))
 		}},
 		{"all restart at once", func(rig.Work, *rig.Member) {
 			for _, m := range f.Members {
@@ -281,7 +281,7 @@
 			require.NoError(t, os.RemoveAll(path))
 			copyDir(t, path+".old", path)
 			require.NoError(t, f.LaunchAll())
-			require.NoError(t, rig.Until(takeoverTimeout, func() bool {
+			require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool {
 				log, _ := os.ReadFile(m.Path("log"))
 				return bytes.Contains(log, []byte("it is a copy"))
 			}), "the copy is detected and logged")
@@ -289,13 +289,13 @@
 			// since.
 			m.Kill()
 			require.NoError(t, m.Launch())
-			require.NoError(t, rig.Until(takeoverTimeout, func() bool {
+			require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool {
 				log, _ := os.ReadFile(m.Path("log"))
 				return bytes.Contains(log, []byte("an earlier process found something missing"))
 			}), "the next process still distrusts its votes")
 		}},
 		{"the holder shuts down in order", func(k rig.Work, m *rig.Member) {
-			m.End(20 * time.Second)
+			m.Terminate(20 * time.Second)
 			f.newerWork(k)
 			require.NoError(t, m.Launch())
 		}},
@@ -304,7 +304,7 @@
 		t.Logf("%s: %s under %d", c.name, m.Name, k.Fence)
 		c.do(k, m)
 		f.currentWork()
-		require.Empty(t, f.witness.Judge(), c.name)
+		require.Empty(t, f.witness.Violations(), c.name)
 	}
 }
 
@@ -328,11 +328,11 @@
 		syscall.Kill(pid, syscall.SIGKILL)
 	}
 	// The broker ends the processes that the guard left behind, including the grandchild in a session of its own.
-	require.NoError(t, rig.Until(takeoverTimeout, func() bool { return len(k.Left()) == 0 }))
+	require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool { return len(k.Remaining()) == 0 }))
 	// The broker must not be killed before it has reported this: if a guard and its broker die at once, only the fence
 	// stops a grandchild in a session of its own (docs/leases.md). A late report of such a grandchild once counted as
 	// running work, and the test failed when it killed the broker.
-	require.NoError(t, rig.Until(takeoverTimeout, func() bool {
+	require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool {
 		log, _ := os.ReadFile(m.Path("log"))
 		return bytes.Contains(log, []byte("its guard was ended"))
 	}))
@@ -348,7 +348,7 @@
 	f.currentWork()
 	said := func(m *rig.Member, any ...string) {
 		t.Helper()
-		require.NoError(t, rig.Until(takeoverTimeout, func() bool {
+		require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool {
 			log, _ := os.ReadFile(m.Path("log"))
 			return slices.ContainsFunc(any, func(what string) bool { return bytes.Contains(log, []byte(what)) })
 		}), any)
@@ -371,8 +371,8 @@
 	fill(f.Members[0])
 	f.currentWork() // two of three are a majority
 	fill(f.Members[1])
-	require.NoError(t, rig.Until(takeoverTimeout, func() bool { return f.holderOf() == nil }), "one voter of three is no majority")
-	all := f.witness.Seen()
+	require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool { return f.holderOf() == nil }), "one voter of three is no majority")
+	all := f.witness.Observed()
 	for _, m := range f.Members[:2] {
 		m.Kill()
 		require.NoError(t, m.Launch())
@@ -394,19 +394,19 @@
 		require.NoError(t, syscall.Kill(pid, syscall.SIGSTOP))
 	}
 	next, _ := f.newerWork(k)
-	require.NoError(t, rig.Until(takeoverTimeout, func() bool { // its writes have arrived
-		all := f.witness.Seen()
+	require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool { // its writes have arrived
+		all := f.witness.Observed()
 		return all[len(all)-1].Fence == next.Fence && all[len(all)-1].Last > next.Last
 	}))
 	for _, pid := range k.Pids {
 		require.NoError(t, syscall.Kill(pid, syscall.SIGCONT))
 	}
-	require.NoError(t, rig.Until(takeoverTimeout, func() bool { return len(k.Left()) == 0 }), "the fence refuses its writes, and it ends")
+	require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool { return len(k.Remaining()) == 0 }), "the fence refuses its writes, and it ends")
 	for _, pid := range stopped {
 		syscall.Kill(pid, syscall.SIGCONT)
 	}
 	f.currentWork()
-	for _, x := range f.witness.Seen() {
+	for _, x := range f.witness.Observed() {
 		if x.Fence == k.Fence {
 			assert.Less(t, x.Last, next.First, "a write under the old number arrived after the first one under the new number")
 		}
@@ -469,8 +469,8 @@
 func (f *leaseFleet) awaitRunning(name string) {
 	f.t.Helper()
 	now := guard.BootTime()
-	require.NoError(f.t, rig.Until(takeoverTimeout, func() bool {
-		return slices.ContainsFunc(f.witness.Seen(), func(k rig.Work) bool { return strings.HasPrefix(k.Lease, "hold/"+name+"/") && k.Last > now })
+	require.NoError(f.t, rig.WaitUntil(takeoverTimeout, func() bool {
+		return slices.ContainsFunc(f.witness.Observed(), func(k rig.Work) bool { return strings.HasPrefix(k.Lease, "hold/"+name+"/") && k.Last > now })
 	}))
 }
 
@@ -495,7 +495,7 @@
 		for _, m := range f.Members {
 			cmds = append(cmds, f.hold(m, name, "2500ms", 2))
 		}
-		two := rig.Until(takeoverTimeout, func() bool { return f.countHolders(f.Members[0], name) == 2 })
+		two := rig.WaitUntil(takeoverTimeout, func() bool { return f.countHolders(f.Members[0], name) == 2 })
 		for _, c := range cmds {
 			if code := waitExitCode(c); code != 0 {
 				return fmt.Errorf("a command ended with %d", code)
@@ -505,7 +505,7 @@
 			return fmt.Errorf("the two slots were never held at once: %w", two)
 		}
 		slots := map[string]int{}
-		for _, k := range f.witness.Seen() {
+		for _, k := range f.witness.Observed() {
 			if strings.HasPrefix(k.Lease, "hold/"+name+"/") {
 				slots[k.Lease]++
 				assert.True(f.t, k.Ended)
@@ -528,7 +528,7 @@
 			first.Wait()
 		}()
 		f.awaitRunning("one")
-		seen := rig.Until(takeoverTimeout, func() bool { return f.countHolders(f.Members[0], "one") == 1 })
+		seen := rig.WaitUntil(takeoverTimeout, func() bool { return f.countHolders(f.Members[0], "one") == 1 })
 		late := waitExitCode(f.hold(f.Members[1], "one", "60s", 1, "--wait", "300ms"))
 		shown := command(f.t, f.Members[2], "lease", "show", "one")
 		if seen != nil || late != int(exitNotAcquired) || !strings.Contains(shown, "witness") || !strings.Contains(shown, "n0") {
@@ -579,7 +579,7 @@
 func (f *leaseFleet) ordersOnTheTask() {
 	f.t.Helper()
 	command(f.t, f.Members[1], "lease", "pause", "close")
-	require.NoError(f.t, rig.Until(takeoverTimeout, func() bool {
+	require.NoError(f.t, rig.WaitUntil(takeoverTimeout, func() bool {
 		return strings.Contains(command(f.t, f.Members[2], "lease", "list"), "paused")
 	}), "it is shown as paused")
 	assert.Contains(f.t, refusal(f.t, f.Members[1], "lease", "trigger", "close"), "the task is paused")
@@ -605,9 +605,9 @@
 		return nil
 	})
 	f.Members[0].Signal(syscall.SIGCONT)
-	require.NoError(t, rig.Until(takeoverTimeout, func() bool { return f.countHolders(f.Members[0], "one") == 0 }), "the resumed broker holds nothing")
+	require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool { return f.countHolders(f.Members[0], "one") == 0 }), "the resumed broker holds nothing")
 	var before, after rig.Work
-	for _, k := range f.witness.Seen() {
+	for _, k := range f.witness.Observed() {
 		if strings.HasPrefix(k.Lease, "hold/one/") {
 			before, after = after, k
 		}
@@ -628,7 +628,7 @@
 // over. A failing schedule is printed, replayed to count how often it fails, and reduced; -rig.schedule plays it.
 func TestLeaseSchedule(t *testing.T) {
 	runParallel(t)
-	s := rig.Draw(*rigSeed, *rigMembers, *rigFaults, *rigSpan)
+	s := rig.RandomSchedule(*rigSeed, *rigMembers, *rigFaults, *rigSpan)
 	if *rigSchedule != "" {
 		text, err := os.ReadFile(*rigSchedule)
 		require.NoError(t, err)
@@ -636,16 +636,16 @@
 		require.NoError(t, err)
 	}
 	f := startLeases(t, *rigMembers, "1500ms", "stubborn", "votes", func(m *rig.Member) {
-		require.NoError(t, m.Bend([]float64{0.99, 1.01, 1}[m.N%3], 0))
+		require.NoError(t, m.SkewClocks([]float64{0.99, 1.01, 1}[m.Index%3], 0))
 	})
 	plays := 0
 	play := func(s rig.Schedule) bool {
 		plays++
 		f.currentWork()
-		before := len(f.witness.Judge())
+		before := len(f.witness.Violations())
 		require.NoError(t, f.Play(s))
 		f.currentWork()
-		return len(f.witness.Judge()) > before
+		return len(f.witness.Violations()) > before
 	}
 	if !play(s) {
 		return
@@ -657,7 +657,7 @@
 		}
 	}
 	small := rig.Shrink(s, 20, play)
-	t.Fatalf("%v\nafter 1 schedules; it failed again %d times of 3; smaller, after %d plays:\n%s", f.witness.Judge(), again, plays, small)
+	t.Fatalf("%v\nafter 1 schedules; it failed again %d times of 3; smaller, after %d plays:\n%s", f.witness.Violations(), again, plays, small)
 }
 
 func copyDir(t *testing.T, from, to string) {
@@ -669,7 +669,7 @@
 func (f *leaseFleet) holderOf() *rig.Member {
 	for _, m := range f.Members {
 		var s sharer.State
-		if m.Running() && m.Ask("sharing", &s) == nil && len(s.Leases) > 0 && s.Leases[len(s.Leases)-1].Held {
+		if m.Running() && m.Query("sharing", &s) == nil && len(s.Leases) > 0 && s.Leases[len(s.Leases)-1].Held {
 			return m
 		}
 	}
--- a/cmd/gullstair/limits_test.go
+++ b/cmd/gullstair/limits_test.go
@@ -75,10 +75,10 @@
 			"health": "SERVING", "share": 1, "born_ms": 0})
 	}
 	tree["known"] = map[string]any{"seq": 41, "whole": true, "hosts": hosts}
-	fleet, err := rig.New(rig.Plan{Dir: t.TempDir(), Members: members, Program: []string{os.Args[0], "serve", "--log", "error"}, Env: []string{"GULLSTAIR_TEST_CHILD=1"},
+	fleet, err := rig.New(rig.Config{Dir: t.TempDir(), Members: members, Program: []string{os.Args[0], "serve", "--log", "error"}, Env: []string{"GULLSTAIR_TEST_CHILD=1"},
 		Start: tree, Seed: 1, Features: func(m *rig.Member) (string, string) {
 			rest := limit
-			if m.N%2 == 0 {
+			if m.Index%2 == 0 {
 				rest += fmt.Sprintf("limits {\n  dir = %q\n}\n", m.Path("lent"))
 			}
 			return fmt.Sprintf("  pace = 0.1\n  clock_drift = 0.02\n  key \"1\" {\n    secret = %q\n  }\n", strings.Repeat("5e", 32)) + strings.Join(sharing, ""), rest
@@ -94,9 +94,9 @@
 	})
 	t.Cleanup(f.stopAll)
 	for i, m := range f.Members {
-		require.NoError(t, m.Bend(rates[i%len(rates)], 0))
+		require.NoError(t, m.SkewClocks(rates[i%len(rates)], 0))
 		if members > first {
-			m.Listed = first
+			m.ListedMembers = first
 			require.NoError(t, m.Write())
 		}
 	}
@@ -185,7 +185,7 @@
 func (f *limitFleet) awaitUse(what string, least float64, demand ...int64) {
 	f.t.Helper()
 	f.setDemand(demand...)
-	require.NoError(f.t, rig.Until(20*time.Second, func() bool {
+	require.NoError(f.t, rig.WaitUntil(20*time.Second, func() bool {
 		all, _ := f.measureRate(500 * time.Millisecond)
 		return all > least*limitRate
 	}), what)
@@ -238,7 +238,7 @@
 	f.measureRate(time.Second)
 	f.Switch.Split([]int{0, 1, 2}, []int{3, 4})
 	f.setDemand(100, 100, 100, 100, 100)
-	require.NoError(t, rig.Until(20*time.Second, func() bool {
+	require.NoError(t, rig.WaitUntil(20*time.Second, func() bool {
 		_, by := f.measureRate(time.Second)
 		return by[0]+by[1]+by[2] > 0.8*limitRate*3/5 && by[3]+by[4] > 0.8*limitRate*2/5
 	}), "each side at its members' share")
@@ -260,10 +260,10 @@
 
 	// A wall clock that is an hour off cuts its broker off, since members refuse old datagrams; the limit itself uses no
 	// wall clock.
-	require.NoError(t, f.Members[2].Bend(rates[2], time.Hour))
+	require.NoError(t, f.Members[2].SkewClocks(rates[2], time.Hour))
 	f.setDemand(0, 100, 160, 0, 0)
 	f.measureRate(2 * time.Second)
-	require.NoError(t, f.Members[2].Bend(rates[2], 0))
+	require.NoError(t, f.Members[2].SkewClocks(rates[2], 0))
 	near("the clock is corrected", 0.85, 0, 0, 160, 0, 0)
 
 	// A one-way link between lender and borrower, loss, and replayed datagrams.
@@ -329,7 +329,7 @@
 	for i, m := range f.Members {
 		var s broker.LimitsView
 		asked := time.Since(f.started)
-		if m.Ask("limits", &s) == nil && len(s.Limits) > 0 {
+		if m.Query("limits", &s) == nil && len(s.Limits) > 0 {
 			all = append(all, observedOrder{member: i, asked: asked, came: time.Since(f.started), by: s.Limits[0].Order})
 		}
 	}
@@ -384,9 +384,9 @@
 	f.Switch.Split([]int{0, 1, 2}, []int{3, 4})
 	f.measureRate(1500 * time.Millisecond) // loans across the partition have expired
 	set(0, "8", time.Minute)
-	require.NoError(t, rig.Until(patience, func() bool { return allApply(f.observeOrders(), "n0", 0, 1, 2) }))
+	require.NoError(t, rig.WaitUntil(patience, func() bool { return allApply(f.observeOrders(), "n0", 0, 1, 2) }))
 	from := time.Since(f.started)
-	require.NoError(t, rig.Until(patience, func() bool {
+	require.NoError(t, rig.WaitUntil(patience, func() bool {
 		begun := time.Since(f.started)
 		f.measureRate(2 * time.Second)
 		high := f.between(begun, time.Since(f.started), 3, 4)
@@ -406,11 +406,11 @@
 		found = append(found, all...)
 		return all
 	}
-	require.NoError(t, rig.Until(lasts-2*time.Second, func() bool { return allApply(look(), "n4", 0, 1, 2, 3, 4) }), "the later order holds for all")
+	require.NoError(t, rig.WaitUntil(lasts-2*time.Second, func() bool { return allApply(look(), "n4", 0, 1, 2, 3, 4) }), "the later order holds for all")
 	from = time.Since(f.started)
 	f.measureRate(1500 * time.Millisecond)
 	assert.LessOrEqual(t, excess(f.between(from, time.Since(f.started), 0, 1, 2, 3, 4), limitRate/2, limitBurst/2+1), 0.0)
-	require.NoError(t, rig.Until(patience, func() bool { return allApply(look(), "", 0, 1, 2, 3, 4) }), "the order ends by itself")
+	require.NoError(t, rig.WaitUntil(patience, func() bool { return allApply(look(), "", 0, 1, 2, 3, 4) }), "the order ends by itself")
 	receivedAt := map[int]time.Duration{}
 	for _, o := range found {
 		switch at, known := receivedAt[o.member]; {
@@ -456,18 +456,18 @@
 	}
 	// All brokers know which tenants are throttled, and by which limit.
 	f.Switch.Heal()
-	require.NoError(t, rig.Until(20*time.Second, func() bool {
+	require.NoError(t, rig.WaitUntil(20*time.Second, func() bool {
 		var s sharer.State
-		return f.Members[3].Ask("sharing", &s) == nil && slices.ContainsFunc(s.Tenants, func(x verdicts.Tenant) bool {
+		return f.Members[3].Query("sharing", &s) == nil && slices.ContainsFunc(s.Tenants, func(x verdicts.Tenant) bool {
 			return len(x.Observers) >= 3 && slices.Equal(x.Why, []string{"the fleet's limit each"})
 		})
 	}))
 	assert.Contains(t, command(t, f.Members[3], "verdict", "tenants"), "the fleet's limit each")
 	f.setDemand(0, 0, 0, 0, 0)
-	require.NoError(t, rig.Until(40*time.Second, func() bool {
+	require.NoError(t, rig.WaitUntil(40*time.Second, func() bool {
 		for _, m := range f.Members {
 			var s broker.LimitsView
-			if m.Ask("limits", &s) != nil || s.Accounts > 0 {
+			if m.Query("limits", &s) != nil || s.Accounts > 0 {
 				return false
 			}
 		}
@@ -518,7 +518,7 @@
 	f.awaitUse("five", 0.85, 40, 40, 40, 40, 40)
 	list := func(n int, members ...*rig.Member) {
 		for _, m := range members {
-			m.Listed = n
+			m.ListedMembers = n
 			require.NoError(t, m.Write())
 			m.Kill()
 			require.NoError(t, m.Launch())
@@ -529,7 +529,7 @@
 	list(7, f.Members[5:]...)
 	f.awaitUse("seven", 0.85, 30, 30, 30, 30, 30, 30, 30)
 	for _, m := range f.Members[3:] { // the leaving members first
-		m.End(10 * time.Second)
+		m.Terminate(10 * time.Second)
 	}
 	list(3, f.Members[:3]...)
 	f.awaitUse("three", 0.85, 60, 60, 60, 0, 0, 0, 0)
@@ -552,7 +552,7 @@
 		return by[0] + by[1] + by[2], by[3] + by[4]
 	}
 	// The right side learns that three members are gone only when its members have declared them dead.
-	require.NoError(t, rig.Until(30*time.Second, func() bool {
+	require.NoError(t, rig.WaitUntil(30*time.Second, func() bool {
 		left, right := side()
 		return left > 0.9*0.6*limitRate && right > 0.9*alone*limitRate
 	}), "the larger side its members' share, the smaller one alone")
@@ -573,7 +573,7 @@
 	assert.LessOrEqual(t, over, 0.0)
 	assert.Positive(t, excess(during, limitRate, limitBurst), "the sides together exceed the plain limit, as the formula allows")
 	t.Logf("%d scans in a split of %.0f s, %.0f below the formula", len(during), (healed - cut).Seconds(), -over)
-	require.NoError(t, rig.Until(30*time.Second, func() bool {
+	require.NoError(t, rig.WaitUntil(30*time.Second, func() bool {
 		all, _ := f.measureRate(time.Second)
 		return all < 1.05*limitRate && all > 0.85*limitRate
 	}), "healed")
--- a/cmd/gullstair/measure_test.go
+++ b/cmd/gullstair/measure_test.go
@@ -36,7 +36,7 @@
 	if !*measure {
 		t.Skip("only with -measure")
 	}
-	f, err := rig.New(rig.Plan{Dir: t.TempDir(), Members: members, Program: []string{os.Args[0], "serve", "--log", "warn"}, Env: []string{"GULLSTAIR_TEST_CHILD=1"},
+	f, err := rig.New(rig.Config{Dir: t.TempDir(), Members: members, Program: []string{os.Args[0], "serve", "--log", "warn"}, Env: []string{"GULLSTAIR_TEST_CHILD=1"},
 		Start: startTree(t), Features: func(m *rig.Member) (string, string) {
 			return fmt.Sprintf("  key \"1\" {\n    secret = %q\n  }\n", strings.Repeat("5e", 32)), doc(m)
 		}})
@@ -50,7 +50,7 @@
 func countHeldLeases(f *rig.Fleet) (n int) {
 	for _, m := range f.Members {
 		var s sharer.State
-		if m.Running() && m.Ask("sharing", &s) == nil {
+		if m.Running() && m.Query("sharing", &s) == nil {
 			for _, l := range s.Leases {
 				if l.Held {
 					n++
@@ -71,7 +71,7 @@
 			}
 			return doc
 		})
-		require.NoError(t, rig.Until(2*time.Minute, func() bool { return countHeldLeases(f) == tasks }))
+		require.NoError(t, rig.WaitUntil(2*time.Minute, func() bool { return countHeldLeases(f) == tasks }))
 		before, begun := make([]float64, 5), guard.BootTime()
 		for i, m := range f.Members {
 			before[i], _ = processUsage(m.Pid())
@@ -205,7 +205,7 @@
 		}
 		return doc
 	})
-	require.NoError(t, rig.Until(3*time.Minute, func() bool { return countHeldLeases(f) == n }))
+	require.NoError(t, rig.WaitUntil(3*time.Minute, func() bool { return countHeldLeases(f) == n }))
 	sum, looks, least := 0, 0, n
 	begun := time.Now()
 	for _, m := range f.Members {
@@ -216,7 +216,7 @@
 	}
 	took := time.Since(begun)
 	again := time.Now()
-	require.NoError(t, rig.Until(3*time.Minute, func() bool { return countHeldLeases(f) == n }))
+	require.NoError(t, rig.WaitUntil(3*time.Minute, func() bool { return countHeldLeases(f) == n }))
 	t.Logf("60 brokers killed and started again one by one in %.1f s: %.1f of 60 leases held in the mean, %d at least; all again %.1f s later", took.Seconds(),
 		float64(sum)/float64(looks), least, time.Since(again).Seconds())
 }
--- a/cmd/gullstair/ready_test.go
+++ b/cmd/gullstair/ready_test.go
@@ -17,7 +17,7 @@
 func TestManyAreReadySoon(t *testing.T) {
 	acquireFleetSlots(t, 1)
 	const brokers, soon = 20, 10 * time.Second
-	f, err := rig.New(rig.Plan{Dir: t.TempDir(), Members: brokers, Program: []string{os.Args[0], "serve", "--log", "error"},
+	f, err := rig.New(rig.Config{Dir: t.TempDir(), Members: brokers, Program: []string{os.Args[0], "serve", "--log", "error"},
 		Env: []string{"GULLSTAIR_TEST_CHILD=1"}, Start: startTree(t), Seed: 1, Features: func(*rig.Member) (string, string) {
 			return "  key \"1\" {\n    secret = \"5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e\"\n  }\n", ""
 		}})
@@ -28,7 +28,7 @@
 		begun := time.Now()
 		require.NoError(t, f.LaunchAll(), what)
 		ready := map[string]time.Duration{}
-		rig.Until(2*soon, func() bool {
+		rig.WaitUntil(2*soon, func() bool {
 			for _, m := range f.Members {
 				if _, is := ready[m.Name]; is {
 					continue
--- a/cmd/gullstair/sharing_test.go
+++ b/cmd/gullstair/sharing_test.go
@@ -27,7 +27,7 @@
 func TestMain(m *testing.M) {
 	if os.Getenv("GULLSTAIR_TEST_CHILD") != "" {
 		if len(os.Args) > 1 && os.Args[1] == "witness" {
-			os.Exit(rig.Act(os.Args[2:]))
+			os.Exit(rig.RunWorker(os.Args[2:]))
 		}
 		if path := os.Getenv("RIG_CLOCK"); path != "" {
 			clocks = func() broker.Clocks { return skewedClocks(path) }
@@ -124,7 +124,7 @@
 	tree := startTree(t)
 	tree["known"] = map[string]any{"seq": 41, "whole": true, "hosts": hosts}
 	var err error
-	f.Fleet, err = rig.New(rig.Plan{Dir: t.TempDir(), Members: brokers, Program: []string{os.Args[0], "serve", "--log", "error"}, Log: os.Stderr,
+	f.Fleet, err = rig.New(rig.Config{Dir: t.TempDir(), Members: brokers, Program: []string{os.Args[0], "serve", "--log", "error"}, Log: os.Stderr,
 		Env: []string{"GULLSTAIR_TEST_CHILD=1"}, Start: tree, Features: func(*rig.Member) (string, string) {
 			return fmt.Sprintf("  pace = 0.1\n  key \"1\" {\n    secret = %q\n  }\n  duty \"probing\" {\n    period = %q\n  }\n",
 				strings.Repeat("5e", 32), sharedPeriod), ""
--- a/cmd/gullstair/signals_test.go
+++ b/cmd/gullstair/signals_test.go
@@ -23,7 +23,7 @@
 	for number := 0; ; number++ {
 		select {
 		case <-p.Ended():
-			require.Zero(t, p.Code(), "after %d signals", number)
+			require.Zero(t, p.ExitCode(), "after %d signals", number)
 			return
 		case <-late:
 			t.Fatalf("the process still runs %v after the first signal", controlTimeout)
--- a/cmd/gullstair/soak_signals_test.go
+++ b/cmd/gullstair/soak_signals_test.go
@@ -134,7 +134,7 @@
 	}
 	select {
 	case <-b.process.Ended():
-		if code := b.process.Code(); code != 0 {
+		if code := b.process.ExitCode(); code != 0 {
 			s.fault("%s ended with %d after SIGTERM", b.ip, code)
 		}
 	case <-time.After(time.Until(begun.Add(soakGrace + soakExit))):
--- a/cmd/gullstair/starved_test.go
+++ b/cmd/gullstair/starved_test.go
@@ -78,14 +78,14 @@
 // stallMeter holds the total time that members, and the test itself, had been stalled at some moment.
 type stallMeter struct {
 	members []*rig.Member
-	their   []rig.Still
-	own     rig.Still
+	their   []rig.StallSnapshot
+	own     rig.StallSnapshot
 }
 
 func newStallMeter(members ...*rig.Member) stallMeter {
-	s := stallMeter{members: members, own: rig.OwnStill()}
+	s := stallMeter{members: members, own: rig.OwnStalls()}
 	for _, m := range members {
-		s.their = append(s.their, m.Still())
+		s.their = append(s.their, m.Stalls())
 	}
 	return s
 }
@@ -93,11 +93,11 @@
 // longest returns the longest stall of any of them since then. The kernel adds a delay only when it is over, so this
 // waits for members that do not answer.
 func (s stallMeter) longest() (most time.Duration) {
-	most = rig.OwnStoodStill(s.own)
+	most = rig.OwnStalledSince(s.own)
 	for i, m := range s.members {
-		_ = rig.Until(takeoverTimeout, func() bool { return !m.Running() || m.Ask("sharing", &sharer.State{}) == nil })
+		_ = rig.WaitUntil(takeoverTimeout, func() bool { return !m.Running() || m.Query("sharing", &sharer.State{}) == nil })
 		if m.Running() {
-			most = max(most, m.StoodStill(s.their[i]))
+			most = max(most, m.StalledSince(s.their[i]))
 		}
 	}
 	return most
@@ -157,7 +157,7 @@
 			for page, into := range map[string]any{"limits": &broker.LimitsView{}, "sharing": &sharer.State{}} {
 				retryAfterStall(t, page+" at "+m.Name, []*rig.Member{m}, func(int) error {
 					begun := time.Now()
-					err := m.Ask(page, into)
+					err := m.Query(page, into)
 					all = append(all, time.Since(begun))
 					return err
 				})
--- a/cmd/gullstair/verdicts_test.go
+++ b/cmd/gullstair/verdicts_test.go
@@ -135,10 +135,10 @@
 	}
 	tree["known"] = map[string]any{"seq": 41, "whole": true, "hosts": hosts}
 	var err error
-	f.Fleet, err = rig.New(rig.Plan{Dir: t.TempDir(), Members: brokers, Program: []string{os.Args[0], "serve", "--log", "error"}, Env: []string{"GULLSTAIR_TEST_CHILD=1"},
+	f.Fleet, err = rig.New(rig.Config{Dir: t.TempDir(), Members: brokers, Program: []string{os.Args[0], "serve", "--log", "error"}, Env: []string{"GULLSTAIR_TEST_CHILD=1"},
 		Start: tree, Seed: 1, Features: func(m *rig.Member) (string, string) {
 			dir := ""
-			if m.N == 3 { // one of them stores operators' orders
+			if m.Index == 3 { // one of them stores operators' orders
 				dir = fmt.Sprintf("    dir = %q\n", m.Path("orders"))
 			}
 			sharing := fmt.Sprintf("  pace = 0.1\n  clock_drift = 0.02\n  notes = %v\n  key \"1\" {\n    secret = %q\n  }\n", notes, strings.Repeat("5e", 32))
@@ -157,7 +157,7 @@
 	})
 	t.Cleanup(f.stopAll)
 	for i, m := range f.Members {
-		require.NoError(t, m.Bend(rates[i%len(rates)], 0))
+		require.NoError(t, m.SkewClocks(rates[i%len(rates)], 0))
 	}
 	require.NoError(t, f.LaunchAll())
 	for i := range f.Members {
@@ -249,7 +249,7 @@
 }
 
 func (f *verdictFleet) state(i int) (s sharer.State) {
-	f.Members[i].Ask("sharing", &s)
+	f.Members[i].Query("sharing", &s)
 	return s
 }
 
@@ -266,7 +266,7 @@
 func (f *verdictFleet) eventually(what string, holds func() bool) {
 	f.t.Helper()
 	begun := time.Now()
-	if err := rig.Until(30*time.Second, holds); err != nil {
+	if err := rig.WaitUntil(30*time.Second, holds); err != nil {
 		// On a timeout, logs what the stores saw and what the brokers concluded.
 		for i, s := range f.stores {
 			var by []int
--- a/cmd/measure/fleet.go
+++ b/cmd/measure/fleet.go
@@ -123,7 +123,7 @@
 	}
 	addresses := make([]string, members)
 	for i := range addresses {
-		if addresses[i], err = rig.Loopback("udp"); err != nil {
+		if addresses[i], err = rig.FreeAddr("udp"); err != nil {
 			return r, err
 		}
 	}
@@ -185,7 +185,7 @@
 }
 
 func (r *fleetRun) startFile(nodes, memoryMB, i int) ([]byte, error) {
-	listen, err := rig.Loopback("tcp")
+	listen, err := rig.FreeAddr("tcp")
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -63,7 +63,7 @@
 		for _, term := range []float64{1000, 3000, 10000} {
 			k, o := trial.Takeover(c.Seed, n, term, c.Tries, false), trial.Takeover(c.Seed, n, term, c.Tries, true)
 			fmt.Fprintf(w, "%d\t%.0f\t%.2f\t%.2f\t%.2f\t%.3f\t%.3f\t%d of %d\t%.2f\t%.2f\n", n, term/1000, k.P50/1000, k.P99/1000, k.Bound/1000, o.P50/1000, o.P99/1000,
-				k.Missed+o.Missed, 2*c.Tries, trial.Gap(c.Seed, n, term, true)/1000, trial.Gap(c.Seed, n, term, false)/1000)
+				k.Missed+o.Missed, 2*c.Tries, trial.RestartGap(c.Seed, n, term, true)/1000, trial.RestartGap(c.Seed, n, term, false)/1000)
 		}
 	}
 	if err := w.Flush(); err != nil {
@@ -78,22 +78,22 @@
 }
 
 type limitsCmd struct {
-	Seeds   int         `default:"3" help:"Number of seeds for each day."`
-	Members []int       `default:"5,60" help:"Fleet sizes."`
-	Size    float64     `default:"200" help:"The limit, in scans a second."`
-	Ways    []trial.Way `default:"fixed share,escrow,leader,gossip,each alone" help:"Ways to share the limit. The messages of gossip grow with the members: omit it for large fleets."`
-	Tenants bool        `help:"Measure the cost of 1,000 and 10,000 keys of one limit instead."`
-	Plot    string      `help:"Draw a partition with outstanding loans under each way into this SVG file instead." placeholder:"FILE"`
+	Seeds   int              `default:"3" help:"Number of seeds for each day."`
+	Members []int            `default:"5,60" help:"Fleet sizes."`
+	Size    float64          `default:"200" help:"The limit, in scans a second."`
+	Ways    []trial.Strategy `default:"fixed share,escrow,leader,gossip,each alone" help:"Ways to share the limit. The messages of gossip grow with the members: omit it for large fleets."`
+	Tenants bool             `help:"Measure the cost of 1,000 and 10,000 keys of one limit instead."`
+	Plot    string           `help:"Draw a partition with outstanding loans under each way into this SVG file instead." placeholder:"FILE"`
 }
 
 // mean plays a day with one way of sharing under all seeds and returns the means; Over and Follow are maxima.
-func (c *limitsCmd) mean(d trial.Day, way trial.Way) trial.Played {
-	sum := trial.Played{Way: way}
+func (c *limitsCmd) mean(d trial.Day, way trial.Strategy) trial.DayResult {
+	sum := trial.DayResult{Strategy: way}
 	for seed := range c.Seeds {
 		p := trial.Play(uint64(seed+1), d, way)
 		k := float64(c.Seeds)
-		sum.Used, sum.Worst, sum.Messages = sum.Used+p.Used/k, sum.Worst+p.Worst/k, sum.Messages+p.Messages/k
-		sum.Over, sum.Follow = max(sum.Over, p.Over), max(sum.Follow, p.Follow)
+		sum.Utilization, sum.WorstUtilization, sum.Messages = sum.Utilization+p.Utilization/k, sum.WorstUtilization+p.WorstUtilization/k, sum.Messages+p.Messages/k
+		sum.Over, sum.Recovery = max(sum.Over, p.Over), max(sum.Recovery, p.Recovery)
 		if sum.Sides == nil {
 			sum.Sides = make([]float64, len(p.Sides))
 		}
@@ -108,7 +108,7 @@
 	if c.Plot != "" {
 		for _, d := range trial.Days(c.Members[0], c.Size) {
 			if d.Name == "split, loans out" {
-				return plotLimits(c.Plot, d, []trial.Way{trial.Escrow, trial.Fixed, trial.Leader, trial.Gossip})
+				return plotLimits(c.Plot, d, []trial.Strategy{trial.Escrow, trial.Fixed, trial.Leader, trial.Gossip})
 			}
 		}
 	}
@@ -119,18 +119,18 @@
 			for _, keys := range []int{1000, 10000} {
 				x := trial.Tenants(1, n, keys)
 				fmt.Fprintf(w, "%d\t%d\t%d of %d\t%.1f\t%d\t%d\t%.0f\t%.0f\t%.0f\t%d\t%d\n", n, keys, x.Taken, x.Asked, x.Over, x.Most, x.Left, x.Datagrams, x.Bytes, x.BytesPerAccount,
-					x.Again, x.AgainMost)
+					x.Readmitted, x.ReadmittedBound)
 			}
 		}
 		return w.Flush()
 	}
 	fmt.Fprintln(w, "MEMBERS\tDAY\tWAY\tUSED\tWORST 500 ms\tOVER scans\tSIDES, OF THEIR MEMBERS' SHARE\tFOLLOWS AFTER ms\tMESSAGES /member/s")
 	for _, n := range c.Members {
-		var rows []trial.Played
+		var rows []trial.DayResult
 		var names []string
 		for _, d := range trial.Days(n, c.Size) {
 			for _, way := range c.Ways {
-				rows, names = append(rows, trial.Played{Way: way}), append(names, d.Name)
+				rows, names = append(rows, trial.DayResult{Strategy: way}), append(names, d.Name)
 			}
 		}
 		var group errgroup // the days are independent of each other
@@ -150,7 +150,7 @@
 			if len(sum.Sides) == 2 {
 				sides = fmt.Sprintf("%.2f, %.2f", sum.Sides[0], sum.Sides[1])
 			}
-			fmt.Fprintf(w, "%d\t%s\t%s\t%.3f\t%.2f\t%.1f\t%s\t%.0f\t%.1f\n", n, names[i], sum.Way, sum.Used, sum.Worst, sum.Over, sides, sum.Follow, sum.Messages)
+			fmt.Fprintf(w, "%d\t%s\t%s\t%.3f\t%.2f\t%.1f\t%s\t%.0f\t%.1f\n", n, names[i], sum.Strategy, sum.Utilization, sum.WorstUtilization, sum.Over, sides, sum.Recovery, sum.Messages)
 		}
 		if err := w.Flush(); err != nil {
 			return err
--- a/cmd/measure/plot.go
+++ b/cmd/measure/plot.go
@@ -34,7 +34,7 @@
 
 // plotLimits draws a day under each way of sharing: what the fleet and each side of the partition used over time, next
 // to the limit.
-func plotLimits(path string, d trial.Day, ways []trial.Way) error {
+func plotLimits(path string, d trial.Day, ways []trial.Strategy) error {
 	all := make([]*plot.Plot, 0, len(ways))
 	for _, way := range ways {
 		played := trial.Play(1, d, way)
--- a/cmd/measure/verdicts.go
+++ b/cmd/measure/verdicts.go
@@ -117,12 +117,12 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBERS\tLOSS\tVERDICT EVERYWHERE ms\tAT MOST\tMISSED\tORDER EVERYWHERE AT MOST ms\tAFTER A SPLIT AT MOST ms\tOLDEST GONE BY ms\tBYTES /member/s CALM\tONE STORE FAILS\tMESSAGES /member/s THEN")
 	sizes, losses := c.Sizes, []float64{0, 0.05, 0.3}
-	all := make([]trial.Spread, len(sizes)*len(losses))
+	all := make([]trial.SpreadResult, len(sizes)*len(losses))
 	var group errgroup
 	for i := range all {
 		group.run(func() error {
 			n := sizes[i/len(losses)]
-			all[i] = trial.Spreads(1, n, losses[i%len(losses)], max(1, c.Seeds*min(n, 32)/n))
+			all[i] = trial.MeasureSpread(1, n, losses[i%len(losses)], max(1, c.Seeds*min(n, 32)/n))
 			return nil
 		})
 	}
@@ -130,7 +130,7 @@
 		return err
 	}
 	for _, x := range all {
-		fmt.Fprintf(w, "%d\t%.0f%%\t%.0f\t%.0f\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\n", x.Members, x.Loss*100, x.Verdict, x.Last, x.Missed, x.Order, x.Heal, x.Oldest, x.Calm, x.Ill, x.Messages)
+		fmt.Fprintf(w, "%d\t%.0f%%\t%.0f\t%.0f\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\n", x.Members, x.Loss*100, x.Verdict, x.Last, x.Missed, x.Order, x.Heal, x.Oldest, x.HealthyTraffic, x.FaultyTraffic, x.Messages)
 	}
 	return w.Flush()
 }
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -125,8 +125,8 @@
 		if err := b.openAgent(); err != nil {
 			return f, err
 		}
-		m := &rig.Member{Name: brokerName(s.n), N: s.n}
-		if m.UDP, err = rig.Loopback("udp"); err != nil {
+		m := &rig.Member{Name: brokerName(s.n), Index: s.n}
+		if m.UDP, err = rig.FreeAddr("udp"); err != nil {
 			return f, fmt.Errorf("rehearse: a broker's address for others: %w", err)
 		}
 		l.members = append(l.members, m)
--- a/internal/emulator/shared.go
+++ b/internal/emulator/shared.go
@@ -231,7 +231,7 @@
 		}
 		slices.Sort(keys)
 		for _, k := range keys {
-			over := rig.MostOpen(of[k]) - float64(l.Open)
+			over := rig.MaxOpen(of[k]) - float64(l.Open)
 			if l.Open == 0 {
 				over = rig.Excess(of[k], l.Rate/1000, l.Burst)
 			}
--- a/internal/rig/limit.go
+++ b/internal/rig/limit.go
@@ -36,7 +36,7 @@
 }
 
 // MaxOpen returns the largest number of spans that were certainly open at the same time.
-func MostOpen(all []Span) float64 {
+func MaxOpen(all []Span) float64 {
 	type edge struct {
 		at float64
 		by float64
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -53,7 +53,7 @@
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
 // ExitCode waits for the process to exit and returns its exit code, or -1 if a signal killed it.
-func (p *Process) Code() int {
+func (p *Process) ExitCode() int {
 	<-p.ended
 	return p.cmd.ProcessState.ExitCode()
 }
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -21,7 +21,7 @@
 )
 
 // Config describes a fleet.
-type Plan struct {
+type Config struct {
 	Dir     string         // holds all files; the caller removes it
 	Members int            // number of processes
 	Program []string       // command line, such as gullstair serve --log error; --features and its file are appended
@@ -36,21 +36,21 @@
 
 // Member is one process of the fleet and its files.
 type Member struct {
-	Name      string
-	N         int
-	Listen    string // address for clients
-	Discovery string
-	UDP       string // address where it receives datagrams of other members
-	Advertise string // address of the switch, to which the others send datagrams for it
-	Listed    int    // number of members, from the first, that its document lists; 0 lists all
-	fleet     *Fleet
+	Name          string
+	Index         int
+	Listen        string // address for clients
+	Discovery     string
+	UDP           string // address where it receives datagrams of other members
+	Advertise     string // address of the switch, to which the others send datagrams for it
+	ListedMembers int    // number of members, from the first, that its document lists; 0 lists all
+	fleet         *Fleet
 	*Process
 	log *os.File
 }
 
 // Fleet is a set of member processes with a Switch between them.
 type Fleet struct {
-	Plan
+	Config
 	Members []*Member
 	Switch  *Switch
 	agent   net.Listener
@@ -68,7 +68,7 @@
 func init() { ports.Store(int64(os.Getpid()) * 61) }
 
 // FreeAddr finds a free port on loopback, releases it and returns its address.
-func Loopback(network string) (string, error) {
+func FreeAddr(network string) (string, error) {
 	var err error
 	for range portCount {
 		addr := fmt.Sprintf("127.0.0.1:%d", firstPort+ports.Add(1)%portCount)
@@ -87,16 +87,16 @@
 }
 
 // New allocates the addresses of a fleet, opens its switch and writes its files. It starts no process.
-func New(p Plan) (*Fleet, error) {
-	f := &Fleet{Plan: p}
+func New(p Config) (*Fleet, error) {
+	f := &Fleet{Config: p}
 	var err error
 	if f.agent, err = net.Listen("tcp", "127.0.0.1:0"); err != nil { // discovery that never answers: members use the list in their document
 		return nil, fmt.Errorf("rig: %w", err)
 	}
 	for i := range p.Members {
-		m := &Member{Name: fmt.Sprint("n", i), N: i, fleet: f, Discovery: f.agent.Addr().String()}
-		if m.Listen, err = Loopback("tcp"); err == nil {
-			m.UDP, err = Loopback("udp")
+		m := &Member{Name: fmt.Sprint("n", i), Index: i, fleet: f, Discovery: f.agent.Addr().String()}
+		if m.Listen, err = FreeAddr("tcp"); err == nil {
+			m.UDP, err = FreeAddr("udp")
 		}
 		if err != nil {
 			f.Close()
@@ -141,7 +141,7 @@
 	}
 	var members strings.Builder
 	for i, o := range m.fleet.Members {
-		if m.Listed > 0 && i >= m.Listed {
+		if m.ListedMembers > 0 && i >= m.ListedMembers {
 			break
 		}
 		fmt.Fprintf(&members, "    %s = %q\n", o.Name, o.Advertise)
@@ -177,7 +177,7 @@
 }
 
 // Terminate sends SIGTERM as an operator does, waits for the exit, and kills the process after the timeout.
-func (m *Member) End(within time.Duration) {
+func (m *Member) Terminate(within time.Duration) {
 	m.Signal(syscall.SIGTERM)
 	select {
 	case <-m.Ended():
@@ -188,7 +188,7 @@
 
 // SkewClocks sets the rate of a member's monotonic clock and the offset of its wall clock. The rate takes effect at the next start, the offset at once. Only
 // the program's test binary reads this file, not the program itself.
-func (m *Member) Bend(rate float64, wall time.Duration) error {
+func (m *Member) SkewClocks(rate float64, wall time.Duration) error {
 	path := m.Path("clock")
 	if err := os.WriteFile(path+".new", fmt.Appendf(nil, "%g %d\n", rate, wall.Nanoseconds()), 0o600); err != nil {
 		return fmt.Errorf("rig: %w", err)
@@ -197,7 +197,7 @@
 }
 
 // Query reads a page from a member's control socket.
-func (m *Member) Ask(page string, v any) error { return control.Get(m.Socket(), page, v) }
+func (m *Member) Query(page string, v any) error { return control.Get(m.Socket(), page, v) }
 
 // LaunchAll starts all members that are not running.
 func (f *Fleet) LaunchAll() error {
@@ -212,16 +212,16 @@
 }
 
 // ErrTimeout is returned by WaitUntil when the condition did not hold in time.
-var ErrWaited = errors.New("rig: the condition did not hold in time")
+var ErrTimeout = errors.New("rig: the condition did not hold in time")
 
 // WaitUntil polls a condition until it holds or the timeout passes.
-func Until(within time.Duration, holds func() bool) error {
+func WaitUntil(within time.Duration, holds func() bool) error {
 	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		if holds() {
 			return nil
 		}
 		if time.Since(begun) > within {
-			return ErrWaited
+			return ErrTimeout
 		}
 	}
 }
--- a/internal/rig/schedule.go
+++ b/internal/rig/schedule.go
@@ -13,8 +13,8 @@
 type Event struct {
 	At, For time.Duration
 	Fault   string // one of Faults
-	Who     int    // index of the member; for a split, a bit set of the members on one side
-	Other   int    // for a cut, the index of the member that Who can no longer reach
+	Member  int    // index of the member; for a split, a bit set of the members on one side
+	Target  int    // for a cut, the index of the member that Who can no longer reach
 }
 
 // Faults lists the kinds of fault that a schedule may hold.
@@ -24,14 +24,14 @@
 type Schedule []Event
 
 // Draw generates a random schedule with the given number of faults within a span. Equal seeds give equal schedules.
-func Draw(seed uint64, members, faults int, span time.Duration) Schedule {
+func RandomSchedule(seed uint64, members, faults int, span time.Duration) Schedule {
 	rnd := rand.New(rand.NewPCG(seed, 0x5ced))
 	var s Schedule
 	for range faults {
 		e := Event{At: time.Duration(rnd.Int64N(int64(span))).Round(10 * time.Millisecond), Fault: Faults[rnd.IntN(len(Faults))],
-			For: time.Duration(rnd.Int64N(int64(span) / 2)).Round(10 * time.Millisecond), Who: rnd.IntN(members), Other: rnd.IntN(members)}
+			For: time.Duration(rnd.Int64N(int64(span) / 2)).Round(10 * time.Millisecond), Member: rnd.IntN(members), Target: rnd.IntN(members)}
 		if e.Fault == "split" {
-			e.Who = 1 + rnd.IntN(1<<members-2)
+			e.Member = 1 + rnd.IntN(1<<members-2)
 		}
 		s = append(s, e)
 	}
@@ -42,7 +42,7 @@
 func (s Schedule) String() string {
 	var b strings.Builder
 	for _, e := range s {
-		fmt.Fprintf(&b, "%v %v %s %d %d\n", e.At, e.For, e.Fault, e.Who, e.Other)
+		fmt.Fprintf(&b, "%v %v %s %d %d\n", e.At, e.For, e.Fault, e.Member, e.Target)
 	}
 	return b.String()
 }
@@ -52,7 +52,7 @@
 	for i, line := range strings.Split(strings.TrimSpace(text), "\n") {
 		var e Event
 		var at, span string
-		if _, err := fmt.Sscan(line, &at, &span, &e.Fault, &e.Who, &e.Other); err != nil {
+		if _, err := fmt.Sscan(line, &at, &span, &e.Fault, &e.Member, &e.Target); err != nil {
 			return nil, fmt.Errorf("rig: line %d of the schedule: %w", i+1, err)
 		}
 		e.At, err = time.ParseDuration(at)
@@ -97,7 +97,7 @@
 	f.Switch.Heal()
 	for _, m := range f.Members {
 		m.Signal(syscall.SIGCONT)
-		if err := m.Bend(1, 0); err != nil {
+		if err := m.SkewClocks(1, 0); err != nil {
 			return err
 		}
 	}
@@ -106,10 +106,10 @@
 
 // applyToProcess begins or ends the effect of a fault on a process.
 func (f *Fleet) applyToProcess(e *Event, begin bool, active map[*Event]bool) error {
-	m := f.Members[min(e.Who, len(f.Members)-1)]
+	m := f.Members[min(e.Member, len(f.Members)-1)]
 	overlapping := func(fault string) bool { // reports whether another fault of this kind is active at the member
 		for o := range active {
-			if o != e && o.Fault == fault && o.Who == e.Who {
+			if o != e && o.Fault == fault && o.Member == e.Member {
 				return true
 			}
 		}
@@ -127,9 +127,9 @@
 	case e.Fault == "replay" && begin:
 		f.Switch.Replay()
 	case e.Fault == "wall" && begin:
-		return m.Bend(1, time.Hour)
+		return m.SkewClocks(1, time.Hour)
 	case e.Fault == "wall" && !overlapping("wall"):
-		return m.Bend(1, 0)
+		return m.SkewClocks(1, 0)
 	}
 	return nil
 }
@@ -142,13 +142,13 @@
 			for e := range active {
 				switch e.Fault {
 				case "cut":
-					l.Cut = l.Cut || i == e.Who && j == e.Other
+					l.Cut = l.Cut || i == e.Member && j == e.Target
 				case "mute":
-					l.Cut = l.Cut || i == e.Who
+					l.Cut = l.Cut || i == e.Member
 				case "deaf":
-					l.Cut = l.Cut || j == e.Who
+					l.Cut = l.Cut || j == e.Member
 				case "split":
-					l.Cut = l.Cut || e.Who>>i&1 != e.Who>>j&1
+					l.Cut = l.Cut || e.Member>>i&1 != e.Member>>j&1
 				case "loss":
 					l.Loss, l.Duplicate, l.Jitter = 0.3, 0.3, 20
 				case "flip":
--- a/internal/rig/schedule_test.go
+++ b/internal/rig/schedule_test.go
@@ -11,9 +11,9 @@
 )
 
 func TestSchedules(t *testing.T) {
-	s := Draw(7, 5, 12, 10*time.Second)
-	assert.Equal(t, s, Draw(7, 5, 12, 10*time.Second), "equal seeds give equal schedules")
-	assert.NotEqual(t, s, Draw(8, 5, 12, 10*time.Second))
+	s := RandomSchedule(7, 5, 12, 10*time.Second)
+	assert.Equal(t, s, RandomSchedule(7, 5, 12, 10*time.Second), "equal seeds give equal schedules")
+	assert.NotEqual(t, s, RandomSchedule(8, 5, 12, 10*time.Second))
 	again, err := Parse(s.String())
 	require.NoError(t, err)
 	assert.Equal(t, s, again, "Parse reads what String writes")
@@ -22,9 +22,9 @@
 		assert.ErrorContains(t, err, want)
 	}
 	// A schedule fails when it holds a kill of member 3 and any split: Shrink removes all other faults and shortens these two.
-	s = append(s, Event{For: 4 * time.Second, Fault: "kill", Who: 3}, Event{For: 4 * time.Second, Fault: "split", Who: 5})
+	s = append(s, Event{For: 4 * time.Second, Fault: "kill", Member: 3}, Event{For: 4 * time.Second, Fault: "split", Member: 5})
 	fails := func(s Schedule) bool {
-		return slices.ContainsFunc(s, func(e Event) bool { return e.Fault == "kill" && e.Who == 3 }) &&
+		return slices.ContainsFunc(s, func(e Event) bool { return e.Fault == "kill" && e.Member == 3 }) &&
 			slices.ContainsFunc(s, func(e Event) bool { return e.Fault == "split" })
 	}
 	small := Shrink(s, 200, fails)
@@ -44,7 +44,7 @@
 		c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 		require.NoError(t, err)
 		defer c.Close()
-		conns, members = append(conns, c), append(members, &Member{N: i, UDP: c.LocalAddr().String()})
+		conns, members = append(conns, c), append(members, &Member{Index: i, UDP: c.LocalAddr().String()})
 	}
 	s, err := NewSwitch(members, 1)
 	require.NoError(t, err)
@@ -66,7 +66,7 @@
 	assert.Equal(t, [2]string{"one", members[0].Advertise}, [2]string{text, from}, "the source is the advertised address of the sender")
 	s.Set(0, 1, func(l *Link) { l.Cut = true })
 	send(0, "lost")
-	require.NoError(t, Until(5*time.Second, func() bool { // the switch, which reads in another goroutine, has received it
+	require.NoError(t, WaitUntil(5*time.Second, func() bool { // the switch, which reads in another goroutine, has received it
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return len(s.recorded) == 2
@@ -120,7 +120,7 @@
 			}()
 		}
 	}()
-	w, err := NewWire(ln.Addr().String())
+	w, err := NewTCPProxy(ln.Addr().String())
 	require.NoError(t, err)
 	defer w.Close()
 	c, err := net.Dial("tcp", w.Addr)
@@ -135,13 +135,13 @@
 		return err
 	}
 	assert.NoError(t, echo(5*time.Second))
-	w.Be(Slow, 50*time.Millisecond)
+	w.SetMode(Slow, 50*time.Millisecond)
 	begun := time.Now()
 	assert.NoError(t, echo(5*time.Second))
 	assert.GreaterOrEqual(t, time.Since(begun), 100*time.Millisecond, "delayed in both directions")
-	w.Be(Silent, 0)
+	w.SetMode(Blackhole, 0)
 	var late net.Error
 	assert.ErrorAs(t, echo(100*time.Millisecond), &late)
-	w.Be(Reset, 0)
+	w.SetMode(Reset, 0)
 	assert.Error(t, echo(5*time.Second))
 }
--- a/internal/rig/still.go
+++ b/internal/rig/still.go
@@ -9,34 +9,34 @@
 )
 
 // StallSnapshot holds the total time that a process has spent stalled up to a moment.
-type Still struct {
+type StallSnapshot struct {
 	runQueueDelay map[string]time.Duration // by thread: run-queue delay as the kernel counts it
 	stopped       time.Duration            // by SIGSTOP sent through Signal
 }
 
 // Stalls returns how long the process has been stalled up to now.
-func (p *Process) Still() Still {
+func (p *Process) Stalls() StallSnapshot {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	stopped := p.stopped
 	if !p.stoppedAt.IsZero() {
 		stopped += time.Since(p.stoppedAt)
 	}
-	return Still{runQueueDelays(p.Pid()), stopped}
+	return StallSnapshot{runQueueDelays(p.Pid()), stopped}
 }
 
 // StalledSince returns how long the process was stalled since a snapshot: while Signal had stopped it, and while one of its threads waited for a
 // processor. A program that runs Go code on one thread is stalled as long as that thread waits.
-func (p *Process) StoodStill(since Still) time.Duration {
-	now := p.Still()
+func (p *Process) StalledSince(since StallSnapshot) time.Duration {
+	now := p.Stalls()
 	return now.stopped - since.stopped + maxIncrease(since.runQueueDelay, now.runQueueDelay)
 }
 
 // OwnStalls returns how long the threads of this process have waited for a processor up to now.
-func OwnStill() Still { return Still{runQueueDelay: runQueueDelays(os.Getpid())} }
+func OwnStalls() StallSnapshot { return StallSnapshot{runQueueDelay: runQueueDelays(os.Getpid())} }
 
 // OwnStalledSince returns the longest time that one thread of this process waited for a processor since a snapshot.
-func OwnStoodStill(since Still) time.Duration {
+func OwnStalledSince(since StallSnapshot) time.Duration {
 	return maxIncrease(since.runQueueDelay, runQueueDelays(os.Getpid()))
 }
 
--- a/internal/rig/still_test.go
+++ b/internal/rig/still_test.go
@@ -15,18 +15,18 @@
 	p, err := Launch([]string{"sleep", "60"}, nil, os.Stderr)
 	require.NoError(t, err)
 	defer p.Kill()
-	before := p.Still()
+	before := p.Stalls()
 	time.Sleep(50 * time.Millisecond)
-	runningStall := p.StoodStill(before)
+	runningStall := p.StalledSince(before)
 	p.Signal(syscall.SIGSTOP)
 	p.Signal(syscall.SIGSTOP)
 	time.Sleep(60 * time.Millisecond)
-	assert.GreaterOrEqual(t, p.StoodStill(before), 60*time.Millisecond, "while it is stopped")
+	assert.GreaterOrEqual(t, p.StalledSince(before), 60*time.Millisecond, "while it is stopped")
 	p.Signal(syscall.SIGCONT)
-	after := p.Still()
-	assert.GreaterOrEqual(t, p.StoodStill(before), runningStall+60*time.Millisecond)
+	after := p.Stalls()
+	assert.GreaterOrEqual(t, p.StalledSince(before), runningStall+60*time.Millisecond)
 	time.Sleep(60 * time.Millisecond)
-	assert.Less(t, p.StoodStill(after), 60*time.Millisecond, "the process runs again")
+	assert.Less(t, p.StalledSince(after), 60*time.Millisecond, "the process runs again")
 }
 
 // The delay of a known thread counts from the first snapshot; the delay of a new thread counts whole.
@@ -35,5 +35,5 @@
 	assert.Equal(t, 2*time.Second, maxIncrease(before, map[string]time.Duration{"a": 6 * time.Second, "b": 3 * time.Second, "c": time.Second}))
 	assert.Equal(t, 3*time.Second, maxIncrease(before, map[string]time.Duration{"c": 3 * time.Second}))
 	assert.Zero(t, maxIncrease(before, before))
-	assert.NotEmpty(t, OwnStill().runQueueDelay)
+	assert.NotEmpty(t, OwnStalls().runQueueDelay)
 }
--- a/internal/rig/switch.go
+++ b/internal/rig/switch.go
@@ -172,34 +172,34 @@
 }
 
 // ProxyMode is how a TCPProxy treats its connections.
-type Manner int
+type ProxyMode int
 
 const (
-	Whole  Manner = iota
-	Silent        // reads everything and forwards nothing
-	Reset         // resets open and new connections
-	Slow          // forwards with a delay
+	Forward   ProxyMode = iota
+	Blackhole           // reads everything and forwards nothing
+	Reset               // resets open and new connections
+	Slow                // forwards with a delay
 )
 
 // TCPProxy forwards TCP connections from one broker to a store or to discovery, and injects faults that affect that broker alone.
-type Wire struct {
+type TCPProxy struct {
 	Addr       string // address to which the broker connects
 	target     string
 	ln         net.Listener
 	mu         sync.Mutex
-	mode       Manner
+	mode       ProxyMode
 	delay      time.Duration
 	open       map[net.Conn]bool
 	goroutines sync.WaitGroup
 }
 
 // NewTCPProxy opens a proxy to a target address.
-func NewWire(target string) (*Wire, error) {
+func NewTCPProxy(target string) (*TCPProxy, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("rig: %w", err)
 	}
-	w := &Wire{Addr: ln.Addr().String(), target: target, ln: ln, open: map[net.Conn]bool{}}
+	w := &TCPProxy{Addr: ln.Addr().String(), target: target, ln: ln, open: map[net.Conn]bool{}}
 	w.goroutines.Go(func() {
 		for {
 			conn, err := ln.Accept()
@@ -213,7 +213,7 @@
 }
 
 // SetMode changes the treatment of connections, open ones too. The delay applies to Slow.
-func (w *Wire) Be(how Manner, late time.Duration) {
+func (w *TCPProxy) SetMode(how ProxyMode, late time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.mode, w.delay = how, late
@@ -231,13 +231,13 @@
 	c.Close()
 }
 
-func (w *Wire) currentMode() (Manner, time.Duration) {
+func (w *TCPProxy) currentMode() (ProxyMode, time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.mode, w.delay
 }
 
-func (w *Wire) proxy(conn net.Conn) {
+func (w *TCPProxy) proxy(conn net.Conn) {
 	far, err := net.Dial("tcp", w.target)
 	if how, _ := w.currentMode(); err != nil || how == Reset {
 		reset(conn)
@@ -257,7 +257,7 @@
 			if how == Slow {
 				time.Sleep(late)
 			}
-			if how != Silent && n > 0 {
+			if how != Blackhole && n > 0 {
 				if _, err := to.Write(buf[:n]); err != nil {
 					break
 				}
@@ -281,7 +281,7 @@
 }
 
 // Close closes the listener and all connections and waits for the goroutines.
-func (w *Wire) Close() {
+func (w *TCPProxy) Close() {
 	w.ln.Close()
 	w.mu.Lock()
 	for c := range w.open {
--- a/internal/rig/witness.go
+++ b/internal/rig/witness.go
@@ -88,7 +88,7 @@
 }
 
 // Observed returns all work so far, ordered by its start.
-func (w *Witness) Seen() (all []Work) {
+func (w *Witness) Observed() (all []Work) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range w.work {
@@ -103,7 +103,7 @@
 // Remaining returns the IDs of this work's processes that still run. It recognizes each by a single read of its environment, which holds the fencing number:
 // the kernel reuses a process ID within minutes when tests start thousands of processes, and two separate checks (whether the process exists, then whether it
 // is a zombie) took a process that was reaped in between for a running one.
-func (k Work) Left() (pids []int) {
+func (k Work) Remaining() (pids []int) {
 	mark := fmt.Sprintf("\x00GULLSTAIR_FENCE=%d\x00", k.Fence)
 	for _, pid := range k.Pids {
 		if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid)); err == nil && strings.Contains("\x00"+string(text), mark) {
@@ -114,9 +114,9 @@
 }
 
 // Violations returns the broken rules: work under two fencing numbers of one lease at the same time, or a fencing number that decreased.
-func (w *Witness) Judge() (faults []string) {
+func (w *Witness) Violations() (faults []string) {
 	last := map[string]Work{}
-	for _, k := range w.Seen() {
+	for _, k := range w.Observed() {
 		if o, before := last[k.Lease]; before {
 			if k.First <= o.Last {
 				faults = append(faults, fmt.Sprintf("%s: work under %d began %v before the last under %d", k.Lease, k.Fence, time.Duration(o.Last-k.First), o.Fence))
@@ -147,7 +147,7 @@
 // RunWorker is the main function of a worker process, which reports its work to a Witness until its time is up. A "stubborn" worker ignores signals and starts
 // a child that leaves the session, closes its standard files and works ten times as long. With RIG_FENCE each report is sent only if that fence accepts the
 // fencing number.
-func Act(args []string) int {
+func RunWorker(args []string) int {
 	if len(args) < 3 {
 		return 2
 	}
--- a/internal/rig/witness_test.go
+++ b/internal/rig/witness_test.go
@@ -17,10 +17,10 @@
 	require.NoError(t, cmd.Start())
 	pid := cmd.Process.Pid
 	own, other := Work{Fence: 7, Pids: []int{pid}}, Work{Fence: 70, Pids: []int{pid}}
-	require.NoError(t, Until(10*time.Second, func() bool { return len(own.Left()) == 1 }), "the environment is readable once the program has started")
-	assert.Empty(t, other.Left())
+	require.NoError(t, WaitUntil(10*time.Second, func() bool { return len(own.Remaining()) == 1 }), "the environment is readable once the program has started")
+	assert.Empty(t, other.Remaining())
 	require.NoError(t, cmd.Process.Kill())
-	require.NoError(t, Until(10*time.Second, func() bool { return len(own.Left()) == 0 }), "a zombie does not count")
+	require.NoError(t, WaitUntil(10*time.Second, func() bool { return len(own.Remaining()) == 0 }), "a zombie does not count")
 	require.Error(t, cmd.Wait())
-	assert.Empty(t, own.Left())
+	assert.Empty(t, own.Remaining())
 }
--- a/internal/trial/limits.go
+++ b/internal/trial/limits.go
@@ -14,7 +14,7 @@
 	Members  int
 	Drift    float64 // bound on clock drift that the members assume; their clocks run at both ends of it
 	Limits   []shares.Limit
-	Strategy Way
+	Strategy Strategy
 	Weather  virtual.Conditions
 	Most     int
 	Disk     bool    // loans are stored durably
@@ -22,15 +22,15 @@
 }
 
 // Strategy is a way to share a limit among members.
-type Way string
+type Strategy string
 
 // The strategies that the simulation compares. The product uses Escrow.
 const (
-	Fixed  Way = "fixed share"
-	Escrow Way = "escrow"
-	Leader Way = "leader"
-	Gossip Way = "gossip"
-	Alone  Way = "each alone" // each member applies the whole limit on its own
+	Fixed  Strategy = "fixed share"
+	Escrow Strategy = "escrow"
+	Leader Strategy = "leader"
+	Gossip Strategy = "gossip"
+	Alone  Strategy = "each alone" // each member applies the whole limit on its own
 )
 
 // strategyNode is the part of a strategy that runs at one member.
--- a/internal/trial/limits_test.go
+++ b/internal/trial/limits_test.go
@@ -137,12 +137,12 @@
 			fixed, taken, alone := Play(1, d, Fixed), Play(1, d, Escrow), Play(1, d, Alone)
 			assert.Zero(t, fixed.Over)
 			assert.Zero(t, taken.Over)
-			assert.Greater(t, taken.Used, fixed.Used-0.04)
+			assert.Greater(t, taken.Utilization, fixed.Utilization-0.04)
 			for _, side := range taken.Sides {
 				assert.Greater(t, side, 0.85, "each side uses its members' share")
 			}
 			if d.Moves == 0 && d.Faults == nil {
-				assert.Greater(t, taken.Used, 0.93)
+				assert.Greater(t, taken.Utilization, 0.93)
 			}
 			if d.Name == "all alike" {
 				assert.Positive(t, alone.Over)
--- a/internal/trial/limitsplay.go
+++ b/internal/trial/limitsplay.go
@@ -11,14 +11,14 @@
 )
 
 // DayResult holds the measurements of one simulated Day under one strategy.
-type Played struct {
-	Way      Way
-	Used     float64 // share of the limit that was used in the measured time
-	Worst    float64 // lowest use over 500 ms
-	Over     float64 // scans beyond rate x window + burst
-	Sides    []float64
-	Follow   float64 // ms until use is back at 0.9 of the limit after the demand moves
-	Messages float64 // per member and second
+type DayResult struct {
+	Strategy         Strategy
+	Utilization      float64 // share of the limit that was used in the measured time
+	WorstUtilization float64 // lowest use over 500 ms
+	Over             float64 // scans beyond rate x window + burst
+	Sides            []float64
+	Recovery         float64 // ms until use is back at 0.9 of the limit after the demand moves
+	Messages         float64 // per member and second
 	// Taken holds the admitted scans per second of all members in each SeriesStep of the day. By holds the same for each side of a partition.
 	Taken []float64
 	By    [][]float64
@@ -106,7 +106,7 @@
 }
 
 // Play simulates a day under a strategy.
-func Play(seed uint64, d Day, way Way) Played {
+func Play(seed uint64, d Day, way Strategy) DayResult {
 	r := LimitRules{Members: d.Members, Drift: 0.01, Strategy: way, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1},
 		Limits: []shares.Limit{{Name: "x", Kind: shares.Rate, Size: d.Size, Burst: max(d.Size/2, 1), Term: 1000}}}
 	w := NewLimitWorld(seed, r)
@@ -120,7 +120,7 @@
 		d.Faults(w)
 	}
 	uses := []shares.Use{{Limit: 0, Cost: 1}}
-	p := Played{Way: way, Worst: math.Inf(1)}
+	p := DayResult{Strategy: way, WorstUtilization: math.Inf(1)}
 	var at500, before int
 	taken := make([]int, d.Members)
 	messages := 0
@@ -137,7 +137,7 @@
 			before, at500, messages = w.Admitted, w.Admitted, sent()
 			copy(taken, w.AdmittedBy)
 		} else if now > d.From && math.Mod(now-d.From, 500) == 0 {
-			p.Worst = min(p.Worst, float64(w.Admitted-at500)/(d.Size/2))
+			p.WorstUtilization = min(p.WorstUtilization, float64(w.Admitted-at500)/(d.Size/2))
 			at500 = w.Admitted
 		}
 		if d.Moves > 0 && now >= d.From && math.Mod(now, d.Moves) == 0 {
@@ -167,7 +167,7 @@
 		}
 	}
 	span := (d.To - d.From) / 1000
-	p.Used = float64(w.Admitted-before) / (d.Size * span)
+	p.Utilization = float64(w.Admitted-before) / (d.Size * span)
 	for _, side := range d.Sides {
 		n := 0
 		for _, i := range side {
@@ -176,7 +176,7 @@
 		p.Sides = append(p.Sides, float64(n)/(d.Size*span)/(float64(len(side))/float64(d.Members)))
 	}
 	for _, f := range follows {
-		p.Follow = max(p.Follow, f)
+		p.Recovery = max(p.Recovery, f)
 	}
 	p.Over = w.Excess
 	p.Messages = float64(sent()-messages) / span / float64(d.Members)
@@ -185,14 +185,14 @@
 
 // TenantsResult holds the cost of many keys of one limit, as measured by Tenants.
 type TenantsResult struct {
-	Members, Keys    int
-	Taken, Asked     int
-	Over             float64 // scans
-	Most, Left       int     // most accounts at one member under load, and one minute after the load
-	Messages, Bytes  float64 // per member and second
-	Datagrams        float64
-	BytesPerAccount  float64 // heap bytes
-	Again, AgainMost int     // scans admitted at once for a key that returns after it was forgotten, and its burst
+	Members, Keys               int
+	Taken, Asked                int
+	Over                        float64 // scans
+	Most, Left                  int     // most accounts at one member under load, and one minute after the load
+	Messages, Bytes             float64 // per member and second
+	Datagrams                   float64
+	BytesPerAccount             float64 // heap bytes
+	Readmitted, ReadmittedBound int     // scans admitted at once for a key that returns after it was forgotten, and its burst
 }
 
 // Tenants simulates scans at all members with keys that follow a power law. Every ten seconds another tenth of the keys is replaced by new ones, which is a
@@ -201,7 +201,7 @@
 	const size, burst = 5.0, 5.0
 	w := NewLimitWorld(seed, LimitRules{Members: members, Drift: 0.01, Strategy: Escrow, Most: 4 * keys, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1},
 		Limits: []shares.Limit{{Name: "tenant", Size: size, Burst: burst, Term: 1000, Owners: 5}}})
-	x := TenantsResult{Members: members, Keys: keys, AgainMost: int(burst)}
+	x := TenantsResult{Members: members, Keys: keys, ReadmittedBound: int(burst)}
 	var before runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -244,7 +244,7 @@
 			w.Scan(i, []shares.Use{{Key: "tenant-0", Cost: 1}}, 10)
 		}
 	}
-	x.Again = w.Admitted - had
+	x.Readmitted = w.Admitted - had
 	x.Taken, x.Asked, x.Over = w.Admitted, w.Arrived, w.Excess
 	return x
 }
--- a/internal/trial/spread.go
+++ b/internal/trial/spread.go
@@ -8,24 +8,24 @@
 )
 
 // SpreadResult holds the latency and the traffic of the dissemination of verdicts at one fleet size and packet loss. Times are in ms.
-type Spread struct {
-	Members       int
-	Loss          float64
-	Verdict, Last float64 // from the moment a quorum observed the fault until all members applied the verdict: mean and maximum
-	Missed        int     // faults for which not all members applied the verdict within ten seconds
-	Order         float64 // maximum time from an operator's order until the last member applied it
-	Heal          float64 // maximum time from the end of a partition until all members applied the same order
-	Oldest        float64 // maximum true age of the newest outcome behind an applied verdict
-	Calm, Ill     float64 // bytes per member and second without a fault, and while one store in twenty fails
-	Messages      float64 // per member and second, while one store in twenty fails
+type SpreadResult struct {
+	Members                       int
+	Loss                          float64
+	Verdict, Last                 float64 // from the moment a quorum observed the fault until all members applied the verdict: mean and maximum
+	Missed                        int     // faults for which not all members applied the verdict within ten seconds
+	Order                         float64 // maximum time from an operator's order until the last member applied it
+	Heal                          float64 // maximum time from the end of a partition until all members applied the same order
+	Oldest                        float64 // maximum true age of the newest outcome behind an applied verdict
+	HealthyTraffic, FaultyTraffic float64 // bytes per member and second without a fault, and while one store in twenty fails
+	Messages                      float64 // per member and second, while one store in twenty fails
 }
 
 // MeasureSpread runs the measurements over the given number of faults.
-func Spreads(seed uint64, members int, loss float64, faults int) Spread {
+func MeasureSpread(seed uint64, members int, loss float64, faults int) SpreadResult {
 	r := verdictRules(members, 20)
 	r.Rate, r.Weather.Loss = 10, loss
 	w := NewVerdictWorld(seed, r)
-	x := Spread{Members: members, Loss: loss}
+	x := SpreadResult{Members: members, Loss: loss}
 	traffic := func(forMs float64) (bytes, messages float64) {
 		var before, after virtual.Counts
 		sum := func(c *virtual.Counts) {
@@ -41,7 +41,7 @@
 		return float64(after.Bytes-before.Bytes) / per, float64(after.Sent-before.Sent) / per
 	}
 	w.Net.Run(3000)
-	x.Calm, _ = traffic(5000)
+	x.HealthyTraffic, _ = traffic(5000)
 	for n := range faults {
 		s := n % r.Stores
 		w.Fails = func(_, store int) bool { return store == s }
@@ -72,7 +72,7 @@
 			}
 		}
 		if n == 0 {
-			x.Ill, x.Messages = traffic(5000)
+			x.FaultyTraffic, x.Messages = traffic(5000)
 		}
 		if took := all - enough; math.IsInf(all, 1) {
 			x.Missed++
--- a/internal/trial/takeover.go
+++ b/internal/trial/takeover.go
@@ -9,7 +9,7 @@
 )
 
 // TakeoverResult holds the measurements of Takeover: the time in ms from a holder's end until another member holds the lease.
-type Takeovers struct {
+type TakeoverResult struct {
 	Voters        int
 	Term          float64
 	P50, P99      float64
@@ -18,8 +18,8 @@
 }
 
 // Takeover repeatedly ends the holder of a lease and measures how long nobody holds it. The holder is killed or, if orderly, releases the lease.
-func Takeover(seed uint64, voters int, term float64, tries int, orderly bool) Takeovers {
-	t := Takeovers{Voters: voters, Term: term, Tries: tries}
+func Takeover(seed uint64, voters int, term float64, tries int, orderly bool) TakeoverResult {
+	t := TakeoverResult{Voters: voters, Term: term, Tries: tries}
 	r := LeaseRules{Members: voters, Drift: 0.01, Fixed: []lease.Spec{{Name: "x", Term: term}}, Disk: true, Fsync: 2, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1}}
 	w := NewLeaseWorld(seed, r)
 	for i := range voters {
@@ -71,7 +71,7 @@
 }
 
 // RestartGap restarts all voters at once and returns for how many ms nobody holds a lease, with or without stored votes.
-func Gap(seed uint64, voters int, term float64, disk bool) float64 {
+func RestartGap(seed uint64, voters int, term float64, disk bool) float64 {
 	r := LeaseRules{Members: voters, Drift: 0.01, Fixed: []lease.Spec{{Name: "x", Term: term}}, Disk: disk, Fsync: 2, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1}}
 	w := NewLeaseWorld(seed, r)
 	start := func() {
