--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -12,7 +12,8 @@
 	"gullstair/scenarios"
 )
 
-func TestAllThatComeWithTheProgram(t *testing.T) {
+// Every embedded scenario is valid, and together they cover at least 19 kinds of faults.
+func TestEmbeddedScenarios(t *testing.T) {
 	entries, err := scenarios.Files.ReadDir(".")
 	require.NoError(t, err)
 	assert.GreaterOrEqual(t, len(entries), 12)
@@ -27,7 +28,7 @@
 			struck[f.Kind] = true
 		}
 	}
-	assert.GreaterOrEqual(t, len(struck), 19, "faults that some scenario plays: %v", struck)
+	assert.GreaterOrEqual(t, len(struck), 19, "kinds of faults in the embedded scenarios: %v", struck)
 }
 
 func TestFaults(t *testing.T) {
@@ -82,7 +83,7 @@
 	assert.Len(t, s.Check(emulator.Figures{Service: 0.85, P99: 150}), 2)
 }
 
-// A scenario takes whole blocks from its base; faults and expectations are its own alone.
+// A scenario inherits whole blocks from its base, but neither faults nor expectations.
 func TestBase(t *testing.T) {
 	s, err := Parse([]byte("base = \"calm\"\nlength = \"10s\"\nlimit \"all\" {\n  for = \"fleet\"\n  scans_per_s = 50\n}\nfault \"broker_loss\" {\n  at = \"1s\"\n  for = \"2s\"\n}\n"), "x.hcl")
 	require.NoError(t, err)
@@ -93,12 +94,12 @@
 	assert.Equal(t, []emulator.FleetLimit{{Name: "all", For: "fleet", Rate: 50, Burst: 10, Term: 1000}}, s.Fleet.Limits)
 	assert.Equal(t, 0.3, s.Faults[0].Size)
 	for text, want := range map[string]string{
-		"base = \"none\"\n":          `x.hcl:1: base: there is no scenario "none" beside this one, nor with the program`,
-		"base = \"greedy-tenant\"\n": "x.hcl:1: base: greedy-tenant has a base itself; one step is all there is",
+		"base = \"none\"\n":          `x.hcl:1: base: there is no scenario "none" in the same folder or in the program`,
+		"base = \"greedy-tenant\"\n": "x.hcl:1: base: greedy-tenant has a base itself; a base may not have one",
 		"base = \"calm\"\nlimit \"all\" {\n  for = \"all\"\n  scans_per_s = 5\n}\n":                                      `x.hcl:3: limit all.for: "all" is not fleet, cell or tenant`,
 		"base = \"calm\"\nlimit \"all\" {\n  for = \"fleet\"\n}\n":                                                       "x.hcl:2: limit all: scans_per_s or open_scans is needed, and not both",
 		"base = \"calm\"\nlimit \"a\" {\n  for = \"fleet\"\n  open_scans = 0\n}\n":                                       "x.hcl:4: limit a.open_scans: 0 is not from 1 to 1000000",
-		"base = \"calm\"\nfault \"broker_loss\" {\n  at = \"1s\"\n  for = \"2s\"\n  size = 2\n}\n":                       "x.hcl:5: fault broker_loss.size: 2 is no share",
+		"base = \"calm\"\nfault \"broker_loss\" {\n  at = \"1s\"\n  for = \"2s\"\n  size = 2\n}\n":                       "x.hcl:5: fault broker_loss.size: 2 is not a share from 0 to 1",
 		"about = \"no length\"\nfleet {\n  zones = [\"a\"]\n  cells = 1\n  shards = 1\n  stores = 1\n  brokers = 1\n}\n": `x.hcl:1: length: "" is no time from 1s to 2h0m0s`,
 	} {
 		_, err := Parse([]byte(text), "x.hcl")
