--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -278,7 +278,7 @@
 		case core.Log:
 			if v.Fatal {
 				select {
-				case b.fatal <- fmt.Errorf("the module cannot continue: %s", v.Text):
+				case b.fatal <- fmt.Errorf("the module cannot go on: %s", v.Text):
 				default:
 				}
 			}
--- a/internal/broker/limits.go
+++ b/internal/broker/limits.go
@@ -90,13 +90,13 @@
 		return fmt.Errorf("features: limits: %w", err)
 	}
 	if l.core.Restore(found.Records, found.Complete) {
-		log.Info().Str("dir", path).Int("marks", len(found.Records)).Msg("loans of limits restored: the capacity that is not lent is used at once")
+		log.Info().Str("dir", path).Int("marks", len(found.Records)).Msg("what was lent of limits is as it was stored: the rest is used at once")
 	} else {
-		log.Warn().Str("dir", path).Str("because", cmp.Or(found.Why, "limits or members have changed")).Msg("loans of limits may be incomplete: this broker's own shares are not used for a term")
+		log.Warn().Str("dir", path).Str("because", cmp.Or(found.Why, "limits or members have changed")).Msg("what was lent of limits may be more than is known: home shares rest for a term")
 	}
 	l.dir = dir
 	l.queue = lasting.NewQueue(dir, func(upto uint64) { l.enqueue(shares.Stored{Upto: upto}) }, func(err error) {
-		log.Error().Err(err).Msg("cannot store loans of limits: this broker lends nothing until it is restarted")
+		log.Error().Err(err).Msg("what is lent of limits can't be stored: this broker lends nothing any more, until it is started again")
 		l.enqueue(shares.DiskLost{})
 	})
 	return nil
--- a/internal/cluster/replica.go
+++ b/internal/cluster/replica.go
@@ -42,7 +42,7 @@
 	}
 	store, contents, err := slots.Open(disk)
 	if errors.Is(err, slots.ErrDamaged) {
-		logger.Error().Err(err).Msg("the replica's disk is damaged; the replica restarts empty, with a new identity")
+		logger.Error().Err(err).Msg("the replica's disk has lost something; it goes on empty, under another identity")
 	} else if err != nil && !errors.Is(err, slots.ErrEmpty) {
 		return nil, errors.Wrap(err, "open the register's replica")
 	}
@@ -91,7 +91,7 @@
 		}
 	}
 	if err := r.store.Append(encode(record)); err != nil {
-		r.logger.Warn().Err(err).Msg("failed to write to the replica's disk")
+		r.logger.Warn().Err(err).Msg("the replica's disk refuses a write")
 		return err
 	}
 	return nil
@@ -99,7 +99,7 @@
 
 func (r *replica) checkpoint(record saved) error {
 	if err := r.store.Checkpoint(encode(record)); err != nil {
-		r.logger.Warn().Err(err).Msg("failed to write a checkpoint to the replica's disk")
+		r.logger.Warn().Err(err).Msg("the replica's disk refuses a checkpoint")
 		return err
 	}
 	return nil
--- a/internal/cluster/voting.go
+++ b/internal/cluster/voting.go
@@ -81,7 +81,7 @@
 		return dueSince
 	}
 	if !known.Value.Reconfiguring() {
-		n.changeMembers(ctx, "changing the voters", register.Reconfigure(known.Value.Members, next))
+		n.changeMembers(ctx, "the voters change", register.Reconfigure(known.Value.Members, next))
 	}
 	n.settleMembers(ctx)
 	return dueSince
@@ -93,7 +93,7 @@
 		if known, _ := n.Known(); !known.Value.Reconfiguring() {
 			return
 		}
-		if !n.changeMembers(ctx, "completing a change of the voters", register.CompleteReconfiguration) {
+		if !n.changeMembers(ctx, "a change of the voters goes on", register.CompleteReconfiguration) {
 			return
 		}
 	}
@@ -200,7 +200,7 @@
 func (n *Node) changeMembers(ctx context.Context, what string, change register.Change) bool {
 	value, err := n.propose(ctx, change)
 	if err != nil {
-		n.logger.Info().Err(err).Msg(what + " did not succeed yet")
+		n.logger.Info().Err(err).Msg(what + ", but not yet")
 		return false
 	}
 	n.logger.Info().Strs("voters", value.Members.Addresses()).Uint64("sequence", value.Sequence).Msg(what)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -73,7 +73,7 @@
 		n := core.Node{Host: h.Host, Addr: h.Dial, Zone: h.Site, Kind: h.Class, Cell: h.Block,
 			Readiness: readiness[h.Health], Units: max(h.Share, 0), Born: h.BornMs}
 		if n.Host == "" {
-			odd(h.Host, "a list entry names no host")
+			odd(h.Host, "a line names no host")
 			continue
 		}
 		if n.Readiness == 0 {
@@ -82,7 +82,7 @@
 		}
 		if _, err := netip.ParseAddrPort(n.Addr); err != nil { // names are not resolved
 			if n.Readiness != logic.Gone {
-				odd(h.Host, "invalid node address: "+h.Dial)
+				odd(h.Host, "an address that cannot be dialled: "+h.Dial)
 			}
 			n.Addr = ""
 		}
