--- a/internal/lasting/lasting_test.go
+++ b/internal/lasting/lasting_test.go
@@ -97,7 +97,7 @@
 			text[60] ^= 1
 			require.NoError(t, os.WriteFile(name, text, 0o600))
 			return path
-		}, "", "spoilt"},
+		}, "", "the log is corrupt"},
 		"another kind": {func(t *testing.T, path string) string {
 			name := segment(t, path)
 			text, err := os.ReadFile(name)
