--- a/internal/emulator/bench_test.go
+++ b/internal/emulator/bench_test.go
@@ -8,13 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
+// largeFleet returns a fleet of a hundred brokers and a thousand stores.
 func bigFleet() *Fleet {
 	f := small()
 	f.Cells, f.Shards, f.Stores, f.Brokers, f.Traffic.Rate = 334, 1000, 1000, 100, 2000
 	return f
 }
 
-// BenchmarkBigFleet plays a hundred brokers and a thousand stores for ten seconds.
+// BenchmarkBigFleet runs a hundred brokers and a thousand stores with a fault for ten seconds of virtual time.
 func BenchmarkBigFleet(b *testing.B) {
 	events := 0
 	for range b.N {
@@ -27,7 +28,7 @@
 	b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
 }
 
-// plainHeap is the plain queue that ours is measured against: container/heap over the same records.
+// binaryHeap implements heap.Interface, as the binary heap that BenchmarkQueue compares eventQueue with.
 type plainHeap []event
 
 func (h plainHeap) Len() int           { return len(h) }
@@ -42,10 +43,11 @@
 	return x
 }
 
-const waiting = 20000 // events that wait, about as many as in a big fleet
+const waiting = 20000 // events in the queue, about as many as in a large fleet
 
+// BenchmarkQueue measures one pop and one push on a queue of constant length.
 func BenchmarkQueue(b *testing.B) {
-	b.Run("ours", func(b *testing.B) {
+	b.Run("4-ary", func(b *testing.B) {
 		r, now := rand.New(rand.NewPCG(1, 1)), 0.0
 		var q queue
 		for range waiting {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -13,7 +13,7 @@
 	"gullstair/logic"
 )
 
-// small is a fleet at ease: four cells of three stores, three brokers, three table types.
+// smallFleet returns a fleet with ample capacity: four cells of three stores, three brokers and three table types.
 func small() *Fleet {
 	return &Fleet{Zones: []string{"east", "west", "south"}, Cells: 4, Reach: 1, Shards: 16, Stores: 12, Brokers: 3,
 		Kinds: []KindShare{{Kind{"std", 2, 1, 40}, 1}}, Same: 0.2, Cross: 0.6, Jitter: 0.1, Client: 0.5, ConnectTimeout: 250, Idle: 30000,
@@ -31,16 +31,18 @@
 		Traffic: Traffic{Rate: 120, PatienceLeast: 0.7, Retries: 0.5, Backoff: 200, Heed: 0.6, Skew: 0.2}}
 }
 
-func play(t *testing.T, f *Fleet, seed uint64, mk Maker, forMs float64, faults ...Fault) (*World, Figures) {
-	w := New(f, seed, mk)
-	for _, x := range faults {
-		require.NoError(t, w.Plan(x))
+// runScenario runs a fleet for forMs ms of virtual time with the given faults.
+func play(t *testing.T, f *Fleet, seed uint64, makeBroker Maker, forMs float64, faults ...Fault) (*World, Figures) {
+	w := New(f, seed, makeBroker)
+	for _, fault := range faults {
+		require.NoError(t, w.Plan(fault))
 	}
 	figures, err := w.Run(forMs)
 	require.NoError(t, err)
 	return w, figures
 }
 
+// TestNoFaults checks that without faults no rule is broken, nearly all benefit is earned and each scan gets an answer.
 func TestCalmDay(t *testing.T) {
 	_, f := play(t, small(), 1, Gullstair, 20000)
 	assert.Empty(t, f.Breaches)
@@ -49,31 +51,33 @@
 	assert.Zero(t, f.Unanswered)
 }
 
-// The same seed gives the same run to the last byte; another one doesn't.
+// TestDeterministic checks that the same seed gives a byte-identical report, also with a single processor, and that another
+// seed gives a different one.
 func TestRepeatable(t *testing.T) {
-	text := func(seed uint64) string {
+	reportOf := func(seed uint64) string {
 		_, f := play(t, small(), seed, Gullstair, 10000, Fault{Kind: "die", At: 3000, For: 4000, Share: 0.3},
 			Fault{Kind: "fails", At: 2000, For: 5000, Share: 0.4, Size: 0.5}, Fault{Kind: "broker_kill", At: 4000, For: 1000, Share: 0.4})
 		f.WallSeconds = 0
-		b, err := json.Marshal(f)
+		report, err := json.Marshal(f)
 		require.NoError(t, err)
-		return string(b)
+		return string(report)
 	}
-	one := text(7)
+	first := reportOf(7)
 	runtime.GOMAXPROCS(1)
-	again := text(7)
+	second := reportOf(7)
 	runtime.GOMAXPROCS(runtime.NumCPU())
-	assert.Equal(t, one, again)
-	assert.NotEqual(t, one, text(8))
+	assert.Equal(t, first, second)
+	assert.NotEqual(t, first, reportOf(8))
 }
 
-// Every fault, alone and on top of another, is lived through without a broken rule; and it does strike.
+// TestFaults checks for each kind of fault, overlapping with slow stores, that it takes effect and that no rule is broken. It
+// also checks that Plan rejects unknown kinds, stores and zones.
 func TestFaults(t *testing.T) {
 	sizes := map[string]float64{"one_way_loss": 0.9, "one_sided": 0.8, "release": 0.1, "slow": 8, "neighbour": 0.7, "fails": 0.6,
 		"resets": 0.3, "spoils": 0.3, "lies": 5, "stale_list": 4000, "hot_key": 0.5, "traffic": 4}
 	for kind := range Faults {
 		t.Run(kind, func(t *testing.T) {
-			t.Parallel() // among themselves: a test that reads the memory runs alone
+			t.Parallel() // subtests only: TestMemoryBounded measures the heap and must run alone
 			f := Fault{Kind: kind, At: 3000, For: 8000, Share: 0.4, Size: sizes[kind]}
 			w, got := play(t, small(), 3, Gullstair, 16000, f, Fault{Kind: "slow", At: 6000, For: 2000, Share: 0.1, Size: 3})
 			assert.Empty(t, got.Breaches)
@@ -87,20 +91,22 @@
 	assert.ErrorContains(t, w.Plan(Fault{Kind: "zone_cut", Zone: "north"}), "no such zone")
 }
 
-// What the module earns: with a third of the stores failing most of their parts, it serves more than the plain rules do.
+// TestServesMoreThanBaseline checks that the decision module serves more than both baseline policies while a quarter of the
+// stores accept parts and never answer.
 func TestAgainstPlain(t *testing.T) {
 	fault := Fault{Kind: "mute", At: 4000, For: 12000, Share: 0.25}
-	_, ours := play(t, small(), 5, Gullstair, 20000, fault)
+	_, module := play(t, small(), 5, Gullstair, 20000, fault)
 	_, random := play(t, small(), 5, Plain(false), 20000, fault)
 	_, least := play(t, small(), 5, Plain(true), 20000, fault)
-	assert.Greater(t, ours.Service, random.Service)
-	assert.Greater(t, ours.Service, least.Service)
+	assert.Greater(t, module.Service, random.Service)
+	assert.Greater(t, module.Service, least.Service)
 	assert.Empty(t, random.Broken[RuleLost])
 }
 
-// longRun is ten minutes.
+// memoryTestLength is the length of TestMemoryBounded in ms of virtual time: ten minutes.
 var longRun = 600000.0
 
+// TestMemoryBounded guards against leaks: between a third of a long run and its end, the heap may grow by at most 2 MiB.
 func TestMemoryStaysFlat(t *testing.T) {
 	f := small()
 	f.Traffic.Rate = 60
@@ -113,35 +119,37 @@
 	assert.Less(t, int64(end.HeapAlloc)-int64(mid.HeapAlloc), int64(2<<20))
 }
 
-// broken wraps a broker and breaks one rule on purpose, so that the judge is seen to see it.
+// faultyBroker wraps a broker and breaks one rule in some of its outputs, to test that the checker detects it. It alters every
+// tenth output, counting calls and replies together, if that is of the kind that the rule concerns.
 type broken struct {
 	Decider
-	how string
-	nth int
+	how string // the rule to break, or "partial" to leave out a value
+	nth int    // calls and replies so far
 }
 
+// Step runs the wrapped broker and falsifies its outputs.
 func (b *broken) Step(now float64, in []core.Input) []core.Output {
-	out := b.Decider.Step(now, in)
-	for i := 0; i < len(out); i++ {
-		switch v := out[i].(type) {
+	outputs := b.Decider.Step(now, in)
+	for i := 0; i < len(outputs); i++ {
+		switch v := outputs[i].(type) {
 		case core.Call:
 			if b.nth++; b.nth%10 != 0 {
 				continue
 			}
-			copied := core.Call{Host: v.Host, Addr: v.Addr}
-			for _, p := range v.Parts {
-				p.Ref += 1 << 40
-				copied.Parts = append(copied.Parts, p)
+			duplicate := core.Call{Host: v.Host, Addr: v.Addr}
+			for _, part := range v.Parts {
+				part.Ref += 1 << 40
+				duplicate.Parts = append(duplicate.Parts, part)
 			}
 			switch b.how {
 			case RuleCopies:
-				out = append(out, copied)
+				outputs = append(outputs, duplicate)
 			case RuleHolder:
-				copied.Host = "s-0001"
+				duplicate.Host = "s-0001"
 				if v.Host == "s-0001" {
-					copied.Host = "s-0000"
+					duplicate.Host = "s-0000"
 				}
-				out[i] = copied
+				outputs[i] = duplicate
 			}
 		case core.Reply:
 			if b.nth++; b.nth%10 != 0 {
@@ -149,42 +157,45 @@
 			}
 			switch {
 			case b.how == RuleLost:
-				out = append(out[:i], out[i+1:]...)
+				outputs = append(outputs[:i], outputs[i+1:]...)
 				i--
 			case b.how == RuleHonest && len(v.Hits) > 0:
 				v.Hits = append([]core.Hit{{Shard: v.Hits[0].Shard, Value: "feed"}}, v.Hits[1:]...)
-				out[i] = v
+				outputs[i] = v
 			case b.how == "partial" && v.Kind == logic.Answer && len(v.Hits) > 1:
 				v.Hits = v.Hits[1:]
-				out[i] = v
+				outputs[i] = v
 			}
 		}
 	}
-	return out
+	return outputs
 }
 
-// deaf never hears of drains, and throws cold stores over.
+// listFilter wraps a broker and withholds all node lists from it, so that it never learns of draining stores. If hideStartTimes is
+// set, it passes the lists on without the start times of stores instead, so that cold stores are overloaded.
 type deaf struct {
 	Decider
 	cold bool
 }
 
+// Step runs the wrapped broker with the filtered inputs.
 func (d *deaf) Step(now float64, in []core.Input) []core.Output {
 	var kept []core.Input
-	for _, x := range in {
-		if l, ok := x.(core.List); ok {
+	for _, input := range in {
+		if list, ok := input.(core.List); ok {
 			if !d.cold {
 				continue
 			}
-			for i := range l.Nodes {
-				l.Nodes[i].Born = 0 // it takes new stores for warm
+			for i := range list.Nodes {
+				list.Nodes[i].Born = 0 // the broker assumes that the store has warmed up
 			}
 		}
-		kept = append(kept, x)
+		kept = append(kept, input)
 	}
 	return d.Decider.Step(now, kept)
 }
 
+// TestCheckerDetectsViolations checks that the checker reports brokers that break a rule, with the scan and its trace.
 func TestJudgeSeesBrokenRules(t *testing.T) {
 	wrap := func(f func(Decider) Decider) Maker {
 		return func(fl *Fleet, ordinal, zone int, seed uint64, known []core.Node) (Decider, error) {
@@ -200,20 +211,21 @@
 		}
 		if assert.NotZero(t, f.Broken[rule], "%s: %v", how, f.Broken) {
 			assert.NotEmpty(t, f.Breaches[0].Scan)
-			assert.NotEmpty(t, f.Breaches[0].Trace, "its time line")
+			assert.NotEmpty(t, f.Breaches[0].Trace, "event trace of the scan")
 		}
 	}
 	release := Fault{Kind: "release", At: 1000, For: 6000, Share: 0.5, Size: 0.1}
 	_, f := play(t, small(), 4, wrap(func(d Decider) Decider { return &deaf{Decider: d} }), 8000, release)
 	assert.NotZero(t, f.Broken[RuleDrain], "%v", f.Broken)
-	busy := small()
-	busy.Traffic.Rate, busy.Nature.ColdFrom, busy.Nature.FallMultiple, busy.Stores = 350, 0.02, 1.1, 8
-	_, f = play(t, busy, 4, wrap(func(d Decider) Decider { return &deaf{Decider: d, cold: true} }), 12000,
+	loaded := small()
+	loaded.Traffic.Rate, loaded.Nature.ColdFrom, loaded.Nature.FallMultiple, loaded.Stores = 350, 0.02, 1.1, 8
+	_, f = play(t, loaded, 4, wrap(func(d Decider) Decider { return &deaf{Decider: d, cold: true} }), 12000,
 		Fault{Kind: "die", At: 1000, For: 3000, Share: 0.5})
 	assert.NotZero(t, f.Broken[RuleCold], "%v", f.Broken)
 }
 
-// A stated budget holds, and the judge sees who passes it; tenants ask in unlike shares.
+// TestBudgetAndTenants checks that brokers keep a dispatch budget, that the checker reports a policy that exceeds it, and that
+// tenants send unequal numbers of scans.
 func TestBudgetAndTenants(t *testing.T) {
 	f := small()
 	f.BudgetWindow, f.BudgetSpare, f.BudgetShare = 5000, 3, 0.02
@@ -222,7 +234,7 @@
 	_, got := play(t, f, 6, Gullstair, 10000, fault)
 	assert.Empty(t, got.Breaches)
 	_, got = play(t, f, 6, Plain(false), 10000, fault)
-	assert.NotZero(t, got.Broken[RuleBudget], "a plain rule knows of no budget")
+	assert.NotZero(t, got.Broken[RuleBudget], "the baseline policy has no budget")
 	w := New(f, 1, Gullstair)
 	count := make([]int, 5)
 	for range 2000 {
@@ -232,6 +244,7 @@
 	assert.Positive(t, count[4])
 }
 
+// TestQueueOrder checks that the queue returns events by time, and events of the same time in order of insertion.
 func TestQueueOrder(t *testing.T) {
 	var q queue
 	var got []int
@@ -248,7 +261,8 @@
 	assert.Len(t, got, 1000)
 }
 
-// Brokers that share limits keep them through splits, loss, kills and pauses; brokers that share nothing pass them, and the judge sees it.
+// TestSharedLimits checks that brokers with shared limits keep them during partitions, datagram loss, pauses and kills, and that
+// the checker reports brokers that exceed limits which they don't know.
 func TestSharedLimits(t *testing.T) {
 	limits := []FleetLimit{{Name: "all", For: "fleet", Rate: 60, Burst: 20, Term: 1000}, {Name: "open", For: "fleet", Open: 30, Term: 1000},
 		{Name: "each", For: "tenant", Rate: 10, Burst: 5, Term: 1000}}
@@ -262,17 +276,17 @@
 	f = small()
 	f.Traffic.Tenants, f.Traffic.TenantSkew = 12, 1
 	w := New(f, 1, Gullstair)
-	f.Limits = limits // judged, and not known to any broker
+	f.Limits = limits // checked, but unknown to the brokers
 	for i := range w.seats {
 		w.seats[i].limits = nil
 	}
-	passed, err := w.Run(20000)
+	exceeded, err := w.Run(20000)
 	require.NoError(t, err)
-	over := ""
-	for _, b := range passed.Breaches {
-		assert.Equal(t, RuleLimit, b.Rule)
-		over += b.What
+	details := ""
+	for _, violation := range exceeded.Breaches {
+		assert.Equal(t, RuleLimit, violation.Rule)
+		details += violation.What
 	}
-	assert.Contains(t, over, "all ")
-	assert.Contains(t, over, "each tenant-0")
+	assert.Contains(t, details, "all ")
+	assert.Contains(t, details, "each tenant-0")
 }
--- a/internal/emulator/judge.go
+++ b/internal/emulator/judge.go
@@ -12,7 +12,7 @@
 	"gullstair/logic"
 )
 
-// Rules that a run may break; they are those that the brokers must keep, seen from the stores and the clients.
+// Rules that brokers must not break, in terms of what stores and clients observe. Reports print these texts.
 const (
 	RuleLost     = "a scan is lost"
 	RuleTwice    = "an effect twice"
@@ -24,10 +24,10 @@
 	RuleHolder   = "a part sent to a store that does not hold it"
 	RuleBudget   = "more dispatches than the budget"
 	breachesMost = 50
-	slack        = 60.0 // ms that a time limit is longer: messages' ways, turns
+	slack        = 60.0 // ms added to each time limit, for message delays and the brokers' turn interval
 )
 
-// Breach is one broken rule, with the scan and what happened to it.
+// Violation is one violation of a rule, with the scan concerned and its event trace.
 type Breach struct {
 	At    float64  `json:"at"`
 	Rule  string   `json:"rule"`
@@ -36,76 +36,81 @@
 	Trace []string `json:"trace,omitempty"`
 }
 
-// Judge looks on from the stores' and the clients' side. It uses nothing of the brokers' own state.
+// Checker checks the rules against the events at stores and clients. It uses no internal state of the brokers.
 type Judge struct {
 	f        *Fleet
 	Breaches []Breach
-	Broken   map[string]int // by rule
+	Broken   map[string]int // number of violations by rule; not capped, unlike the list
 
-	// later puts a verdict off where word of two things comes by two ways, as it does on sockets; nil: at once.
+	// later postpones a check that depends on the order of two events that are reported over different connections, as
+	// on real sockets; nil: check immediately.
 	later  func(do func())
-	stands map[int]bool // brokers that get no turn: they can answer nobody
+	stands map[int]bool // paused brokers, which can't answer
 
 	scans map[string]*scanLog
-	told  map[[2]int]float64 // broker and store: when it was told that the store drains or is gone
-	out   map[string][]*copyOut
-	refs  map[int64]*copyOut
+	told  map[[2]int]float64    // by broker and store: when the broker was notified that the store is draining or gone
+	out   map[string][]*copyOut // outstanding dispatches by part ID
+	refs  map[int64]*copyOut    // outstanding dispatches by dispatch number
 
 	budget map[int]*budget // by broker
 
-	reached []*reached // scans of which a store had something, where the fleet has limits
+	reached []*reached // scans with at least one part at a store; filled only if the fleet has shared limits
 }
 
-// reached is a scan of which a store had something.
+// reachedScan is a scan with at least one part at a store. Times are in ms.
 type reached struct {
 	tenant          string
 	sent, at, ended float64
 }
 
-// budget keeps what a broker took and what it sent beyond each part's first, within the window.
+// budget holds what a broker received (scans and parts) and its dispatches beyond the first of each part, within the
+// budget window.
 type budget struct{ taken, extra []counted }
 
+// timedCount is a count with its time in ms.
 type counted struct {
 	at float64
 	n  int
 }
 
-// within drops what lies before the window, and adds up the rest.
-func within(list *[]counted, from float64) (sum int) {
-	for len(*list) > 0 && (*list)[0].at < from {
-		*list = (*list)[1:]
+// sumSince removes entries older than from and returns the sum of the others.
+func within(counts *[]counted, from float64) (sum int) {
+	for len(*counts) > 0 && (*counts)[0].at < from {
+		*counts = (*counts)[1:]
 	}
-	for _, c := range *list {
-		sum += c.n
+	for _, count := range *counts {
+		sum += count.n
 	}
 	return sum
 }
 
-func (j *Judge) budgetOf(broker int) *budget {
-	if j.budget[broker] == nil {
-		j.budget[broker] = &budget{}
+func (c *Judge) budgetOf(broker int) *budget {
+	if c.budget[broker] == nil {
+		c.budget[broker] = &budget{}
 	}
-	return j.budget[broker]
+	return c.budget[broker]
 }
 
+// scanRecord is what the checker knows of one scan. Times are in ms.
 type scanLog struct {
 	id       string
 	text     string
 	broker   int
 	typ      *TableType
-	shards   map[int]float64 // weights
+	shards   map[int]float64 // weight by shard
 	taken    float64
 	deadline float64
 	answered bool
-	released bool // its broker died, or its client left: nobody owes it anything
-	runs     map[int][]float64
-	tries    map[int]int
-	served   map[string]bool // values that have reached the broker, by shard and step
+	released bool              // no answer is required: the broker was killed or paused, or the lack of an answer was reported
+	runs     map[int][]float64 // execution times by shard
+	tries    map[int]int       // dispatches by shard
+	served   map[string]bool   // values that the broker received, by shard and step
 	trace    []string
 	reached  *reached
 	tenant   string
 }
 
+// outstandingDispatch is a dispatch that has reached a store and has not ended.
 type copyOut struct {
 	part  string
 	ref   int64
@@ -117,130 +122,134 @@
 		out: map[string][]*copyOut{}, refs: map[int64]*copyOut{}, stands: map[int]bool{}, budget: map[int]*budget{}}
 }
 
-func (j *Judge) breach(at float64, rule string, s *scanLog, format string, args ...any) {
-	j.Broken[rule]++
-	if len(j.Breaches) >= breachesMost {
+// report records a violation. All are counted; only the first maxViolations are kept with details. s may be nil.
+func (c *Judge) breach(at float64, rule string, s *scanLog, format string, args ...any) {
+	c.Broken[rule]++
+	if len(c.Breaches) >= breachesMost {
 		return
 	}
-	b := Breach{At: at, Rule: rule, What: fmt.Sprintf(format, args...)}
+	violation := Breach{At: at, Rule: rule, What: fmt.Sprintf(format, args...)}
 	if s != nil {
-		b.Scan, b.Trace = s.id, append([]string(nil), s.trace...)
+		violation.Scan, violation.Trace = s.id, append([]string(nil), s.trace...)
 	}
-	j.Breaches = append(j.Breaches, b)
+	c.Breaches = append(c.Breaches, violation)
 }
 
+// addTrace appends a line to the scan's event trace, which holds at most 200 lines.
 func (s *scanLog) note(at float64, format string, args ...any) {
 	if len(s.trace) < 200 {
 		s.trace = append(s.trace, fmt.Sprintf("%.1f ", at)+fmt.Sprintf(format, args...))
 	}
 }
 
-// taken says that a broker has a scan, read whole.
-func (j *Judge) taken(at float64, broker int, sc *core.Scan, typ *TableType) {
-	s := &scanLog{id: sc.ID, text: sc.Text, broker: broker, typ: typ, shards: map[int]float64{}, taken: at,
-		tenant: sc.Account, deadline: at + sc.TimeLeft, runs: map[int][]float64{}, tries: map[int]int{}, served: map[string]bool{}}
-	for _, p := range sc.Parts {
+// scanReceived records that a broker has received a complete scan.
+func (c *Judge) taken(at float64, broker int, scan *core.Scan, typ *TableType) {
+	s := &scanLog{id: scan.ID, text: scan.Text, broker: broker, typ: typ, shards: map[int]float64{}, taken: at,
+		tenant: scan.Account, deadline: at + scan.TimeLeft, runs: map[int][]float64{}, tries: map[int]int{}, served: map[string]bool{}}
+	for _, p := range scan.Parts {
 		s.shards[p.Shard] = p.Weight
 	}
-	j.scans[sc.ID] = s
-	if j.f.BudgetWindow > 0 {
-		b := j.budgetOf(broker)
-		b.taken = append(b.taken, counted{at, 1 + len(sc.Parts)})
+	c.scans[scan.ID] = s
+	if c.f.BudgetWindow > 0 {
+		b := c.budgetOf(broker)
+		b.taken = append(b.taken, counted{at, 1 + len(scan.Parts)})
 	}
-	s.note(at, "taken by broker %d: %s, %d parts, %.0f ms", broker, typ.Name, len(sc.Parts), sc.TimeLeft)
+	s.note(at, "taken by broker %d: %s, %d parts, %.0f ms", broker, typ.Name, len(scan.Parts), scan.TimeLeft)
 }
 
-// released says that a broker need not answer a scan any more: it was killed, or the client has gone.
-func (j *Judge) released(id string) {
-	if s := j.scans[id]; s != nil {
+// scanReleased records that a scan needs no answer: its broker was killed or paused.
+func (c *Judge) released(id string) {
+	if s := c.scans[id]; s != nil {
 		s.released = true
 	}
 }
 
-// sent says that a broker sends a part to a store.
-func (j *Judge) sent(at float64, broker int, store int, st *Store, scan, part string, shard int, second bool) {
-	s := j.scans[scan]
+// partSent checks a part that a broker sends to a store.
+func (c *Judge) sent(at float64, broker int, store int, target *Store, scan, part string, shard int, second bool) {
+	s := c.scans[scan]
 	if s == nil {
 		return
 	}
-	s.note(at, "part %s to %s", part, st.Name)
+	s.note(at, "part %s to %s", part, target.Name)
 	if s.answered {
-		j.breach(at, RuleAfter, s, "part %s", part)
+		c.breach(at, RuleAfter, s, "part %s", part)
 	}
-	if told, known := j.told[[2]int{broker, store}]; known && at > told+j.f.DrainGrace+slack {
-		j.breach(at, RuleDrain, s, "part %s to %s, %.0f ms after broker %d was told", part, st.Name, at-told, broker)
+	if notifiedAt, known := c.told[[2]int{broker, store}]; known && at > notifiedAt+c.f.DrainGrace+slack {
+		c.breach(at, RuleDrain, s, "part %s to %s, %.0f ms after broker %d was told", part, target.Name, at-notifiedAt, broker)
 	}
-	if !j.f.holds(st.Cell, shard) {
-		j.breach(at, RuleHolder, s, "part %s to %s of cell %d", part, st.Name, st.Cell)
+	if !c.f.holds(target.Cell, shard) {
+		c.breach(at, RuleHolder, s, "part %s to %s of cell %d", part, target.Name, target.Cell)
 	}
-	if j.f.BudgetWindow > 0 && s.tries[shard] > 0 && !second {
-		// What crosses the window's edge is given to the broker: its clock and ours meet a message apart.
-		b := j.budgetOf(broker)
+	if c.f.BudgetWindow > 0 && s.tries[shard] > 0 && !second {
+		// At the edges of the window the broker gets the benefit of the doubt: it and the checker see an event one message
+		// delay apart.
+		b := c.budgetOf(broker)
 		b.extra = append(b.extra, counted{at, 1})
-		extra := within(&b.extra, at-j.f.BudgetWindow+slack)
-		taken := within(&b.taken, at-j.f.BudgetWindow-slack)
-		if most := float64(j.f.BudgetSpare) + j.f.BudgetShare*float64(taken); float64(extra) > most+1 {
-			j.breach(at, RuleBudget, s, "%d dispatches beyond the first within %.0f ms, %.1f allowed", extra, j.f.BudgetWindow, most)
+		extra := within(&b.extra, at-c.f.BudgetWindow+slack)
+		received := within(&b.taken, at-c.f.BudgetWindow-slack)
+		if limit := float64(c.f.BudgetSpare) + c.f.BudgetShare*float64(received); float64(extra) > limit+1 {
+			c.breach(at, RuleBudget, s, "%d dispatches beyond the first within %.0f ms, %.1f allowed", extra, c.f.BudgetWindow, limit)
 		}
 	}
-	if s.tries[shard]++; !second && s.tries[shard] > j.f.Dispatches+j.f.Dispatches*s.typ.Fetch {
-		j.breach(at, RuleCopies, s, "part %s: dispatch %d of %d", part, s.tries[shard], j.f.Dispatches)
+	if s.tries[shard]++; !second && s.tries[shard] > c.f.Dispatches+c.f.Dispatches*s.typ.Fetch {
+		c.breach(at, RuleCopies, s, "part %s: dispatch %d of %d", part, s.tries[shard], c.f.Dispatches)
 	}
 }
 
-// arrived says that a dispatch is at a store, to the last byte.
-func (j *Judge) arrived(at float64, scan string, p *Part) {
-	s := j.scans[scan]
-	if s != nil && s.reached == nil && len(j.f.Limits) > 0 {
-		s.reached = &reached{s.tenant, s.taken - j.f.Client, at, at}
-		j.reached = append(j.reached, s.reached)
-	}
-	c := &copyOut{part: p.ID, ref: p.Ref, until: p.Until}
-	if !j.f.SecondCopies && s != nil {
-		for _, o := range j.out[p.ID] {
-			if o.until <= at {
+// dispatchArrived records that a store has received a dispatch completely.
+func (c *Judge) arrived(at float64, scan string, p *Part) {
+	s := c.scans[scan]
+	if s != nil && s.reached == nil && len(c.f.Limits) > 0 {
+		s.reached = &reached{s.tenant, s.taken - c.f.Client, at, at}
+		c.reached = append(c.reached, s.reached)
+	}
+	dispatch := &copyOut{part: p.ID, ref: p.Ref, until: p.Until}
+	if !c.f.SecondCopies && s != nil {
+		for _, other := range c.out[p.ID] {
+			if other.until <= at {
 				continue
 			}
-			verdict := func() {
-				if j.refs[o.ref] == o {
-					j.breach(at, RuleCopies, s, "part %s while another dispatch of it is out", p.ID)
+			check := func() {
+				if c.refs[other.ref] == other {
+					c.breach(at, RuleCopies, s, "part %s while another dispatch of it is out", p.ID)
 				}
 			}
-			if j.later != nil {
-				j.later(verdict)
+			if c.later != nil {
+				c.later(check)
 			} else {
-				verdict()
+				check()
 			}
 		}
 	}
-	j.out[p.ID] = append(j.out[p.ID], c)
-	j.refs[p.Ref] = c
+	c.out[p.ID] = append(c.out[p.ID], dispatch)
+	c.refs[p.Ref] = dispatch
 }
 
-// over says that a dispatch is out no longer: answered, turned away, given up, or its connection ended.
-func (j *Judge) over(ref int64) {
-	c := j.refs[ref]
-	if c == nil {
+// dispatchEnded records that a dispatch is no longer outstanding: it was answered, rejected or cancelled, or its
+// connection ended.
+func (c *Judge) over(ref int64) {
+	dispatch := c.refs[ref]
+	if dispatch == nil {
 		return
 	}
-	delete(j.refs, ref)
-	list := j.out[c.part]
-	for i, o := range list {
-		if o == c {
+	delete(c.refs, ref)
+	list := c.out[dispatch.part]
+	for i, other := range list {
+		if other == dispatch {
 			list = append(list[:i], list[i+1:]...)
 			break
 		}
 	}
 	if len(list) == 0 {
-		delete(j.out, c.part)
+		delete(c.out, dispatch.part)
 	} else {
-		j.out[c.part] = list
+		c.out[dispatch.part] = list
 	}
 }
 
-// ran says that a store has done a part's work, or some of it.
-func (j *Judge) ran(at float64, scan string, shard int, second bool) {
-	s := j.scans[scan]
+// partExecuted checks that a store may execute a part (completely or partially), given its earlier executions.
+func (c *Judge) ran(at float64, scan string, shard int, second bool) {
+	s := c.scans[scan]
 	if s == nil || second {
 		return
 	}
@@ -252,100 +261,101 @@
 	}
 	switch s.typ.Effect {
 	case "non-replayable":
-		j.breach(at, RuleTwice, s, "shard %d has run %d times", shard, len(runs))
+		c.breach(at, RuleTwice, s, "shard %d has run %d times", shard, len(runs))
 	case "keyed":
 		if at-runs[0] > s.typ.RepeatWindow+s.typ.Timeout {
-			j.breach(at, RuleTwice, s, "shard %d ran again after %.0f ms", shard, at-runs[0])
+			c.breach(at, RuleTwice, s, "shard %d ran again after %.0f ms", shard, at-runs[0])
 		}
 	}
 }
 
-// came says that a value has reached the broker.
-func (j *Judge) came(scan string, shard int, second bool) {
-	if s := j.scans[scan]; s != nil {
+// valueReceived records that a value has reached the broker.
+func (c *Judge) came(scan string, shard int, second bool) {
+	if s := c.scans[scan]; s != nil {
 		s.served[fmt.Sprint(shard, second)] = true
 	}
 }
 
-// replied says that a broker answers a scan.
-func (j *Judge) replied(at float64, sc *core.Scan, r core.Reply) {
-	s := j.scans[sc.ID]
-	if s == nil || r.Conflict {
+// scanAnswered checks a broker's answer to a scan.
+func (c *Judge) replied(at float64, scan *core.Scan, reply core.Reply) {
+	s := c.scans[scan.ID]
+	if s == nil || reply.Conflict {
 		return
 	}
-	s.note(at, "answered: kind %d, whole %v, %d values", r.Kind, r.Complete, len(r.Hits))
+	s.note(at, "answered: kind %d, whole %v, %d values", reply.Kind, reply.Complete, len(reply.Hits))
 	if s.answered {
-		j.breach(at, RuleLost, s, "a second answer")
+		c.breach(at, RuleLost, s, "a second answer")
 		return
 	}
 	s.answered = true
 	if s.reached != nil && s.reached.ended == s.reached.at {
-		s.reached.ended = at - j.f.Client // it was over when the broker sent the answer
+		s.reached.ended = at - c.f.Client // the scan ended when the broker sent the answer
 	}
 	if at > s.deadline+slack && !s.released {
-		j.breach(at, RuleLost, s, "answered %.0f ms after its time", at-s.deadline)
+		c.breach(at, RuleLost, s, "answered %.0f ms after its time", at-s.deadline)
 	}
-	if r.Kind == logic.Throttle && s.typ.Effect == "non-replayable" {
+	if reply.Kind == logic.Throttle && s.typ.Effect == "non-replayable" {
 		for _, runs := range s.runs {
 			if len(runs) > 0 {
-				j.breach(at, RuleTwice, s, "throttled though a part has run")
+				c.breach(at, RuleTwice, s, "throttled though a part has run")
 				break
 			}
 		}
 	}
-	if r.Kind != logic.Answer {
+	if reply.Kind != logic.Answer {
 		return
 	}
-	got, seen := 0.0, map[int]bool{}
+	covered, seen := 0.0, map[int]bool{}
 	second := s.typ.Fetch > 0
-	for _, h := range r.Hits {
-		weight, asked := s.shards[h.Shard]
+	for _, hit := range reply.Hits {
+		weight, requested := s.shards[hit.Shard]
 		switch {
-		case !asked || seen[h.Shard]:
-			j.breach(at, RuleHonest, s, "shard %d was not asked for, or twice", h.Shard)
-		case h.Value != Value(h.Shard, s.text, second):
-			j.breach(at, RuleHonest, s, "shard %d: value %q is not its own", h.Shard, h.Value)
-		case !s.served[fmt.Sprint(h.Shard, second)]:
-			j.breach(at, RuleHonest, s, "shard %d before its answer came", h.Shard)
+		case !requested || seen[hit.Shard]:
+			c.breach(at, RuleHonest, s, "shard %d was not asked for, or twice", hit.Shard)
+		case hit.Value != Value(hit.Shard, s.text, second):
+			c.breach(at, RuleHonest, s, "shard %d: value %q is not its own", hit.Shard, hit.Value)
+		case !s.served[fmt.Sprint(hit.Shard, second)]:
+			c.breach(at, RuleHonest, s, "shard %d before its answer came", hit.Shard)
 		}
-		seen[h.Shard] = true
-		got += weight
+		seen[hit.Shard] = true
+		covered += weight
 	}
 	switch {
-	case second && r.Complete && len(r.Hits) < min(s.typ.Fetch, len(s.shards)):
-		j.breach(at, RuleHonest, s, "marked whole with %d of %d", len(r.Hits), s.typ.Fetch)
+	case second && reply.Complete && len(reply.Hits) < min(s.typ.Fetch, len(s.shards)):
+		c.breach(at, RuleHonest, s, "marked whole with %d of %d", len(reply.Hits), s.typ.Fetch)
 	case second:
-	case r.Complete && got < s.typ.Need-0.001:
-		j.breach(at, RuleHonest, s, "marked whole with %.3f of %.3f", got, s.typ.Need)
-	case got < min(s.typ.Floor, s.typ.Need)-0.001:
-		j.breach(at, RuleHonest, s, "answered from %.3f, the least is %.3f", got, s.typ.Floor)
+	case reply.Complete && covered < s.typ.Need-0.001:
+		c.breach(at, RuleHonest, s, "marked whole with %.3f of %.3f", covered, s.typ.Need)
+	case covered < min(s.typ.Floor, s.typ.Need)-0.001:
+		c.breach(at, RuleHonest, s, "answered from %.3f, the least is %.3f", covered, s.typ.Floor)
 	}
 }
 
-// sweep looks for scans whose time is up without an answer, and forgets those that are long over.
-func (j *Judge) sweep(now float64, end bool) {
-	for _, id := range slices.Sorted(maps.Keys(j.scans)) {
-		s := j.scans[id]
-		s.released = s.released || j.stands[s.broker]
+// sweep reports scans that passed their deadline without an answer, and removes scans and dispatches whose deadline was
+// more than 20 s ago; at the end of a run it removes all scans.
+func (c *Judge) sweep(now float64, atEnd bool) {
+	for _, id := range slices.Sorted(maps.Keys(c.scans)) {
+		s := c.scans[id]
+		s.released = s.released || c.stands[s.broker]
 		if !s.answered && !s.released && now > s.deadline+slack {
-			j.breach(now, RuleLost, s, "no answer by %.0f ms after its time", now-s.deadline)
+			c.breach(now, RuleLost, s, "no answer by %.0f ms after its time", now-s.deadline)
 			s.released = true
 		}
-		if now > s.deadline+20000 || end {
-			delete(j.scans, id)
+		if now > s.deadline+20000 || atEnd {
+			delete(c.scans, id)
 		}
 	}
-	for ref, c := range j.refs {
-		if now > c.until+20000 {
-			j.over(ref)
-			delete(j.refs, ref)
+	for ref, dispatch := range c.refs {
+		if now > dispatch.until+20000 {
+			c.over(ref)
+			delete(c.refs, ref)
 		}
 	}
 }
 
-// Figures say how well clients were served.
+// Figures is the report of a run. Service and its variants are ratios of earned to requested benefit, from 0 to 1.
 type Figures struct {
-	Service    float64 `json:"service"` // benefit within target times over benefit asked for
+	Service    float64 `json:"service"` // benefit of the answers (reduced for late ones) over benefit requested
 	Worst10s   float64 `json:"worst_10s"`
 	WorstType  float64 `json:"worst_type"`
 	WorstName  string  `json:"worst_name"`
@@ -355,32 +365,32 @@
 	Throttled  int     `json:"throttled"`
 	Failed     int     `json:"failed"`
 	Unanswered int     `json:"unanswered"`
-	// ms, of answers
+	// Latency percentiles of answers, in ms.
 	P50          float64            `json:"p50"`
 	P99          float64            `json:"p99"`
 	P999         float64            `json:"p999"`
-	Dispatches   float64            `json:"dispatches"` // a part
-	Wasted       float64            `json:"wasted"`     // share of the work done
+	Dispatches   float64            `json:"dispatches"` // dispatches per scan
+	Wasted       float64            `json:"wasted"`     // share of the work that nobody used
 	Windows      []Window           `json:"windows"`
 	ByType       map[string]float64 `json:"by_type"`
 	ByTenant     map[string]float64 `json:"by_tenant,omitempty"`
-	WorstTenant  float64            `json:"worst_tenant"` // of all but an abuser
+	WorstTenant  float64            `json:"worst_tenant"` // lowest service of a tenant other than the abuser
 	Abuser       string             `json:"abuser,omitempty"`
-	OtherCells   float64            `json:"other_cells"` // service of the tenant served worst of those whose cell is not the abuser's
+	OtherCells   float64            `json:"other_cells"` // lowest service of a tenant outside the abuser's cell
 	Broken       map[string]int     `json:"broken"`
 	Breaches     []Breach           `json:"breaches,omitempty"`
 	Events       int                `json:"events"`
 	Moved        int                `json:"-"`
-	Struck       int                `json:"struck"` // parts that went to stores which were failing then
+	Struck       int                `json:"struck"` // parts sent to stores that were faulty at that time
 	WallSeconds  float64            `json:"-"`
 	VirtualSecs  float64            `json:"virtual_secs"`
 	ExpectFaults []string           `json:"expect_faults,omitempty"`
 	Interrupted  bool               `json:"interrupted,omitempty"`
-	Probes       int                `json:"probes,omitempty"`  // for load, that reached stores on loopback
-	Brokers      []Usage            `json:"brokers,omitempty"` // on loopback, what their processes took
+	Probes       int                `json:"probes,omitempty"`  // load probes that reached stores; loopback runs only
+	Brokers      []Usage            `json:"brokers,omitempty"` // resource usage of each broker's processes; loopback runs only
 }
 
-// Window is five seconds of a run, by the moment at which scans came.
+// Window is the report of five seconds of a run. Scans count in the window in which they came.
 type Window struct {
 	From      float64 `json:"from"`
 	Asked     float64 `json:"asked"`
@@ -390,16 +400,16 @@
 	Late      int     `json:"late"`
 	Throttled int     `json:"throttled"`
 	Fails     int     `json:"fails"`
-	Struck    int     `json:"struck"` // parts that went to stores which were failing, by the moment at which they did
+	Struck    int     `json:"struck"` // parts sent to faulty stores, by the time at which they were sent
 }
 
-// tally adds up what clients got.
+// tally accumulates the outcomes of the clients' scans.
 type tally struct {
-	asked, got map[int]float64 // by second
-	byType     [][2]float64
-	byTenant   map[int]*[2]float64
+	asked, got map[int]float64     // benefit requested and earned, by second
+	byType     [][2]float64        // benefit requested and earned
+	byTenant   map[int]*[2]float64 // the same
 	windows    []Window
-	hist       *hdrhistogram.Histogram
+	hist       *hdrhistogram.Histogram // latencies of answers in µs
 	f          Figures
 }
 
@@ -410,13 +420,15 @@
 		hist: hdrhistogram.New(1, 60_000_000, 3)}
 }
 
-func (t *tally) tenant(n int) *[2]float64 {
-	if t.byTenant[n] == nil {
-		t.byTenant[n] = &[2]float64{}
+// tenantTotals returns the benefit that a tenant requested and earned.
+func (t *tally) tenant(tenant int) *[2]float64 {
+	if t.byTenant[tenant] == nil {
+		t.byTenant[tenant] = &[2]float64{}
 	}
-	return t.byTenant[n]
+	return t.byTenant[tenant]
 }
 
+// windowAt returns the window that contains a time.
 func (t *tally) window(at float64) *Window {
 	i := int(at / windowMs)
 	for len(t.windows) <= i {
@@ -425,17 +437,19 @@
 	return &t.windows[i]
 }
 
-func (t *tally) scan(at float64, typ, tenant int, benefit float64) {
+// addScan counts a new scan.
+func (t *tally) scan(at float64, tableType, tenant int, benefit float64) {
 	t.tenant(tenant)[0] += benefit
 	t.f.Scans++
 	t.asked[int(at/1000)] += benefit
-	t.byType[typ][0] += benefit
+	t.byType[tableType][0] += benefit
 	w := t.window(at)
 	w.Scans++
 	w.Asked += benefit
 }
 
-func (t *tally) ended(at float64, typ, tenant int, benefit, took float64, kind logic.ActionKind, late bool) {
+// addOutcome counts how a scan that came at a given time ended; took is its latency in ms.
+func (t *tally) ended(at float64, tableType, tenant int, benefit, latency float64, kind logic.ActionKind, late bool) {
 	w := t.window(at)
 	switch {
 	case kind == logic.Answer && late:
@@ -452,54 +466,55 @@
 		w.Fails++
 	}
 	if kind == logic.Answer {
-		t.hist.RecordValue(int64(max(1, took*1000)))
+		t.hist.RecordValue(int64(max(1, latency*1000)))
 		t.got[int(at/1000)] += benefit
-		t.byType[typ][1] += benefit
+		t.byType[tableType][1] += benefit
 		t.tenant(tenant)[1] += benefit
 		w.Served += benefit
 	}
 }
 
-// figures closes the account.
+// summarize computes the ratios and percentiles of the report.
 func (t *tally) figures(types []TableType) Figures {
 	f := t.f
-	asked, got := 0.0, 0.0
+	requested, earned := 0.0, 0.0
 	seconds := slices.Sorted(maps.Keys(t.asked))
-	for _, s := range seconds {
-		asked, got = asked+t.asked[s], got+t.got[s]
+	for _, second := range seconds {
+		requested, earned = requested+t.asked[second], earned+t.got[second]
 	}
-	f.Service = share(got, asked)
+	f.Service = share(earned, requested)
 	f.Worst10s = 1
-	for _, s := range seconds {
-		a, g := 0.0, 0.0
-		for k := s; k < s+10; k++ {
-			a, g = a+t.asked[k], g+t.got[k]
+	for _, second := range seconds {
+		windowRequested, windowEarned := 0.0, 0.0
+		for i := second; i < second+10; i++ {
+			windowRequested, windowEarned = windowRequested+t.asked[i], windowEarned+t.got[i]
 		}
-		if len(seconds) > 0 && s+10 <= seconds[len(seconds)-1]+1 {
-			f.Worst10s = min(f.Worst10s, share(g, a))
+		if len(seconds) > 0 && second+10 <= seconds[len(seconds)-1]+1 {
+			f.Worst10s = min(f.Worst10s, share(windowEarned, windowRequested))
 		}
 	}
 	f.WorstType, f.ByType = 1, map[string]float64{}
-	for i, y := range types {
-		x := share(t.byType[i][1], t.byType[i][0])
-		f.ByType[y.Name] = x
-		if x < f.WorstType {
-			f.WorstType, f.WorstName = x, y.Name
+	for i, tableType := range types {
+		service := share(t.byType[i][1], t.byType[i][0])
+		f.ByType[tableType.Name] = service
+		if service < f.WorstType {
+			f.WorstType, f.WorstName = service, tableType.Name
 		}
 	}
 	f.WorstTenant, f.OtherCells = 1, 1
 	if len(t.byTenant) > 1 {
 		f.ByTenant = map[string]float64{}
-		for n, x := range t.byTenant {
-			f.ByTenant[tenantName(n)] = share(x[1], x[0])
+		for tenant, totals := range t.byTenant {
+			f.ByTenant[tenantName(tenant)] = share(totals[1], totals[0])
 		}
 	}
-	at := func(q float64) float64 { return float64(t.hist.ValueAtQuantile(q)) / 1000 }
-	f.P50, f.P99, f.P999 = at(50), at(99), at(99.9)
+	quantile := func(q float64) float64 { return float64(t.hist.ValueAtQuantile(q)) / 1000 }
+	f.P50, f.P99, f.P999 = quantile(50), quantile(99), quantile(99.9)
 	f.Windows = t.windows
 	return f
 }
 
+// ratio returns part/of, rounded to six decimals, and 1 if of is not positive.
 func share(part, of float64) float64 {
 	if of <= 0 {
 		return 1
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -1,61 +1,66 @@
 package emulator
 
-// queue orders events by time, and by their number where times are alike: a heap of small records with four children
-// each, which halves the depth of a binary one; see BenchmarkQueue for both.
+// eventQueue is a priority queue of events, ordered by time and then by order of insertion. It is a heap with four children
+// per node, which has half the depth of a binary heap; BenchmarkQueue compares the two.
 type queue struct {
 	heap []event
-	seq  uint64
+	seq  uint64 // sequence number of the last event
 }
 
+// event is a function to be called at a time in ms.
 type event struct {
 	at  float64
-	seq uint64
+	seq uint64 // order of insertion, from 1
 	do  func()
 }
 
-func (e event) before(o event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
+func (e event) before(other event) bool {
+	return e.at < other.at || e.at == other.at && e.seq < other.seq
+}
 
 func (q *queue) len() int { return len(q.heap) }
 
+// push adds an event.
 func (q *queue) push(at float64, do func()) {
 	q.seq++
 	e := event{at, q.seq, do}
 	q.heap = append(q.heap, e)
 	i := len(q.heap) - 1
 	for i > 0 {
-		up := (i - 1) / 4
-		if !e.before(q.heap[up]) {
+		parent := (i - 1) / 4
+		if !e.before(q.heap[parent]) {
 			break
 		}
-		q.heap[i] = q.heap[up]
-		i = up
+		q.heap[i] = q.heap[parent]
+		i = parent
 	}
 	q.heap[i] = e
 }
 
+// pop removes and returns the first event. The queue must not be empty.
 func (q *queue) pop() event {
-	h := q.heap
-	top, last := h[0], h[len(h)-1]
-	h[len(h)-1] = event{}
-	h = h[:len(h)-1]
-	q.heap = h
-	if len(h) == 0 {
+	heap := q.heap
+	top, last := heap[0], heap[len(heap)-1]
+	heap[len(heap)-1] = event{}
+	heap = heap[:len(heap)-1]
+	q.heap = heap
+	if len(heap) == 0 {
 		return top
 	}
 	i := 0
 	for {
-		least, first := -1, 4*i+1
-		for c := first; c < min(first+4, len(h)); c++ {
-			if least < 0 || h[c].before(h[least]) {
-				least = c
+		least, firstChild := -1, 4*i+1
+		for child := firstChild; child < min(firstChild+4, len(heap)); child++ {
+			if least < 0 || heap[child].before(heap[least]) {
+				least = child
 			}
 		}
-		if least < 0 || !h[least].before(last) {
+		if least < 0 || !heap[least].before(last) {
 			break
 		}
-		h[i] = h[least]
+		heap[i] = heap[least]
 		i = least
 	}
-	h[i] = last
+	heap[i] = last
 	return top
 }
--- a/internal/emulator/race_test.go
+++ b/internal/emulator/race_test.go
@@ -2,4 +2,4 @@
 
 package emulator
 
-func init() { longRun = 60000 } // the race detector makes virtual time ten times as dear
+func init() { longRun = 60000 } // one minute: runs take about ten times as long under the race detector
--- a/internal/emulator/wire.go
+++ b/internal/emulator/wire.go
@@ -17,8 +17,9 @@
 	"gullstair/logic"
 )
 
-// The users' protocol at the stand-ins' end, written from its page and apart from the broker's own code, so that a mistake
-// of one is seen by the other.
+// This file implements the emulated peers' side of the protocols of the brokers: stores, clients and discovery. It is
+// written from the specification and shares no code with the broker, so that a fault in one implementation shows up as a
+// mismatch with the other.
 
 const (
 	frameMost = 1 << 20
@@ -27,76 +28,81 @@
 
 var errWire = errors.New("not as the protocol says")
 
-// readFrame reads one frame of a node's connection.
-func readFrame(in *bufio.Reader) (letter byte, rest []byte, err error) {
-	var head [4]byte
-	if _, err := io.ReadFull(in, head[:]); err != nil {
+// readFrame reads one frame from a broker's connection to a store: a length of four bytes (big-endian), a letter that
+// gives the type, and the payload. The length counts the letter.
+func readFrame(in *bufio.Reader) (letter byte, payload []byte, err error) {
+	var header [4]byte
+	if _, err := io.ReadFull(in, header[:]); err != nil {
 		return 0, nil, err
 	}
-	n := binary.BigEndian.Uint32(head[:])
-	if n < 1 || n > frameMost {
-		return 0, nil, fmt.Errorf("%w: a frame of %d bytes", errWire, n)
+	length := binary.BigEndian.Uint32(header[:])
+	if length < 1 || length > frameMost {
+		return 0, nil, fmt.Errorf("%w: invalid frame length %d", errWire, length)
 	}
-	b := make([]byte, n)
-	if _, err := io.ReadFull(in, b); err != nil {
+	frame := make([]byte, length)
+	if _, err := io.ReadFull(in, frame); err != nil {
 		return 0, nil, err
 	}
-	return b[0], b[1:], nil
+	return frame[0], frame[1:], nil
 }
 
-func frameOf(letter byte, rest string) []byte {
-	b := binary.BigEndian.AppendUint32(nil, uint32(1+len(rest)))
-	return append(append(b, letter), rest...)
+// encodeFrame returns a frame with the given type and payload.
+func frameOf(letter byte, payload string) []byte {
+	frame := binary.BigEndian.AppendUint32(nil, uint32(1+len(payload)))
+	return append(append(frame, letter), payload...)
 }
 
-// wirePart is a part as a frame R brings it.
+// wirePart is a part of a request frame (R).
 type wirePart struct {
 	id    string
 	shard int
-	wait  float64 // ms
-	key   string
-	from  string
+	wait  float64 // ms until the broker stops waiting
+	key   string  // for deduplication; may be empty
+	from  string  // step 2: the shards that answered step 1
 	text  string
 }
 
-// readCall reads a frame R: for each part a line ID SHARD LIST LENGTH, and so many bytes.
-func readCall(rest []byte) (parts []wirePart, err error) {
-	for s := string(rest); s != ""; {
-		line, tail, ok := strings.Cut(s, "\n")
-		words := strings.Split(line, " ")
-		if !ok || len(words) != 4 {
-			return nil, fmt.Errorf("%w: line %.60q", errWire, line)
+// parseCall parses the payload of a request frame (R): for each part a line "ID SHARD OPTIONS LENGTH", followed by LENGTH
+// bytes of text. OPTIONS is a comma-separated list of name=value.
+func readCall(payload []byte) (parts []wirePart, err error) {
+	for remaining := string(payload); remaining != ""; {
+		header, tail, ok := strings.Cut(remaining, "\n")
+		fields := strings.Split(header, " ")
+		if !ok || len(fields) != 4 {
+			return nil, fmt.Errorf("%w: line %.60q", errWire, header)
 		}
-		p := wirePart{id: words[0]}
-		n, err1 := strconv.Atoi(words[3])
-		shard, err2 := strconv.Atoi(words[1])
-		if err1 != nil || err2 != nil || n < 0 || n > len(tail) || shard < 0 {
-			return nil, fmt.Errorf("%w: line %.60q", errWire, line)
+		part := wirePart{id: fields[0]}
+		length, err1 := strconv.Atoi(fields[3])
+		shard, err2 := strconv.Atoi(fields[1])
+		if err1 != nil || err2 != nil || length < 0 || length > len(tail) || shard < 0 {
+			return nil, fmt.Errorf("%w: line %.60q", errWire, header)
 		}
-		p.shard, p.text, s = shard, tail[:n], tail[n:]
-		for _, item := range strings.Split(words[2], ",") {
-			switch name, val, _ := strings.Cut(item, "="); name {
+		part.shard, part.text, remaining = shard, tail[:length], tail[length:]
+		for _, option := range strings.Split(fields[2], ",") {
+			switch name, value, _ := strings.Cut(option, "="); name {
 			case "d":
-				if p.wait, err = strconv.ParseFloat(val, 64); err != nil {
-					return nil, fmt.Errorf("%w: %.60q", errWire, item)
+				if part.wait, err = strconv.ParseFloat(value, 64); err != nil {
+					return nil, fmt.Errorf("%w: %.60q", errWire, option)
 				}
 			case "k":
-				p.key = val
+				part.key = value
 			case "from":
-				p.from = val
+				part.from = value
 			}
 		}
-		parts = append(parts, p)
+		parts = append(parts, part)
 	}
 	return parts, nil
 }
 
+// String returns the load report as stores send it.
 func (l Load) String() string {
 	return fmt.Sprintf("inflight=%d,queue=%d,util=%.2f", int(l.Running), int(l.Waiting), l.Busy)
 }
 
-// request words a client's scan.
-func request(host string, sc *core.Scan, typ, tenant string, left float64) ([]byte, error) {
+// encodeRequest returns the HTTP request of a client for a scan; left is the time left in ms. An empty tenant sends no
+// X-Account header.
+func request(host string, scan *core.Scan, tableType, tenant string, timeLeft float64) ([]byte, error) {
 	type segment struct {
 		Segment int     `json:"segment"`
 		Boost   float64 `json:"boost"`
@@ -105,38 +111,39 @@
 	body := struct {
 		Segments []segment `json:"segments"`
 		Text     string    `json:"text"`
-	}{Text: sc.Text}
-	for _, p := range sc.Parts {
-		body.Segments = append(body.Segments, segment{p.Shard, p.Weight, p.Work * 1000})
+	}{Text: scan.Text}
+	for _, part := range scan.Parts {
+		body.Segments = append(body.Segments, segment{part.Shard, part.Weight, part.Work * 1000})
 	}
 	text, err := json.Marshal(body)
 	if err != nil {
 		return nil, err
 	}
-	head := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: %d\r\nContent-Length: %d\r\n", typ, host,
-		sc.ID, int(left), len(text))
-	if sc.Key != "" {
-		head += "Idempotency-Key: " + sc.Key + "\r\n"
+	header := fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: %s\r\nX-Correlation-Id: %s\r\nX-Time-Left-Ms: %d\r\nContent-Length: %d\r\n", tableType, host,
+		scan.ID, int(timeLeft), len(text))
+	if scan.Key != "" {
+		header += "Idempotency-Key: " + scan.Key + "\r\n"
 	}
 	if tenant != "" {
-		head += "X-Account: " + tenant + "\r\n"
+		header += "X-Account: " + tenant + "\r\n"
 	}
-	return append([]byte(head+"\r\n"), text...), nil
+	return append([]byte(header+"\r\n"), text...), nil
 }
 
-// response reads a broker's answer.
-func response(in *bufio.Reader) (r core.Reply, last bool, err error) {
-	res, err := http.ReadResponse(in, nil)
+// readResponse reads a broker's HTTP response. It reports in last whether the connection can't be reused. Any status other
+// than 200, 429 and 503 means that the scan was abandoned.
+func response(in *bufio.Reader) (reply core.Reply, last bool, err error) {
+	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
-		return r, true, err
+		return reply, true, err
 	}
-	defer res.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(res.Body, bodyMost))
+	defer resp.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(resp.Body, bodyMost))
 	if err != nil {
-		return r, true, err
+		return reply, true, err
 	}
-	last = res.Close
-	switch res.StatusCode {
+	last = resp.Close
+	switch resp.StatusCode {
 	case http.StatusOK:
 		var body struct {
 			AllIn   bool `json:"all_in"`
@@ -146,80 +153,82 @@
 			} `json:"matches"`
 		}
 		if err := json.Unmarshal(text, &body); err != nil {
-			return r, true, fmt.Errorf("%w: %v", errWire, err)
+			return reply, true, fmt.Errorf("%w: %v", errWire, err)
 		}
-		r.Kind, r.Complete = logic.Answer, body.AllIn
-		for _, m := range body.Matches {
-			r.Hits = append(r.Hits, core.Hit{Shard: m.Segment, Value: m.Payload})
+		reply.Kind, reply.Complete = logic.Answer, body.AllIn
+		for _, match := range body.Matches {
+			reply.Hits = append(reply.Hits, core.Hit{Shard: match.Segment, Value: match.Payload})
 		}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		r.Kind = logic.Throttle
-		if s, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64); err == nil {
-			r.RetryAfter = s * 1000
+		reply.Kind = logic.Throttle
+		if seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil {
+			reply.RetryAfter = seconds * 1000
 		}
 	default:
-		r.Kind = logic.Abandon
+		reply.Kind = logic.Abandon
 	}
-	return r, last, nil
+	return reply, last, nil
 }
 
 var healthWords = map[logic.Readiness]string{logic.Ready: "SERVING", logic.Draining: "DRAINING", logic.Gone: "DELETED"}
 
-// listing words a list as discovery does.
-func listing(seq int64, whole bool, nodes []core.Node, dial func(host string) string) map[string]any {
+// encodeNodeList returns a node list in the JSON form of discovery; whole means a full list, otherwise only changes. dial
+// returns the address of a host.
+func listing(seq int64, full bool, nodes []core.Node, dial func(host string) string) map[string]any {
 	hosts := []any{}
-	for _, n := range nodes {
-		hosts = append(hosts, map[string]any{"host": n.Host, "dial": dial(n.Host), "site": n.Zone, "class": n.Kind, "block": n.Cell,
-			"health": healthWords[n.Readiness], "share": n.Units, "born_ms": n.Born})
+	for _, node := range nodes {
+		hosts = append(hosts, map[string]any{"host": node.Host, "dial": dial(node.Host), "site": node.Zone, "class": node.Kind, "block": node.Cell,
+			"health": healthWords[node.Readiness], "share": node.Units, "born_ms": node.Born})
 	}
-	return map[string]any{"seq": seq, "whole": whole, "hosts": hosts}
+	return map[string]any{"seq": seq, "whole": full, "hosts": hosts}
 }
 
-// tree makes the nested form that a start file has of the flat settings.
+// nestSettings converts settings with dotted keys to the nested form of a start file.
 func tree(flat map[string]any) any {
-	top := map[string]any{}
-	for key, v := range flat {
-		at := top
-		words := strings.Split(key, ".")
-		if words[len(words)-1] == "count" {
-			continue // a list says its length by itself
+	root := map[string]any{}
+	for key, value := range flat {
+		parent := root
+		path := strings.Split(key, ".")
+		if path[len(path)-1] == "count" {
+			continue // lists have no explicit length in the nested form
 		}
-		for _, w := range words[:len(words)-1] {
-			next, known := at[w].(map[string]any)
-			if !known {
-				next = map[string]any{}
-				at[w] = next
+		for _, name := range path[:len(path)-1] {
+			child, ok := parent[name].(map[string]any)
+			if !ok {
+				child = map[string]any{}
+				parent[name] = child
 			}
-			at = next
+			parent = child
 		}
-		at[words[len(words)-1]] = v
+		parent[path[len(path)-1]] = value
 	}
-	return listed(top)
+	return listed(root)
 }
 
-// listed turns objects whose keys are all numbers into lists.
-func listed(v any) any {
-	m, is := v.(map[string]any)
-	if !is {
-		return v
-	}
-	list := make([]any, len(m))
-	numbers := len(m) > 0
-	for k, child := range m {
-		m[k] = listed(child)
-		if n, err := strconv.Atoi(k); err == nil && n >= 0 && n < len(list) {
-			list[n] = m[k]
+// convertLists converts objects whose keys are exactly 0 to n-1 to lists, recursively.
+func listed(value any) any {
+	object, ok := value.(map[string]any)
+	if !ok {
+		return value
+	}
+	list := make([]any, len(object))
+	allNumeric := len(object) > 0
+	for key, child := range object {
+		object[key] = listed(child)
+		if index, err := strconv.Atoi(key); err == nil && index >= 0 && index < len(list) {
+			list[index] = object[key]
 		} else {
-			numbers = false
+			allNumeric = false
 		}
 	}
-	if numbers {
+	if allNumeric {
 		return list
 	}
-	return m
+	return object
 }
 
-// answerOnce serves one HTTP request after the other on a connection, until either side ends it.
+// serveConn serves HTTP requests on a connection, one after the other, until either side closes it or handle returns the
+// status 0. A connection that stays idle for 90 s is closed.
 func answerOnce(conn net.Conn, handle func(*http.Request) (status int, body any)) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
@@ -230,11 +239,11 @@
 			return
 		}
 		io.Copy(io.Discard, io.LimitReader(req.Body, bodyMost))
-		status, v := handle(req)
+		status, body := handle(req)
 		if status == 0 {
 			return
 		}
-		text, err := json.Marshal(v)
+		text, err := json.Marshal(body)
 		if err != nil {
 			return
 		}
