--- a/internal/emulator/judge.go
+++ b/internal/emulator/judge.go
@@ -14,12 +14,12 @@
 
 // Rules that brokers must not break, in terms of what stores and clients observe. Reports print these texts.
 const (
-	RuleLost     = "a scan is lost"
-	RuleTwice    = "an effect twice"
-	RuleCopies   = "a second copy out"
-	RuleDrain    = "a send after a drain's grace"
-	RuleCold     = "a cold store pushed over"
-	RuleHonest   = "an answer that is not honest"
+	RuleLost     = "a scan is lost"               // no answer in time, or a second answer
+	RuleTwice    = "an effect twice"              // a non-replayable part executed twice, or a keyed one again after its repeat window
+	RuleCopies   = "a second copy out"            // a part with two outstanding dispatches, or with more dispatches than allowed
+	RuleDrain    = "a send after a drain's grace" // a part sent after the drain grace period of its store
+	RuleCold     = "a cold store pushed over"     // a store overloaded during its warm-up until it crashed
+	RuleHonest   = "an answer that is not honest" // wrong, unrequested or repeated values, or an answer wrongly marked complete
 	RuleAfter    = "a part sent after its scan's answer"
 	RuleHolder   = "a part sent to a store that does not hold it"
 	RuleBudget   = "more dispatches than the budget"
@@ -42,7 +42,7 @@
 	Breaches []Breach
 	Broken   map[string]int // number of violations by rule; not capped, unlike the list
 
-	// later postpones a check that depends on the order of two events that are reported over different connections, as
+	// postpone delays a check that depends on the order of two events that are reported over different connections, as
 	// on real sockets; nil: check immediately.
 	later  func(do func())
 	stands map[int]bool // paused brokers, which can't answer
@@ -63,7 +63,7 @@
 	sent, at, ended float64
 }
 
-// budget holds what a broker received (scans and parts) and its dispatches beyond the first of each part, within the
+// dispatchBudget holds what a broker received (scans and parts) and its dispatches beyond the first of each part, within the
 // budget window.
 type budget struct{ taken, extra []counted }
 
@@ -84,6 +84,7 @@
 	return sum
 }
 
+// budgetFor returns the dispatch budget of a broker.
 func (c *Judge) budgetOf(broker int) *budget {
 	if c.budget[broker] == nil {
 		c.budget[broker] = &budget{}
@@ -117,6 +118,7 @@
 	until float64
 }
 
+// newChecker returns a checker for a fleet.
 func newJudge(f *Fleet) *Judge {
 	return &Judge{f: f, Broken: map[string]int{}, scans: map[string]*scanLog{}, told: map[[2]int]float64{},
 		out: map[string][]*copyOut{}, refs: map[int64]*copyOut{}, stands: map[int]bool{}, budget: map[int]*budget{}}
@@ -181,8 +183,8 @@
 		c.breach(at, RuleHolder, s, "part %s to %s of cell %d", part, target.Name, target.Cell)
 	}
 	if c.f.BudgetWindow > 0 && s.tries[shard] > 0 && !second {
-		// At the edges of the window the broker gets the benefit of the doubt: it and the checker see an event one message
-		// delay apart.
+		// The broker and the checker see an event one message delay apart. The checker therefore ignores extra dispatches
+		// near the edge of the window, and counts scans and parts received shortly before it.
 		b := c.budgetOf(broker)
 		b.extra = append(b.extra, counted{at, 1})
 		extra := within(&b.extra, at-c.f.BudgetWindow+slack)
@@ -413,8 +415,10 @@
 	f          Figures
 }
 
+// windowMs is the length of a Window in ms.
 const windowMs = 5000.0
 
+// newTally returns an empty tally for a number of table types.
 func newTally(types int) *tally {
 	return &tally{asked: map[int]float64{}, got: map[int]float64{}, byType: make([][2]float64, types), byTenant: map[int]*[2]float64{},
 		hist: hdrhistogram.New(1, 60_000_000, 3)}
@@ -448,7 +452,7 @@
 	w.Asked += benefit
 }
 
-// addOutcome counts how a scan that came at a given time ended; took is its latency in ms.
+// addOutcome counts how a scan that came at a given time ended; the latency is in ms.
 func (t *tally) ended(at float64, tableType, tenant int, benefit, latency float64, kind logic.ActionKind, late bool) {
 	w := t.window(at)
 	switch {
--- a/internal/emulator/plain.go
+++ b/internal/emulator/plain.go
@@ -15,7 +15,7 @@
 // Baseline returns a Maker of brokers with a simple load-balancing policy, as a reference for comparisons. Each part goes
 // to a random store that holds its shard or, if least is true, to the better of two random ones: the one with fewer
 // outstanding parts of this broker. A failed part is retried at most once, on another store if there is one, and only if
-// its effect permits it. The policy sheds no load and tracks no health.
+// it is replayable or was certainly not executed. The policy sheds no load and tracks no health.
 func Plain(least bool) Maker {
 	return func(f *Fleet, ordinal, zone int, seed uint64, known []core.Node) (Decider, error) {
 		b := &plain{f: f, rnd: rand.New(rand.NewPCG(seed, 0x91a1)), least: least, nodes: map[string]core.Node{},
--- a/internal/emulator/wire.go
+++ b/internal/emulator/wire.go
@@ -21,11 +21,13 @@
 // written from the specification and shares no code with the broker, so that a fault in one implementation shows up as a
 // mismatch with the other.
 
+// Limits on the size of frames and HTTP bodies, in bytes.
 const (
 	frameMost = 1 << 20
 	bodyMost  = 1 << 20
 )
 
+// errProtocol is wrapped by errors about messages that violate the protocol.
 var errWire = errors.New("not as the protocol says")
 
 // readFrame reads one frame from a broker's connection to a store: a length of four bytes (big-endian), a letter that
@@ -170,6 +172,7 @@
 	return reply, last, nil
 }
 
+// healthNames holds the names of the readiness states in the protocol of discovery.
 var healthWords = map[logic.Readiness]string{logic.Ready: "SERVING", logic.Draining: "DRAINING", logic.Gone: "DELETED"}
 
 // encodeNodeList returns a node list in the JSON form of discovery; whole means a full list, otherwise only changes. dial
