--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -10,49 +10,51 @@
 	"gullstair/logic"
 )
 
-// Fault is something that goes wrong for a while. Its targets are named, or drawn by the seed when it begins.
+// Fault is a failure that lasts for a limited time. Its targets are named, or selected at random, by the seed, when it
+// begins.
 type Fault struct {
-	Kind    string
-	At, For float64  // ms
-	Share   float64  // of the stores or brokers that it strikes
-	Size    float64  // how bad: see Faults
-	Zone    string   // of zone_cut and one_way_loss
-	Stores  []string // named targets
+	Kind    string   // a key of Faults
+	At, For float64  // begin and duration, ms
+	Share   float64  // fraction of the stores or brokers that it affects, unless Stores names them
+	Size    float64  // severity; its meaning depends on the kind, see Faults
+	Zone    string   // affected zone of zone_cut and one_way_loss; "": selected at random
+	Stores  []string // names of the affected stores; none: selected at random
 
-	chance *rand.Rand // its own
+	chance *rand.Rand // of this fault alone, so that its targets do not depend on other faults
 }
 
-// Faults names all kinds, with what Size means.
+// Faults describes each kind of fault and the meaning of Fault.Size and Fault.Share for it.
 var Faults = map[string]string{
-	"die":              "stores' processes die, connections are reset; they come back cold",
-	"vanish":           "stores' machines are gone without a sign; they come back cold",
-	"zone_cut":         "a zone and the others hear nothing of each other",
-	"one_way_loss":     "what a zone sends to the others is lost; size: share",
-	"one_sided":        "some brokers (share) get no answer from half of the stores; size: share of the answers lost",
-	"release":          "stores (share) are replaced in batches by cold successors; size: share of a batch",
-	"mute":             "stores take connections and parts and never answer",
-	"late":             "stores answer only after their broker has stopped waiting",
-	"slow":             "stores are slow; size: times",
-	"neighbour":        "another program takes cores of stores; size: share",
-	"fails":            "stores fail parts at once; size: share",
-	"resets":           "stores break the connection at parts; size: share",
-	"refuses":          "stores take no new connection",
-	"spoils":           "stores' answers can't be read; size: share",
-	"lies":             "load reports are false; size: times the truth",
-	"frozen":           "load reports are not refreshed",
-	"stale_list":       "the list comes later; size: ms",
-	"silent_discovery": "discovery says nothing",
-	"hot_key":          "one shard is asked for by a share of the scans; size: share",
-	"traffic":          "more scans; size: times",
-	"abuse":            "one tenant asks for too much; size: times the whole traffic",
-	"broker_kill":      "brokers are killed and come back with their last list",
-	"broker_pause":     "brokers stand still",
-	"broker_split":     "some brokers (share) and the others hear nothing of each other",
-	"broker_one_way":   "what some brokers (share) tell the others is lost",
-	"broker_loss":      "what brokers tell each other is lost; size: share",
+	"die":              "store processes die and their connections are reset; the stores restart cold",
+	"vanish":           "hosts of stores become unreachable without closing connections; the stores restart cold",
+	"zone_cut":         "all messages between one zone and the others are lost",
+	"one_way_loss":     "messages from one zone to the others are lost; size: fraction lost",
+	"one_sided":        "some brokers (share) lose responses from half of the stores; size: fraction lost",
+	"release":          "stores (share) are replaced in batches by cold successors; size: batch as a fraction of all stores",
+	"mute":             "stores accept connections and parts and never respond",
+	"late":             "stores respond only after the deadline of their broker",
+	"slow":             "stores are slow; size: factor on processing time",
+	"neighbour":        "another process on the host uses CPU of stores; size: fraction of the cores",
+	"fails":            "stores fail parts immediately; size: fraction of the parts",
+	"resets":           "stores reset the connection when a part arrives; size: fraction of the parts",
+	"refuses":          "stores refuse new connections",
+	"spoils":           "stores send malformed responses; size: fraction of the responses",
+	"lies":             "load reports are wrong; size: factor on the actual load",
+	"frozen":           "load reports are not updated",
+	"stale_list":       "updates of the node list are delayed; size: ms",
+	"silent_discovery": "service discovery sends no updates",
+	"hot_key":          "a fraction of the scans starts at the same shard; size: fraction of the scans",
+	"traffic":          "more scans; size: factor on the rate",
+	"abuse":            "one tenant sends excess traffic; size: multiple of the total rate",
+	"broker_kill":      "brokers are killed and restart with the node list that they had last",
+	"broker_pause":     "brokers are paused",
+	"broker_split":     "all datagrams between some brokers (share) and the others are lost",
+	"broker_one_way":   "all datagrams from some brokers (share) to the others are lost",
+	"broker_loss":      "datagrams between brokers are lost; size: fraction lost",
 }
 
-// Plan has a fault happen. What can't be is an error that says why.
+// ScheduleFault adds a fault to the run. It returns an error if the kind, a store or the zone is unknown. When the fault
+// begins and ends, it adds a line to Timeline.
 func (w *World) Plan(f Fault) error {
 	if _, known := Faults[f.Kind]; !known {
 		return fmt.Errorf("no such fault: %q", f.Kind)
@@ -68,14 +70,14 @@
 	w.strikes++
 	f.chance = rand.New(rand.NewPCG(w.seed, 0xfa0170+w.strikes))
 	w.q.push(f.At, func() {
-		n := len(w.Notes)
-		undo := w.strike(f)
+		pos := len(w.Notes)
+		revert := w.strike(f)
 		w.Notes = append(w.Notes, "")
-		copy(w.Notes[n+1:], w.Notes[n:])
-		w.Notes[n] = fmt.Sprintf("%7.2f s  %s begins", w.now/1000, f.Kind)
-		if undo != nil {
+		copy(w.Notes[pos+1:], w.Notes[pos:])
+		w.Notes[pos] = fmt.Sprintf("%7.2f s  %s begins", w.now/1000, f.Kind)
+		if revert != nil {
 			w.at(f.For, func() {
-				undo()
+				revert()
 				w.Notes = append(w.Notes, fmt.Sprintf("%7.2f s  %s ends", w.now/1000, f.Kind))
 			})
 		}
@@ -83,7 +85,8 @@
 	return nil
 }
 
-// targets are the stores that a fault strikes, in order.
+// targetStores returns the indexes of the stores that a fault affects: the named ones, or a random selection of those that
+// are up and listed as ready, in ascending order.
 func (w *World) targets(f Fault) []int {
 	var all []int
 	for _, name := range f.Stores {
@@ -92,8 +95,8 @@
 	if len(all) > 0 {
 		return all
 	}
-	for i, s := range w.Stores {
-		if s.Up() && w.states[i].Readiness == logic.Ready {
+	for i, st := range w.Stores {
+		if st.Up() && w.states[i].Readiness == logic.Ready {
 			all = append(all, i)
 		}
 	}
@@ -103,6 +106,7 @@
 	return all
 }
 
+// targetBrokers returns a random selection of the brokers, ordered by number.
 func (w *World) brokers(f Fault) []*seat {
 	all := slices.Clone(w.seats)
 	f.chance.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
@@ -111,21 +115,21 @@
 	return all
 }
 
-// strike begins a fault and returns how it ends; nil: it ends by itself.
+// applyFault begins a fault and returns the function that ends it; nil if there is nothing to revert.
 func (w *World) strike(f Fault) func() {
-	ail := func(set func(a *Ails, on bool)) func() {
-		struck := w.targets(f)
-		w.note(struck)
-		for _, i := range struck {
+	setFault := func(set func(a *Ails, on bool)) func() {
+		stores := w.targets(f)
+		w.note(stores)
+		for _, i := range stores {
 			set(&w.Stores[i].Ails, true)
 		}
 		return func() {
-			for _, i := range struck {
+			for _, i := range stores {
 				set(&w.Stores[i].Ails, false)
 			}
 		}
 	}
-	size := func(on bool) float64 {
+	sizeIf := func(on bool) float64 {
 		if on {
 			return f.Size
 		}
@@ -135,25 +139,25 @@
 	case "die", "vanish":
 		return w.die(f)
 	case "mute":
-		return ail(func(a *Ails, on bool) { a.Mute = on })
+		return setFault(func(a *Ails, on bool) { a.Mute = on })
 	case "late":
-		return ail(func(a *Ails, on bool) { a.Late = on })
+		return setFault(func(a *Ails, on bool) { a.Late = on })
 	case "slow":
-		return ail(func(a *Ails, on bool) { a.Slow = size(on) })
+		return setFault(func(a *Ails, on bool) { a.Slow = sizeIf(on) })
 	case "neighbour":
-		return ail(func(a *Ails, on bool) { a.Taken = size(on) })
+		return setFault(func(a *Ails, on bool) { a.Taken = sizeIf(on) })
 	case "fails":
-		return ail(func(a *Ails, on bool) { a.Fails = size(on) })
+		return setFault(func(a *Ails, on bool) { a.Fails = sizeIf(on) })
 	case "resets":
-		return ail(func(a *Ails, on bool) { a.Resets = size(on) })
+		return setFault(func(a *Ails, on bool) { a.Resets = sizeIf(on) })
 	case "refuses":
-		return ail(func(a *Ails, on bool) { a.Refuses = on })
+		return setFault(func(a *Ails, on bool) { a.Refuses = on })
 	case "spoils":
-		return ail(func(a *Ails, on bool) { a.Spoils = size(on) })
+		return setFault(func(a *Ails, on bool) { a.Spoils = sizeIf(on) })
 	case "lies":
-		return ail(func(a *Ails, on bool) { a.Lies = size(on) })
+		return setFault(func(a *Ails, on bool) { a.Lies = sizeIf(on) })
 	case "frozen":
-		return ail(func(a *Ails, on bool) { a.Frozen = on })
+		return setFault(func(a *Ails, on bool) { a.Frozen = on })
 	case "zone_cut", "one_way_loss":
 		return w.apart(f)
 	case "one_sided":
@@ -182,11 +186,11 @@
 		w.rate *= f.Size
 		return func() { w.rate /= f.Size }
 	case "abuse":
-		tenant, over := f.chance.IntN(max(1, w.Fleet.Traffic.Tenants)), false
+		tenant, ended := f.chance.IntN(max(1, w.Fleet.Traffic.Tenants)), false
 		w.abuser = tenant + 1
 		w.Notes = append(w.Notes, "           "+tenantName(tenant))
-		w.abuse(tenant, max(0.1, f.Size*w.Fleet.Traffic.Rate), f.chance.Float64, &over)
-		return func() { over = true }
+		w.abuse(tenant, max(0.1, f.Size*w.Fleet.Traffic.Rate), f.chance.Float64, &ended)
+		return func() { ended = true }
 	case "broker_kill":
 		return w.kill(f)
 	case "broker_pause":
@@ -208,22 +212,25 @@
 	return nil
 }
 
-func (w *World) note(struck []int) {
+// recordTargets adds a line with the names of the affected stores, at most eight, to Timeline.
+func (w *World) note(stores []int) {
 	var names []string
-	for _, i := range struck {
+	for _, i := range stores {
 		names = append(names, w.Stores[i].Name)
 	}
 	if len(names) > 8 {
-		names = append(names[:8], fmt.Sprintf("and %d more", len(struck)-8))
+		names = append(names[:8], fmt.Sprintf("and %d more", len(stores)-8))
 	}
 	w.Notes = append(w.Notes, "           "+strings.Join(names, " "))
 }
 
-// die ends stores' processes, with a sign or without; they come back cold under their names.
+// killStores applies the faults die and vanish. A store that dies resets its connections and leaves the discovery list at
+// once; one that vanishes does neither, and is delisted only after Fleet.VanishedListLag. At the end of the fault the stores
+// restart cold under the same names.
 func (w *World) die(f Fault) func() {
-	struck := w.targets(f)
-	w.note(struck)
-	for _, i := range struck {
+	stores := w.targets(f)
+	w.note(stores)
+	for _, i := range stores {
 		st := w.Stores[i]
 		if f.Kind == "die" {
 			st.Ails.Dead = true
@@ -235,10 +242,10 @@
 		}
 	}
 	return func() {
-		for _, i := range struck {
+		for _, i := range stores {
 			st := w.Stores[i]
 			if st.Ails.Vanished {
-				w.reset(st) // whoever still holds a connection hears now that it is none
+				w.reset(st) // connections from before are reset now that the host is reachable again
 			}
 			st.Ails.Dead, st.Ails.Vanished, st.Born = false, false, w.now
 			w.states[i].Born = w.unix(w.now)
@@ -250,65 +257,68 @@
 	}
 }
 
+// cutZone applies the faults zone_cut and one_way_loss.
 func (w *World) apart(f Fault) func() {
-	z := slices.Index(w.Fleet.Zones, f.Zone)
-	if z < 0 {
-		z = f.chance.IntN(len(w.Fleet.Zones))
+	zone := slices.Index(w.Fleet.Zones, f.Zone)
+	if zone < 0 {
+		zone = f.chance.IntN(len(w.Fleet.Zones))
 	}
-	w.Notes = append(w.Notes, "           "+w.Fleet.Zones[z])
-	for o := range w.Fleet.Zones {
-		if o == z {
+	w.Notes = append(w.Notes, "           "+w.Fleet.Zones[zone])
+	for other := range w.Fleet.Zones {
+		if other == zone {
 			continue
 		}
 		if f.Kind == "zone_cut" {
-			w.net.cutZones[[2]int{z, o}], w.net.cutZones[[2]int{o, z}] = true, true
+			w.net.cutZones[[2]int{zone, other}], w.net.cutZones[[2]int{other, zone}] = true, true
 		} else {
-			w.net.lossZones[[2]int{z, o}] = f.Size
+			w.net.lossZones[[2]int{zone, other}] = f.Size
 		}
 	}
 	return func() {
-		for o := range w.Fleet.Zones {
-			delete(w.net.cutZones, [2]int{z, o})
-			delete(w.net.cutZones, [2]int{o, z})
-			delete(w.net.lossZones, [2]int{z, o})
+		for other := range w.Fleet.Zones {
+			delete(w.net.cutZones, [2]int{zone, other})
+			delete(w.net.cutZones, [2]int{other, zone})
+			delete(w.net.lossZones, [2]int{zone, other})
 		}
 	}
 }
 
+// dropReplies applies the fault one_sided.
 func (w *World) oneSided(f Fault) func() {
-	struck := w.brokers(f)
-	for _, s := range struck {
-		m := map[int]float64{}
+	brokers := w.brokers(f)
+	for _, b := range brokers {
+		loss := map[int]float64{}
 		for i := range w.Stores {
 			if f.chance.Float64() < 0.5 {
-				m[i] = f.Size
+				loss[i] = f.Size
 			}
 		}
-		w.net.oneSided[s.n] = m
+		w.net.oneSided[b.n] = loss
 	}
 	return func() {
-		for _, s := range struck {
-			delete(w.net.oneSided, s.n)
+		for _, b := range brokers {
+			delete(w.net.oneSided, b.n)
 		}
 	}
 }
 
-// release replaces stores in batches: each drains, goes, and has a cold successor under a new name.
+// rollingRelease applies the fault release: it replaces stores in batches. The stores of a batch drain for 60 % of its time;
+// then they are removed and a cold successor under a new name starts for each.
 func (w *World) release(f Fault) {
-	struck := w.targets(f)
-	w.note(struck)
+	stores := w.targets(f)
+	w.note(stores)
 	batch := max(1, int(math.Ceil(f.Size*float64(len(w.Stores)))))
-	rounds := (len(struck) + batch - 1) / batch
-	each := f.For / float64(max(1, rounds))
+	rounds := (len(stores) + batch - 1) / batch
+	roundMs := f.For / float64(max(1, rounds))
 	for r := range rounds {
-		some := struck[r*batch : min(len(struck), (r+1)*batch)]
-		w.at(float64(r)*each, func() {
-			for _, i := range some {
+		group := stores[r*batch : min(len(stores), (r+1)*batch)]
+		w.at(float64(r)*roundMs, func() {
+			for _, i := range group {
 				w.relist(i, logic.Draining, 0)
 			}
 		})
-		w.at((float64(r)+0.6)*each, func() {
-			for _, i := range some {
+		w.at((float64(r)+0.6)*roundMs, func() {
+			for _, i := range group {
 				st := w.Stores[i]
 				if st.Fell {
 					continue
@@ -316,122 +326,125 @@
 				w.relist(i, logic.Gone, 0)
 				st.Ails.Dead = true
 				w.reset(st)
-				n := w.addStore(st.Cell, st.Zone, w.now)
-				w.relist(n, logic.Ready, 0)
+				successor := w.addStore(st.Cell, st.Zone, w.now)
+				w.relist(successor, logic.Ready, 0)
 			}
 		})
 	}
 }
 
-// kill ends brokers' processes; what they held is nobody's duty any more. They come back with their last list.
+// killBrokers applies the fault broker_kill. The checker expects no response to the open scans of a killed broker. Brokers
+// restart with the node list that they had last.
 func (w *World) kill(f Fault) func() {
-	struck := w.brokers(f)
-	for _, s := range struck {
-		if !s.up {
+	brokers := w.brokers(f)
+	for _, b := range brokers {
+		if !b.up {
 			continue
 		}
-		s.up = false
-		boot := s.boot
+		b.up = false
+		incarnation := b.boot
 		if w.live != nil {
-			w.live.kill(s)
+			w.live.kill(b)
 		}
-		for _, t := range s.inOrder() {
-			w.Judge.released(t.sc.ID)
-			delete(s.open, t.sc.ID)
-			w.at(w.Fleet.Client, func() { w.again(t.a, logic.Abandon, 0) })
+		for _, att := range b.inOrder() {
+			w.Judge.released(att.sc.ID)
+			delete(b.open, att.sc.ID)
+			w.at(w.Fleet.Client, func() { w.again(att.a, logic.Abandon, 0) })
 		}
-		for _, fl := range w.flightsOf(s) {
+		for _, disp := range w.flightsOf(b) {
 			if w.live != nil {
-				w.live.end(fl)
+				w.live.end(disp)
 				continue
 			}
-			fl.ended = true
-			delete(w.flights, fl.part.Ref)
-			w.Judge.over(fl.part.Ref)
+			disp.ended = true
+			delete(w.flights, disp.part.Ref)
+			w.Judge.over(disp.part.Ref)
 		}
-		for i := range s.links {
-			w.Stores[i].Disconnect(s.n)
+		for i := range b.links {
+			w.Stores[i].Disconnect(b.n)
 		}
 		w.at(w.Fleet.FrontNotice, func() {
-			if s.boot == boot && !s.up {
-				s.noticed = true
+			if b.boot == incarnation && !b.up {
+				b.noticed = true
 			}
 		})
 	}
 	return func() {
-		for _, s := range struck {
-			if !s.up {
-				for key := range w.Judge.told { // it knows of no drain but from its last list
-					if key[0] == s.n {
+		for _, b := range brokers {
+			if !b.up {
+				for key := range w.Judge.told { // after a restart it knows of draining stores only from its last list
+					if key[0] == b.n {
 						delete(w.Judge.told, key)
 					}
 				}
-				w.boot(s)
-				w.at(w.Fleet.ListLag, func() { w.tellOne(s) })
+				w.boot(b)
+				w.at(w.Fleet.ListLag, func() { w.tellOne(b) })
 			}
 		}
 	}
 }
 
-func (s *seat) inOrder() []*try {
+// sortedAttempts returns the open scans of a broker, ordered by ID, since map order would differ from run to run.
+func (b *seat) inOrder() []*try {
 	var all []*try
-	for _, t := range s.open {
-		all = append(all, t)
+	for _, att := range b.open {
+		all = append(all, att)
 	}
-	slices.SortFunc(all, func(a, b *try) int { return strings.Compare(a.sc.ID, b.sc.ID) })
+	slices.SortFunc(all, func(x, y *try) int { return strings.Compare(x.sc.ID, y.sc.ID) })
 	return all
 }
 
-func (w *World) flightsOf(s *seat) []*flight {
+// dispatchesOfBroker returns a broker's dispatches in progress, ordered by reference.
+func (w *World) flightsOf(b *seat) []*flight {
 	var all []*flight
-	for _, fl := range w.flights {
-		if fl.seat == s.n {
-			all = append(all, fl)
+	for _, disp := range w.flights {
+		if disp.seat == b.n {
+			all = append(all, disp)
 		}
 	}
 	slices.SortFunc(all, func(a, b *flight) int { return int(a.part.Ref - b.part.Ref) })
 	return all
 }
 
-// pause lets brokers stand still. What they then do late is theirs to answer for, but no scan is lost by it: who gets no
-// turn can give no answer.
+// pauseBrokers applies the fault broker_pause. Scans open on a paused broker do not count as lost, since it cannot respond;
+// all other rules apply to what it does after the pause.
 func (w *World) pause(f Fault) func() {
-	struck := w.brokers(f)
-	for _, s := range struck {
-		s.paused = true
+	brokers := w.brokers(f)
+	for _, b := range brokers {
+		b.paused = true
 		if w.live != nil {
-			w.live.pause(s, true)
+			w.live.pause(b, true)
 		}
-		w.Judge.stands[s.n] = true
+		w.Judge.stands[b.n] = true
 	}
 	return func() {
-		for _, s := range struck {
-			if !s.up || !s.paused {
-				delete(w.Judge.stands, s.n)
+		for _, b := range brokers {
+			if !b.up || !b.paused {
+				delete(w.Judge.stands, b.n)
 				continue
 			}
-			s.paused = false
+			b.paused = false
 			if w.live != nil {
-				w.live.pause(s, false)
+				w.live.pause(b, false)
 			}
-			delete(w.Judge.stands, s.n)
-			for _, t := range s.inOrder() {
-				w.Judge.released(t.sc.ID)
+			delete(w.Judge.stands, b.n)
+			for _, att := range b.inOrder() {
+				w.Judge.released(att.sc.ID)
 			}
 			if w.live == nil {
-				w.turn(s, w.now)
-				w.wakeMail(s)
+				w.turn(b, w.now)
+				w.wakeMail(b)
 			}
 		}
 	}
 }
 
-// flightsAt are those at a store, in order.
+// dispatchesAtStore returns a store's dispatches in progress, ordered by reference.
 func (w *World) flightsAt(i int) []*flight {
 	var all []*flight
-	for _, fl := range w.flights {
-		if fl.store == i {
-			all = append(all, fl)
+	for _, disp := range w.flights {
+		if disp.store == i {
+			all = append(all, disp)
 		}
 	}
 	slices.SortFunc(all, func(a, b *flight) int { return int(a.part.Ref - b.part.Ref) })
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -8,100 +8,101 @@
 	"gullstair/internal/quota"
 )
 
-// Fleet is what stands: stores, brokers, the network and the lists. Times in ms.
+// Fleet describes the emulated system: stores, brokers, network, service discovery and clients. Times are in ms.
 type Fleet struct {
 	Zones   []string
-	Cells   int // a store has one; shard s is held by the stores of Reach cells from s on
+	Cells   int // each store belongs to one of these cells; shard s is held by the stores of Reach cells, from cell s modulo Cells on
 	Reach   int
 	Shards  int
 	Stores  int
 	Brokers int
 	Kinds   []KindShare
-	Nature  Nature
-
-	Same, Cross, Jitter  float64 // one way, within a zone and between two
-	Client               float64 // one way to a client
-	ConnectTimeout, Idle float64
-
-	Turn          float64
-	Batch         int
-	Dispatches    int
-	OpenCap       int
-	SecondCopies  bool
-	RetryAfter    bool
+	Nature  Nature // behaviour of all stores
+
+	Same, Cross, Jitter  float64 // one-way delay within a zone and between two, and the random part added to either
+	Client               float64 // one-way delay between client and broker
+	ConnectTimeout, Idle float64 // for connections from brokers to stores; idle for longer, they are not reused
+
+	Turn          float64 // least time between two turns of a broker
+	Batch         int     // maximum number of parts in a call
+	Dispatches    int     // maximum number of dispatches per part, the first included
+	OpenCap       int     // maximum number of open scans of a broker
+	SecondCopies  bool    // a part may be dispatched again while an earlier dispatch is still open
+	RetryAfter    bool    // throttled clients are told when to retry
 	MaxRetryAfter float64
-	DrainGrace    float64
+	DrainGrace    float64 // parts may still be sent for so long after a broker received that a store drains
 
-	ListLag, ListSpread float64 // until a change of the list is told to a broker
-	SilentLag           float64 // until a store that vanished is taken off the list
-	FrontNotice         float64 // until clients stop being sent to a broker that died
+	ListLag, ListSpread float64 // a broker receives a change of the node list after ListLag plus a random part of ListSpread
+	SilentLag           float64 // additional delay until a vanished store is removed from the list
+	FrontNotice         float64 // time until clients no longer choose a broker that died
 
-	// Budget of dispatches beyond each part's first, in any window: so many, and a share of the scans and parts taken in
-	// it; a window of 0: none is stated.
+	// Budget for repeated dispatches of parts: in any window of BudgetWindow, at most BudgetSpare plus BudgetShare times the
+	// number of scans and parts accepted in it. A window of 0: no budget.
 	BudgetWindow, BudgetShare float64
 	BudgetSpare               int
 
 	Types   []TableType
 	Traffic Traffic
 
-	Confined Cells // tenants to cells; none where Count is 0
+	Confined Cells // assignment of tenants to subsets of the stores; Count 0: none
 
-	Limits []FleetLimit // that hold for all brokers together
-	// The brokers tell each other of calls and failures; they come to verdicts on stores together.
+	Limits []FleetLimit // each applies to all brokers together
+	// Notes: brokers exchange notes on calls and failures. Verdicts: brokers agree on which stores are faulty.
 	Notes, Verdicts bool
 }
 
-// Cells confine tenants to subsets of the stores.
+// TenantCells confines tenants to cells: each cell is a subset of the stores that serves a part of the tenants.
 type Cells struct {
-	Count, Holders int
-	Least          float64
-	Open           int     // scans of one cell, most; 0: any number
-	Rate           float64 // scans a second of one cell at one broker; 0: any number
+	Count, Holders int     // number of tenant cells; stores that each has of every store cell (see Fleet.Cells)
+	Least          float64 // fraction of the Holders that must be up; below it the tenant cell refuses scans
+	Open           int     // maximum number of open scans of a cell at one broker; 0: unlimited
+	Rate           float64 // maximum scans per second of a cell at one broker; 0: unlimited
 }
 
 func cellName(i int) string { return fmt.Sprintf("cell-%d", i) }
 
-// plan is the map's, and the limits of each cell.
+// cellPlan returns the plan for cells.Build, and the limits by cell. The burst is the number of scans in 200 ms.
 func (c Cells) plan() (cells.Plan, map[string]quota.Limits) {
-	p, limits := cells.Plan{Holders: c.Holders, MinHolderShare: c.Least}, map[string]quota.Limits{}
+	plan, limits := cells.Plan{Holders: c.Holders, MinHolderShare: c.Least}, map[string]quota.Limits{}
 	for i := range c.Count {
-		p.Cells = append(p.Cells, cells.Cell{Name: cellName(i)})
+		plan.Cells = append(plan.Cells, cells.Cell{Name: cellName(i)})
 		limits[cellName(i)] = quota.Limits{Open: c.Open, Rate: c.Rate, Burst: c.Rate / 5}
 	}
-	return p, limits
+	return plan, limits
 }
 
-// KindShare is a kind with its share of the stores.
+// KindShare is a kind of machine with its share of the stores.
 type KindShare struct {
 	Kind
 	Share float64
 }
 
-// TableType is one, as the start settings state it. Work is a part's mean, in ms of a core at speed 1.
+// TableType describes the scans of one table type. Times are in ms.
 type TableType struct {
 	Name                 string
-	Share                float64 // of the scans
-	Parts                int
-	Work, Spread         float64 // Spread: parts differ by a factor from 1-Spread to 1+Spread
-	Target, Timeout      float64
-	Benefit, LateBenefit float64
-	Effect               string // replayable, keyed or non-replayable
-	RepeatWindow         float64
-	Need, Floor, Partial float64
-	Fetch                int
-	FetchWork            float64 // of a part's
+	Share                float64 // weight among the scans; relative to the sum over all types
+	Parts                int     // number of parts of a scan
+	Work, Spread         float64 // mean work of a part, ms of a core at speed 1; parts vary by a factor from 1-Spread to 1+Spread
+	Target, Timeout      float64 // target latency and deadline of a scan
+	Benefit, LateBenefit float64 // value of an answer within Target, and of a later one
+	Effect               string  // replayable, keyed or non-replayable
+	RepeatWindow         float64 // time within which a keyed part may be repeated
+	Need, Floor, Partial float64 // weight of the parts in a complete answer and the least in a partial one; benefit factor of a partial one
+	Fetch                int     // number of parts that a second step fetches; 0: no second step
+	FetchWork            float64 // work of a fetch as a fraction of the work of the part
 }
 
-// Traffic is what clients do. They don't wait for one another: a slow answer slows nobody else's scan.
+// Traffic describes the clients. It is an open-loop load: scans arrive at the given rate regardless of whether earlier ones
+// have been answered.
 type Traffic struct {
-	Rate          float64 // scans a second, all brokers together
-	PatienceLeast float64 // share of the query timeout that a client waits at least
-	Retries       float64 // chance that a client tries once more after a throttled or failed try
-	Backoff       float64
-	Heed          float64 // chance that it heeds the time to come back
-	Skew          float64 // 0: all shards alike; more: the first ones are asked for more often
-	// Tenants ask in unlike shares: the first one most. TenantPerSecond is the scans a second that each is entitled to at
-	// all brokers together; what a tenant sends beyond it may be turned away first.
+	Rate          float64 // scans per second, at all brokers together
+	PatienceLeast float64 // least fraction of the timeout that a client waits; each draws its own between this and 1
+	Retries       float64 // probability that a client retries after a throttled or failed attempt; there is at most one retry
+	Backoff       float64 // mean delay in ms before the retry
+	Heed          float64 // probability that the client respects the retry time in the response
+	Skew          float64 // Zipf exponent of shard popularity; 0: uniform
+	// The tenants' shares of the scans follow a Zipf distribution with exponent TenantSkew; tenant 0 sends most. Each
+	// tenant is entitled to TenantPerSecond scans per second at all brokers together; scans beyond that may be shed first.
 	Tenants         int
 	TenantSkew      float64
 	TenantPerSecond float64
@@ -109,9 +110,9 @@
 
 func tenantName(i int) string { return fmt.Sprintf("tenant-%d", i) }
 
-// settings are the fleet's start settings in the module's words, for the broker with this number.
+// settings returns the start settings, under the decision module's names, for the broker with the given number and zone.
 func (f *Fleet) settings(ordinal, zone int) map[string]any {
-	t := map[string]any{"turn": f.Turn, "brokers": float64(f.Brokers), "zone": float64(zone), "ordinal": float64(ordinal),
+	settings := map[string]any{"turn": f.Turn, "brokers": float64(f.Brokers), "zone": float64(zone), "ordinal": float64(ordinal),
 		"countedBy": "request", "discovery": "automatic",
 		"layout.cells": float64(f.Cells), "layout.reach": float64(f.Reach), "layout.shards": float64(f.Shards),
 		"layout.batch": float64(f.Batch), "layout.callWork": f.Nature.CallWork,
@@ -122,50 +123,50 @@
 		"rules.startCapacity": f.Nature.ColdFrom, "tableType.count": float64(len(f.Types)),
 		"areas.count": float64(len(f.Zones)), "kinds.count": float64(len(f.Kinds)), "tenant.count": 0.0}
 	if f.Notes || f.Verdicts {
-		t["limit.peers"], t["share.verdicts"] = f.Notes, f.Verdicts
+		settings["limit.peers"], settings["share.verdicts"] = f.Notes, f.Verdicts
 	}
 	if f.BudgetWindow > 0 {
-		t["rules.budgetWindow"], t["rules.spareDispatches"], t["rules.spareShare"] = f.BudgetWindow, float64(f.BudgetSpare), f.BudgetShare
+		settings["rules.budgetWindow"], settings["rules.spareDispatches"], settings["rules.spareShare"] = f.BudgetWindow, float64(f.BudgetSpare), f.BudgetShare
 	}
 	if n := f.Traffic.Tenants; n > 0 {
-		t["tenant.count"] = float64(n)
+		settings["tenant.count"] = float64(n)
 		for i := range n {
-			t[fmt.Sprintf("tenant.%d.name", i)] = tenantName(i)
-			t[fmt.Sprintf("tenant.%d.perSecond", i)] = f.Traffic.TenantPerSecond
+			settings[fmt.Sprintf("tenant.%d.name", i)] = tenantName(i)
+			settings[fmt.Sprintf("tenant.%d.perSecond", i)] = f.Traffic.TenantPerSecond
 		}
 	}
-	for i, z := range f.Zones {
-		t[fmt.Sprintf("areas.%d", i)] = z
+	for i, zone := range f.Zones {
+		settings[fmt.Sprintf("areas.%d", i)] = zone
 	}
-	for i, k := range f.Kinds {
-		t[fmt.Sprintf("kinds.%d", i)] = k.Name
+	for i, kind := range f.Kinds {
+		settings[fmt.Sprintf("kinds.%d", i)] = kind.Name
 	}
-	for i, y := range f.Types {
-		at := fmt.Sprintf("tableType.%d.", i)
-		t[at+"name"], t[at+"target"], t[at+"timeout"] = y.Name, y.Target, y.Timeout
-		t[at+"benefit"], t[at+"lateBenefit"], t[at+"effect"] = y.Benefit, y.LateBenefit, y.Effect
-		t[at+"repeatWindow"] = y.RepeatWindow
-		in := func(name string, v float64) { t[fmt.Sprintf("layout.%s.%d", name, i)] = v }
-		in("need", y.Need)
-		in("floor", y.Floor)
-		in("partialBenefit", y.Partial)
-		in("fetch", float64(y.Fetch))
+	for i, tableType := range f.Types {
+		prefix := fmt.Sprintf("tableType.%d.", i)
+		settings[prefix+"name"], settings[prefix+"target"], settings[prefix+"timeout"] = tableType.Name, tableType.Target, tableType.Timeout
+		settings[prefix+"benefit"], settings[prefix+"lateBenefit"], settings[prefix+"effect"] = tableType.Benefit, tableType.LateBenefit, tableType.Effect
+		settings[prefix+"repeatWindow"] = tableType.RepeatWindow
+		set := func(name string, v float64) { settings[fmt.Sprintf("layout.%s.%d", name, i)] = v }
+		set("need", tableType.Need)
+		set("floor", tableType.Floor)
+		set("partialBenefit", tableType.Partial)
+		set("fetch", float64(tableType.Fetch))
 	}
-	return t
+	return settings
 }
 
-// Holders says whether a cell holds a shard.
+// cellHoldsShard reports whether the stores of a cell hold a shard.
 func (f *Fleet) holds(cell, shard int) bool {
 	return ((cell-shard)%f.Cells+f.Cells)%f.Cells < f.Reach
 }
 
-// kindOf draws a store's kind by the shares.
-func (f *Fleet) kindOf(r *rand.Rand) Kind {
+// drawKind draws the kind of a store, weighted by the shares.
+func (f *Fleet) kindOf(rnd *rand.Rand) Kind {
 	sum := 0.0
 	for _, k := range f.Kinds {
 		sum += k.Share
 	}
-	x := r.Float64() * sum
+	x := rnd.Float64() * sum
 	for _, k := range f.Kinds {
 		if x -= k.Share; x < 0 {
 			return k.Kind
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -19,23 +19,26 @@
 	"gullstair/logic"
 )
 
-// Decider is a broker without its sockets: core.Core, or one of the plain policies that it is compared with.
+// BrokerCore is the logic of a broker without its sockets: core.Core, or a baseline policy that core.Core is compared
+// with. Times are Unix times in ms.
 type Decider interface {
+	// Step processes the inputs received since the last call and returns what the broker sends.
 	Step(now float64, in []core.Input) []core.Output
+	// Due returns the time at which Step is needed without any input; +Inf if there is none.
 	Due() float64
 }
 
-// Maker makes the decider of a broker that starts, with the list that it had last.
+// BrokerFactory creates the core of a broker that starts. Known is the node list that the broker had before a restart.
 type Maker func(f *Fleet, ordinal, zone int, seed uint64, known []core.Node) (Decider, error)
 
-// Gullstair makes the real broker: core and decision module as they are.
+// Gullstair creates the production broker: the unmodified core and decision module.
 func Gullstair(f *Fleet, ordinal, zone int, seed uint64, known []core.Node) (Decider, error) {
-	flat := f.settings(ordinal, zone)
-	site, err := terms.ReadSettings(flat)
+	settings := f.settings(ordinal, zone)
+	site, err := terms.ReadSettings(settings)
 	if err != nil {
 		return nil, err
 	}
-	c := core.New(site, flat, seed, known)
+	c := core.New(site, settings, seed, known)
 	if f.Confined.Count > 0 {
 		plan, limits := f.Confined.plan()
 		c.SetCells(plan, limits, f.Nature.Cold, f.MaxRetryAfter, rand.New(rand.NewPCG(seed, 0xce11)).Float64)
@@ -43,116 +46,121 @@
 	return c, nil
 }
 
-// epoch is the virtual Unix time at the start, in ms; stores' start times are told by it.
+// epoch is the virtual Unix time in ms at which a run starts. Brokers receive all times relative to the Unix epoch,
+// including the start times of stores.
 const epoch = 1e12
 
-// World is one run in virtual time. The same fleet, seed and faults give the same run, event by event.
+// World is one run of an emulated fleet, in virtual time unless RunLive plays it. In virtual time the same fleet, seed and
+// faults give the same run, event by event. Times are ms since the start of the run.
 type World struct {
 	Fleet   *Fleet
 	Stores  []*Store
 	Judge   *Judge
-	Notes   []string      // the faults' time line
-	Share   time.Duration // on loopback: the brokers share the probing of all stores in this period; 0: they share nothing
-	Events  int
+	Notes   []string      // report lines: when each fault began and ended, and its targets
+	Share   time.Duration // RunLive only: period in which the brokers together probe every store; 0: each probes on its own
+	Events  int           // number of events processed
 	now     float64
 	q       queue
-	rnd     *rand.Rand // for the network and for what clients do after their first try
-	come    *rand.Rand // for the scans that come: the same whoever answers them, and in real time too
-	strikes uint64     // faults planned: each draws its targets from chance of its own
+	rnd     *rand.Rand // for the network, broker selection and client retries
+	come    *rand.Rand // for arriving scans only, so that they are the same for every policy, also in real time
+	strikes uint64     // faults scheduled so far; seeds the generator of each fault
 	seed    uint64
 	make    Maker
 	memory  *Memory
 	seats   []*seat
 	byHost  map[string]int
-	states  []core.Node // the true list
+	states  []core.Node // by store: its entry in service discovery, before any delay
 	flights map[int64]*flight
-	planned []float64 // by store: the look at it that is planned
+	planned []float64 // by store: time of its scheduled Step call; 0: none
 	tally   *tally
-	asks    int64
+	asks    int64 // client requests created so far
 	net     network
-	rate    float64 // times the traffic's
+	rate    float64 // factor on Traffic.Rate
 	hot     hot
-	abuser  int       // the tenant that asks for too much, plus one; 0: none does
-	weights []float64 // of shards, summed up
-	stale   float64   // added to the lists' lag
-	mute    bool      // discovery says nothing
-	ending  float64
+	abuser  int       // number of the tenant that sends excess traffic, plus one; 0: none
+	weights []float64 // cumulative popularity of the shards
+	stale   float64   // ms added to the delay of list updates
+	mute    bool      // service discovery sends no updates
+	ending  float64   // no new client requests from this time on
 	err     error
-	live    *live // nil: in virtual time
+	live    *live // set by RunLive; nil: virtual time
 }
 
-// network is what is wrong between places.
+// networkFaults holds the active faults between zones, brokers and stores.
 type network struct {
-	cutZones  map[[2]int]bool         // one way
-	lossZones map[[2]int]float64      // one way, share lost
-	oneSided  map[int]map[int]float64 // by broker and store: share of the answers that are lost
+	cutZones  map[[2]int]bool         // from and to zone: all messages are lost
+	lossZones map[[2]int]float64      // from and to zone: fraction of messages lost
+	oneSided  map[int]map[int]float64 // by broker and store: fraction of responses lost
 
-	apart      map[[2]int]bool // brokers, one way
-	brokerLoss float64         // share of what brokers tell each other
+	apart      map[[2]int]bool // from and to broker: all datagrams are lost
+	brokerLoss float64         // fraction of datagrams between brokers that is lost
 }
 
+// hotShard is the shard at which a share of the scans starts; a share of 0: none.
 type hot struct {
 	share float64
 	shard int
 }
 
-// seat is a broker's place: the process in it may change.
+// emulatedBroker is a broker of the fleet. It keeps its number, zone and node list when its process is restarted; each
+// start counts up the incarnation.
 type seat struct {
 	n, zone  int
 	d        Decider
 	boot     int
 	up       bool
 	paused   bool
-	noticed  bool // clients know that it is down
+	noticed  bool // clients have noticed that it is down and no longer choose it
 	inbox    []core.Input
-	last     float64
-	wake     int
-	wakeAt   float64
+	last     float64 // time of the last Step call
+	wake     int     // number of the scheduled Step call; calls scheduled earlier are ignored
+	wakeAt   float64 // time of the scheduled Step call; 0: none
 	links    map[int]*link
-	told     []core.Node // the list as it has it
+	told     []core.Node // the node list that it has received
 	open     map[string]*try
-	verdicts *holder  // its part of the fleet's verdicts; nil likewise
-	limits   *limiter // its part of the fleet's; nil: none, or in a process of its own
-	mail     []func() // other brokers' datagrams that wait while it stands still
+	verdicts *holder  // its replica of the shared verdicts on stores; nil: not shared, or it is a real process
+	limits   *limiter // its part of the shared limits; nil: no limits, or it is a real process
+	mail     []func() // datagrams from other brokers, queued while it is paused
 }
 
 // link is a broker's connection to a store.
 type link struct {
 	up      bool
 	dialing bool
-	waiting []core.Call
-	used    float64
-	gen     int
+	waiting []core.Call // calls queued until the connection is established
+	used    float64     // time of the last call
+	gen     int         // changes whenever the connection is established or lost
 }
 
+// dispatch is a part sent to a store whose result has not been received by its broker.
 type flight struct {
 	seat, boot int
 	store      int
 	link       int
 	part       *Part
 	scan       string
-	second     bool
+	second     bool // it belongs to the second step (fetch) of its scan
 	ended      bool
-	conn       net.Conn // live: on which it came
+	conn       net.Conn // RunLive only: the connection on which it arrived
 }
 
-// ask is what a client wants, over all its tries.
+// clientRequest is what a client requests, across all its attempts.
 type ask struct {
 	n       int64
 	typ     int
 	parts   []core.ScanPart
-	cost    []float64
+	cost    []float64 // actual work of each part, ms of a core at speed 1
 	text    string
 	key     string
 	tenant  int
 	began   float64
-	budget  float64
+	budget  float64 // ms that the client waits in total
 	benefit float64
 	tries   int
-	settled bool
+	settled bool // its outcome has been counted
 }
 
-// try is one request to a broker.
+// attempt is one request of a client to a broker. A client request has more than one if the client retries.
 type try struct {
 	a      *ask
 	sc     *core.Scan
@@ -161,29 +169,31 @@
 	sentAt float64
 }
 
-// New makes a world. Brokers start with the whole list; mk may be nil where they are processes, see RunLive.
-func New(f *Fleet, seed uint64, mk Maker) *World {
-	w := &World{Fleet: f, Judge: newJudge(f), rnd: rand.New(rand.NewPCG(seed, 0xe0)), come: rand.New(rand.NewPCG(seed, 0xc0e)), seed: seed, make: mk, memory: NewMemory(),
+// New creates a world whose brokers start with the complete node list. Factory is nil if the brokers are real processes,
+// see RunLive.
+func New(f *Fleet, seed uint64, factory Maker) *World {
+	w := &World{Fleet: f, Judge: newJudge(f), rnd: rand.New(rand.NewPCG(seed, 0xe0)), come: rand.New(rand.NewPCG(seed, 0xc0e)), seed: seed, make: factory, memory: NewMemory(),
 		byHost: map[string]int{}, flights: map[int64]*flight{}, tally: newTally(len(f.Types)), rate: 1,
 		net: network{cutZones: map[[2]int]bool{}, lossZones: map[[2]int]float64{}, oneSided: map[int]map[int]float64{}, apart: map[[2]int]bool{}}}
 	for i := range f.Stores {
-		// Cells and zones go round, so that each shard's holders lie in different zones as far as these go.
+		// Assigns cells and zones in turn, so that the stores of each shard are spread over as many zones as possible.
 		w.addStore(i%f.Cells, (i/f.Cells+i%f.Cells)%len(f.Zones), longAgo)
 	}
 	sum := 0.0
-	for s := range f.Shards {
-		sum += math.Pow(float64(s+1), -f.Traffic.Skew)
+	for shard := range f.Shards {
+		sum += math.Pow(float64(shard+1), -f.Traffic.Skew)
 		w.weights = append(w.weights, sum)
 	}
 	for i := range f.Brokers {
-		s := &seat{n: i, zone: i % len(f.Zones)}
-		w.seats = append(w.seats, s)
-		s.told = slices.Clone(w.states)
-		w.boot(s)
+		b := &seat{n: i, zone: i % len(f.Zones)}
+		w.seats = append(w.seats, b)
+		b.told = slices.Clone(w.states)
+		w.boot(b)
 	}
 	return w
 }
 
+// addStore adds a store that starts at time born to the fleet and to the discovery list and returns its index.
 func (w *World) addStore(cell, zone int, born float64) int {
 	i := len(w.Stores)
 	kind := w.Fleet.kindOf(w.rnd)
@@ -191,12 +201,12 @@
 	w.Stores = append(w.Stores, s)
 	w.byHost[s.Name] = i
 	w.planned = append(w.planned, 0)
-	told := 0.0
+	bornUnix := 0.0
 	if born > longAgo/2 {
-		told = w.unix(born)
+		bornUnix = w.unix(born)
 	}
 	w.states = append(w.states, core.Node{Host: s.Name, Addr: "10.0.0.1:1", Zone: w.Fleet.Zones[zone], Kind: kind.Name, Cell: cell,
-		Readiness: logic.Ready, Units: 1, Born: told})
+		Readiness: logic.Ready, Units: 1, Born: bornUnix})
 	if w.live != nil {
 		if err := w.live.open(i); err != nil && w.err == nil {
 			w.err = err
@@ -205,7 +215,7 @@
 	return i
 }
 
-// unix is a moment of the run as the brokers' clocks show it.
+// unixMs converts a time of the run to Unix time in ms, as brokers see it.
 func (w *World) unix(at float64) float64 {
 	if w.live != nil {
 		return float64(w.live.begun.UnixNano())/1e6 + at
@@ -213,36 +223,38 @@
 	return epoch + at
 }
 
+// after schedules do after a delay in ms.
 func (w *World) at(wait float64, do func()) { w.q.push(w.now+max(0, wait), do) }
 
-// Run plays until the traffic's end and some time more, so that what is open comes to its end.
-func (w *World) Run(forMs float64) (Figures, error) {
-	begun := time.Now()
-	w.ending = forMs
+// Run plays the world in virtual time. Clients send requests for trafficMs; the run then continues for the longest timeout
+// plus 2 s, so that requests still open can finish.
+func (w *World) Run(trafficMs float64) (Figures, error) {
+	started := time.Now()
+	w.ending = trafficMs
 	w.arrivals()
 	w.sweep()
-	over := forMs
+	end := trafficMs
 	for _, t := range w.Fleet.Types {
-		over = max(over, forMs+t.Timeout+2000)
+		end = max(end, trafficMs+t.Timeout+2000)
 	}
 	for w.q.len() > 0 && w.err == nil {
 		e := w.q.pop()
-		if e.at > over {
+		if e.at > end {
 			break
 		}
 		w.now = e.at
 		w.Events++
 		e.do()
 	}
-	w.now = over
-	w.Judge.sweep(over, true)
-	f := w.close(over)
-	f.WallSeconds = time.Since(begun).Seconds()
+	w.now = end
+	w.Judge.sweep(end, true)
+	f := w.close(end)
+	f.WallSeconds = time.Since(started).Seconds()
 	return f, w.err
 }
 
-// close makes up the account.
-func (w *World) close(over float64) Figures {
+// collectFigures evaluates the fleet limits and returns the figures of a run that ended at endMs.
+func (w *World) close(endMs float64) Figures {
 	w.limitsKept()
 	f := w.tally.figures(w.Fleet.Types)
 	worked, wasted := 0.0, 0.0
@@ -252,23 +264,23 @@
 	f.Wasted = 1 - share(worked-wasted, worked)
 	f.Dispatches = share(float64(w.tally.f.Moved), float64(f.Scans))
 	f.Broken, f.Breaches, f.Events = w.Judge.Broken, w.Judge.Breaches, w.Events
-	f.VirtualSecs = over / 1000
+	f.VirtualSecs = endMs / 1000
 	if w.abuser > 0 {
 		f.Abuser = tenantName(w.abuser - 1)
 	}
-	of := w.cellOf()
-	for name, x := range f.ByTenant {
+	cellOf := w.cellOf()
+	for name, service := range f.ByTenant {
 		if name != f.Abuser {
-			f.WorstTenant = min(f.WorstTenant, x)
+			f.WorstTenant = min(f.WorstTenant, service)
 		}
-		if of(name) != of(f.Abuser) {
-			f.OtherCells = min(f.OtherCells, x)
+		if cellOf(name) != cellOf(f.Abuser) {
+			f.OtherCells = min(f.OtherCells, service)
 		}
 	}
 	return f
 }
 
-// cellOf says which cell a tenant belongs to, for the report; without cells each has one of its own.
+// cellLookup returns a function from tenant to cell, for the report. Without cells each tenant has a cell of its own.
 func (w *World) cellOf() func(tenant string) string {
 	plan, _ := w.Fleet.Confined.plan()
 	var stores []cells.Store
@@ -281,91 +293,94 @@
 	return func(tenant string) string { return tenant }
 }
 
+// sweepPeriodically checks once a second for scans past their deadline.
 func (w *World) sweep() {
 	w.Judge.sweep(w.now, false)
 	w.at(1000, w.sweep)
 }
 
-// boot starts a process in a seat.
-func (w *World) boot(s *seat) {
-	s.boot++
-	s.links, s.open, s.last = map[int]*link{}, map[string]*try{}, math.Inf(-1)
+// startBroker starts a broker, or restarts it as a new incarnation.
+func (w *World) boot(b *seat) {
+	b.boot++
+	b.links, b.open, b.last = map[int]*link{}, map[string]*try{}, math.Inf(-1)
 	if w.make == nil {
-		if s.up = w.live == nil; w.live != nil {
-			w.live.restart(s)
+		if b.up = w.live == nil; w.live != nil {
+			w.live.restart(b)
 		}
 		return
 	}
-	d, err := w.make(w.Fleet, s.n, s.zone, w.seed*1000003+uint64(s.n)*131+uint64(s.boot), slices.Clone(s.told))
+	brokerCore, err := w.make(w.Fleet, b.n, b.zone, w.seed*1000003+uint64(b.n)*131+uint64(b.boot), slices.Clone(b.told))
 	if err != nil {
 		w.err = err
 		return
 	}
-	s.d, s.up, s.noticed, s.paused, s.inbox, s.mail = d, true, false, false, nil, nil
-	w.limit(s, w.seed*1000003+uint64(s.n)*131+uint64(s.boot))
-	w.hold(s, w.seed*1000003+uint64(s.n)*131+uint64(s.boot))
-	w.turn(s, w.now+w.rnd.Float64()*w.Fleet.Turn)
+	b.d, b.up, b.noticed, b.paused, b.inbox, b.mail = brokerCore, true, false, false, nil, nil
+	w.limit(b, w.seed*1000003+uint64(b.n)*131+uint64(b.boot))
+	w.hold(b, w.seed*1000003+uint64(b.n)*131+uint64(b.boot))
+	w.turn(b, w.now+w.rnd.Float64()*w.Fleet.Turn)
 }
 
-// turn plans a broker's next turn.
-func (w *World) turn(s *seat, at float64) {
-	at = max(at, s.last+w.Fleet.Turn, w.now)
-	if s.wakeAt > w.now && s.wakeAt <= at && s.wake > 0 || math.IsInf(at, 1) {
+// scheduleTurn schedules a broker's next Step call for time at, but no sooner than Fleet.TurnInterval after the last one.
+// A call that is already scheduled for an earlier time stays.
+func (w *World) turn(b *seat, at float64) {
+	at = max(at, b.last+w.Fleet.Turn, w.now)
+	if b.wakeAt > w.now && b.wakeAt <= at && b.wake > 0 || math.IsInf(at, 1) {
 		return
 	}
-	s.wake++
-	wake, boot := s.wake, s.boot
-	s.wakeAt = at
+	b.wake++
+	seq, incarnation := b.wake, b.boot
+	b.wakeAt = at
 	w.q.push(at, func() {
-		if s.boot == boot && s.wake == wake && s.up && !s.paused {
-			w.step(s)
+		if b.boot == incarnation && b.wake == seq && b.up && !b.paused {
+			w.step(b)
 		}
 	})
 }
 
-func (w *World) step(s *seat) {
-	s.last, s.wakeAt = w.now, 0
-	in := s.inbox
-	s.inbox = nil
-	for _, o := range s.d.Step(epoch+w.now, in) {
-		switch v := o.(type) {
+// runTurn calls Step on a broker with its queued inputs and carries out the outputs.
+func (w *World) step(b *seat) {
+	b.last, b.wakeAt = w.now, 0
+	in := b.inbox
+	b.inbox = nil
+	for _, out := range b.d.Step(epoch+w.now, in) {
+		switch v := out.(type) {
 		case core.Call:
-			w.call(s, v)
+			w.call(b, v)
 		case core.Cancel:
-			w.giveUp(s, v)
+			w.giveUp(b, v)
 		case core.Reply:
-			w.reply(s, v)
+			w.reply(b, v)
 		case core.Probe:
-			w.probe(s, v)
+			w.probe(b, v)
 		case core.SendNote:
-			w.noteAll(s, v.Note)
+			w.noteAll(b, v.Note)
 		case core.OutcomeReport:
-			s.verdicts.step(verdicts.Outcome{Store: v.Host, Kind: broker.ToVerdictKind(v)})
+			b.verdicts.step(verdicts.Outcome{Store: v.Host, Kind: broker.ToVerdictKind(v)})
 		case core.NodeList:
-			s.verdicts.list(v)
+			b.verdicts.list(v)
 		case core.Log:
 			if v.Fatal {
-				w.err = fmt.Errorf("broker %d: %s", s.n, v.Text)
+				w.err = fmt.Errorf("broker %d: %s", b.n, v.Text)
 			}
 		}
 	}
-	if due := s.d.Due(); !math.IsInf(due, 1) {
-		w.turn(s, max(due-epoch, w.now))
+	if next := b.d.Due(); !math.IsInf(next, 1) {
+		w.turn(b, max(next-epoch, w.now))
 	}
 }
 
-// tell puts something into a broker's mailbox.
-func (w *World) tell(s *seat, boot int, in core.Input) {
-	if s.boot != boot || !s.up || w.live != nil {
+// deliver queues an input for a broker and schedules its turn. Inputs for an earlier incarnation are dropped.
+func (w *World) tell(b *seat, incarnation int, in core.Input) {
+	if b.boot != incarnation || !b.up || w.live != nil {
 		return
 	}
-	s.inbox = append(s.inbox, in)
-	if !s.paused {
-		w.turn(s, w.now)
+	b.inbox = append(b.inbox, in)
+	if !b.paused {
+		w.turn(b, w.now)
 	}
 }
 
-// way is how long a message takes from one zone to another, or that it is lost.
+// messageDelay draws the delay in ms of a message from one zone to another, and whether the message is lost.
 func (w *World) way(from, to int) (ms float64, lost bool) {
 	f := w.Fleet
 	ms = f.Same
@@ -382,37 +397,38 @@
 	return ms, false
 }
 
-// call sends a frame, over a connection that is there or that has to come up.
-func (w *World) call(s *seat, c core.Call) {
+// sendCall sends a call to a store over the existing connection, or queues it and establishes a connection if there is
+// none or it has been idle for too long.
+func (w *World) call(b *seat, c core.Call) {
 	i, known := w.byHost[c.Host]
 	if !known {
-		w.endAll(s, s.boot, c.Parts, core.NoAddress)
+		w.endAll(b, b.boot, c.Parts, core.NoAddress)
 		return
 	}
 	st := w.Stores[i]
 	for _, p := range c.Parts {
 		scan, second := scanOf(p.ID)
 		w.moved(st)
-		w.Judge.sent(w.now, s.n, i, st, scan, p.ID, p.Shard, second)
+		w.Judge.sent(w.now, b.n, i, st, scan, p.ID, p.Shard, second)
 	}
-	l := s.links[i]
+	l := b.links[i]
 	if l == nil {
 		l = &link{}
-		s.links[i] = l
+		b.links[i] = l
 	}
 	switch {
 	case l.up && w.now-l.used < w.Fleet.Idle:
-		w.frame(s, i, l, c, 0)
+		w.frame(b, i, l, c, 0)
 	case l.dialing:
 		l.waiting = append(l.waiting, c)
 	default:
 		l.up, l.dialing = false, true
 		l.waiting = append(l.waiting, c)
-		w.dial(s, i, l)
+		w.dial(b, i, l)
 	}
 }
 
-// moved counts a part that goes to a store.
+// countDispatch counts a part sent to a store, and whether the store is faulty at that time.
 func (w *World) moved(st *Store) {
 	w.tally.f.Moved++
 	if a := &st.Ails; a.Mute || a.Late || a.Vanished || a.Dead || a.Fails > 0 || a.Resets > 0 || a.Spoils > 0 {
@@ -421,31 +437,32 @@
 	}
 }
 
-// dial brings a connection up: a way there and back, unless nobody is there or hears.
-func (w *World) dial(s *seat, i int, l *link) {
-	st, boot := w.Stores[i], s.boot
-	there, lost := w.way(s.zone, st.Zone)
-	back, lostBack := w.way(st.Zone, s.zone)
-	done := func(how core.EndReason) {
+// dial establishes a connection and then sends the queued calls. It takes one round trip; it is refused if the store is
+// down or takes no connection, and times out if the host of the store has vanished or a message is lost.
+func (w *World) dial(b *seat, i int, l *link) {
+	st, incarnation := w.Stores[i], b.boot
+	toStore, lost := w.way(b.zone, st.Zone)
+	toBroker, replyLost := w.way(st.Zone, b.zone)
+	done := func(reason core.EndReason) {
 		l.dialing = false
-		waiting := l.waiting
+		pending := l.waiting
 		l.waiting = nil
-		for _, c := range waiting {
-			if how != 0 {
-				w.endAll(s, boot, c.Parts, how)
+		for _, c := range pending {
+			if reason != 0 {
+				w.endAll(b, incarnation, c.Parts, reason)
 			} else {
-				w.frame(s, i, l, c, st.Nature.ConnWork)
+				w.frame(b, i, l, c, st.Nature.ConnWork)
 			}
 		}
 	}
-	if lost || lostBack || st.Ails.Vanished {
+	if lost || replyLost || st.Ails.Vanished {
 		w.at(w.Fleet.ConnectTimeout, func() { done(core.DialTimedOut) })
 		return
 	}
-	w.at(there, func() {
-		ok := st.Up() && st.Connect(s.n)
-		w.at(back, func() {
-			if s.boot != boot {
+	w.at(toStore, func() {
+		ok := st.Up() && st.Connect(b.n)
+		w.at(toBroker, func() {
+			if b.boot != incarnation {
 				return
 			}
 			if !ok || !st.Up() {
@@ -459,193 +476,196 @@
 	})
 }
 
-func (w *World) endAll(s *seat, boot int, parts []core.CallPart, how core.EndReason) {
+// endParts reports the same end reason to a broker for all parts of a call.
+func (w *World) endAll(b *seat, incarnation int, parts []core.CallPart, reason core.EndReason) {
 	for _, p := range parts {
-		w.tell(s, boot, core.Ended{Ref: p.Ref, Reason: how, At: epoch + w.now})
+		w.tell(b, incarnation, core.Ended{Ref: p.Ref, Reason: reason, At: epoch + w.now})
 	}
 }
 
-// frame puts a call's parts on the way over a connection that is up.
-func (w *World) frame(s *seat, i int, l *link, c core.Call, extra float64) {
+// sendFrame sends the parts of a call over an established connection. Parts past their latest send time are reported as
+// expired instead. ExtraWork is added to the work of the call.
+func (w *World) frame(b *seat, i int, l *link, c core.Call, extraWork float64) {
 	st := w.Stores[i]
 	l.used = w.now
-	live := c.Parts[:0:0]
+	unexpired := c.Parts[:0:0]
 	for _, p := range c.Parts {
 		if p.NotAfter > 0 && epoch+w.now > p.NotAfter {
-			w.tell(s, s.boot, core.Ended{Ref: p.Ref, Reason: core.WriteExpired, At: epoch + w.now})
+			w.tell(b, b.boot, core.Ended{Ref: p.Ref, Reason: core.WriteExpired, At: epoch + w.now})
 		} else {
-			live = append(live, p)
+			unexpired = append(unexpired, p)
 		}
 	}
-	there, lost := w.way(s.zone, st.Zone)
-	work := st.Nature.CallWork + extra
-	gen := l.gen
-	for _, p := range live {
+	toStore, lost := w.way(b.zone, st.Zone)
+	work := st.Nature.CallWork + extraWork
+	generation := l.gen
+	for _, p := range unexpired {
 		scan, second := scanOf(p.ID)
-		fl := &flight{seat: s.n, boot: s.boot, store: i, link: gen, scan: scan, second: second}
-		fl.part = &Part{ID: p.ID, Ref: p.Ref<<16 | int64(s.n)&0xffff, Broker: s.n, Shard: p.Shard, Until: p.Deadline - epoch, Text: p.Text}
+		disp := &flight{seat: b.n, boot: b.boot, store: i, link: generation, scan: scan, second: second}
+		disp.part = &Part{ID: p.ID, Ref: p.Ref<<16 | int64(b.n)&0xffff, Broker: b.n, Shard: p.Shard, Until: p.Deadline - epoch, Text: p.Text}
 		if p.Key != "" {
-			fl.part.Key = p.Key + "/" + strconv.Itoa(p.Shard)
+			disp.part.Key = p.Key + "/" + strconv.Itoa(p.Shard)
 		}
-		fl.part.Work = w.workOf(s, scan, p.Shard, second) + work/float64(len(live))
-		w.flights[fl.part.Ref] = fl
+		disp.part.Work = w.workOf(b, scan, p.Shard, second) + work/float64(len(unexpired))
+		w.flights[disp.part.Ref] = disp
 		if lost {
-			continue // nothing tells the broker
+			continue // the broker receives no notification
 		}
-		w.at(there, func() { w.arrive(s, st, l, gen, fl) })
+		w.at(toStore, func() { w.arrive(b, st, l, generation, disp) })
 	}
 }
 
-// workOf is the true work of a part.
-func (w *World) workOf(s *seat, scan string, shard int, second bool) float64 {
-	t := s.open[scan]
-	if t == nil {
+// partWork returns the actual work of a part, in ms of a core at speed 1.
+func (w *World) workOf(b *seat, scan string, shard int, secondStep bool) float64 {
+	att := b.open[scan]
+	if att == nil {
 		return 1
 	}
-	typ := &w.Fleet.Types[t.a.typ]
-	for k, p := range t.a.parts {
+	typ := &w.Fleet.Types[att.a.typ]
+	for k, p := range att.a.parts {
 		if p.Shard == shard {
-			if second {
-				return t.a.cost[k] * typ.FetchWork
+			if secondStep {
+				return att.a.cost[k] * typ.FetchWork
 			}
-			return t.a.cost[k]
+			return att.a.cost[k]
 		}
 	}
 	return typ.Work
 }
 
-// scanOf takes a part's id apart: its scan's id, and whether it is of a second step.
-func scanOf(id string) (scan string, second bool) {
-	id, second = strings.CutSuffix(id, ".get")
-	if at := strings.LastIndexByte(id, '.'); at >= 0 {
-		id = id[:at]
+// parsePartID returns the ID of the part's scan, and whether the part belongs to the second step.
+func scanOf(id string) (scan string, secondStep bool) {
+	id, secondStep = strings.CutSuffix(id, ".get")
+	if dot := strings.LastIndexByte(id, '.'); dot >= 0 {
+		id = id[:dot]
 	}
-	return id, second
+	return id, secondStep
 }
 
-func (w *World) arrive(s *seat, st *Store, l *link, gen int, fl *flight) {
-	if st.Ails.Vanished || fl.ended {
+// arriveAtStore passes a dispatch to its store and sends back all results that are available at once.
+func (w *World) arrive(b *seat, st *Store, l *link, generation int, disp *flight) {
+	if st.Ails.Vanished || disp.ended {
 		return
 	}
-	if !st.Up() || l.gen != gen {
-		w.finish(fl, Done{Part: fl.part, How: Reset, At: w.now})
+	if !st.Up() || l.gen != generation {
+		w.finish(disp, Done{Part: disp.part, How: Reset, At: w.now})
 		return
 	}
-	w.Judge.arrived(w.now, fl.scan, fl.part)
-	done, fell := st.Arrive(w.now, fl.part, w.rnd.Float64())
-	if fell {
+	w.Judge.arrived(w.now, disp.scan, disp.part)
+	done, crashed := st.Arrive(w.now, disp.part, w.rnd.Float64())
+	if crashed {
 		w.Judge.breach(w.now, RuleCold, nil, "%s fell, %.1f s after its start", st.Name, (w.now-st.Born)/1000)
 		w.reset(st)
 	}
 	for _, d := range done {
 		if d.Ran && d.How != Silent {
-			w.Judge.ran(d.At, fl.scan, fl.part.Shard, fl.second)
+			w.Judge.ran(d.At, disp.scan, disp.part.Shard, disp.second)
 		}
 		w.finish(w.flights[d.Part.Ref], d)
 	}
 	w.work(st)
 }
 
-// work plans the moment at which a store ends its next part.
+// scheduleStore schedules the store's Step call for the time at which it completes its next part.
 func (w *World) work(st *Store) {
-	due := st.Due()
+	next := st.Due()
 	i := w.byHost[st.Name]
-	if math.IsInf(due, 1) || w.planned[i] > w.now && w.planned[i] <= due {
-		return // nothing to wait for, or a look is planned that comes in time
+	if math.IsInf(next, 1) || w.planned[i] > w.now && w.planned[i] <= next {
+		return // no part in progress, or Step is already scheduled in time
 	}
-	w.planned[i] = max(due, w.now)
+	w.planned[i] = max(next, w.now)
 	w.q.push(w.planned[i], func() {
 		w.planned[i] = 0
 		for _, d := range st.Step(w.now) {
-			fl := w.flights[d.Part.Ref]
-			if fl == nil {
+			disp := w.flights[d.Part.Ref]
+			if disp == nil {
 				continue
 			}
-			w.Judge.ran(w.now, fl.scan, fl.part.Shard, fl.second)
-			w.finish(fl, d)
+			w.Judge.ran(w.now, disp.scan, disp.part.Shard, disp.second)
+			w.finish(disp, d)
 		}
 		w.work(st)
 	})
 }
 
-// finish sends a part's end back to its broker.
-func (w *World) finish(fl *flight, d Done) {
-	if fl == nil || fl.ended {
+// sendResult sends the result of a part back to its broker. Some results end the connection instead.
+func (w *World) finish(disp *flight, d Done) {
+	if disp == nil || disp.ended {
 		return
 	}
 	if d.How == Silent {
 		return
 	}
 	if w.live != nil {
-		w.live.finish(fl, d)
+		w.live.finish(disp, d)
 		return
 	}
-	s, st := w.seats[fl.seat], w.Stores[fl.store]
+	b, st := w.seats[disp.seat], w.Stores[disp.store]
 	if st.Ails.Vanished {
 		return
 	}
-	back, lost := w.way(st.Zone, s.zone)
-	if m := w.net.oneSided[s.n]; m != nil && w.rnd.Float64() < m[fl.store] {
+	toBroker, lost := w.way(st.Zone, b.zone)
+	if loss := w.net.oneSided[b.n]; loss != nil && w.rnd.Float64() < loss[disp.store] {
 		lost = true
 	}
-	w.at(d.At-w.now, func() { w.Judge.over(fl.part.Ref) })
+	w.at(d.At-w.now, func() { w.Judge.over(disp.part.Ref) })
 	if lost {
-		st.Wasted += d.Cost // done for nobody
+		st.Wasted += d.Cost // the response is lost
 		return
 	}
 	load := st.Reported(w.now)
-	w.at(d.At-w.now+back, func() {
-		if fl.ended {
+	w.at(d.At-w.now+toBroker, func() {
+		if disp.ended {
 			return
 		}
-		fl.ended = true
-		delete(w.flights, fl.part.Ref)
-		e := core.Ended{Ref: fl.part.Ref >> 16, At: epoch + w.now}
+		disp.ended = true
+		delete(w.flights, disp.part.Ref)
+		e := core.Ended{Ref: disp.part.Ref >> 16, At: epoch + w.now}
 		switch d.How {
 		case Served:
-			e.Reason, e.Value, e.Score = core.Answered, Value(fl.part.Shard, fl.part.Text, fl.second), Score(fl.part.Shard, fl.part.Text)
+			e.Reason, e.Value, e.Score = core.Answered, Value(disp.part.Shard, disp.part.Text, disp.second), Score(disp.part.Shard, disp.part.Text)
 			e.Load = map[string]float64{"running": load.Running, "waiting": load.Waiting, "busy": load.Busy}
-			w.Judge.came(fl.scan, fl.part.Shard, fl.second)
+			w.Judge.came(disp.scan, disp.part.Shard, disp.second)
 		case Failed:
 			e.Reason = core.AnsweredError
 		case Rejected:
 			e.Reason = core.Rejected
 		case Reset:
 			e.Reason = core.ReadFailed
-			w.broke(s, fl.store, core.ReadFailed)
+			w.broke(b, disp.store, core.ReadFailed)
 		case Spoilt:
 			e.Reason = core.BadFrame
-			w.broke(s, fl.store, core.BadFrame)
+			w.broke(b, disp.store, core.BadFrame)
 		}
-		w.tell(s, fl.boot, e)
+		w.tell(b, disp.boot, e)
 	})
 }
 
-// broke ends a broker's connection to a store, and with it all that is out there.
-func (w *World) broke(s *seat, store int, how core.EndReason) {
-	l := s.links[store]
+// breakLink closes a broker's connection to a store and ends all dispatches on it with the given reason.
+func (w *World) broke(b *seat, store int, reason core.EndReason) {
+	l := b.links[store]
 	if l == nil || !l.up {
 		return
 	}
 	l.up = false
 	l.gen++
-	w.Stores[store].Disconnect(s.n)
-	var all []*flight
-	for _, fl := range w.flights {
-		if fl.seat == s.n && fl.boot == s.boot && fl.store == store && fl.link != l.gen && !fl.ended {
-			all = append(all, fl)
+	w.Stores[store].Disconnect(b.n)
+	var affected []*flight
+	for _, disp := range w.flights {
+		if disp.seat == b.n && disp.boot == b.boot && disp.store == store && disp.link != l.gen && !disp.ended {
+			affected = append(affected, disp)
 		}
 	}
-	slices.SortFunc(all, func(a, b *flight) int { return cmp.Compare(a.part.Ref, b.part.Ref) })
-	for _, fl := range all {
-		fl.ended = true
-		delete(w.flights, fl.part.Ref)
-		w.Judge.over(fl.part.Ref)
-		w.tell(s, fl.boot, core.Ended{Ref: fl.part.Ref >> 16, Reason: how, At: epoch + w.now})
+	slices.SortFunc(affected, func(x, y *flight) int { return cmp.Compare(x.part.Ref, y.part.Ref) })
+	for _, disp := range affected {
+		disp.ended = true
+		delete(w.flights, disp.part.Ref)
+		w.Judge.over(disp.part.Ref)
+		w.tell(b, disp.boot, core.Ended{Ref: disp.part.Ref >> 16, Reason: reason, At: epoch + w.now})
 	}
 }
 
-// reset breaks all connections of a store that has died, as its machine's kernel does.
+// resetStore resets all connections of a store whose process has died, as the operating system of its host does.
 func (w *World) reset(st *Store) {
 	st.Crash()
 	i := w.byHost[st.Name]
@@ -653,14 +673,14 @@
 		w.live.reset(i)
 		return
 	}
-	for _, s := range w.seats {
-		if l := s.links[i]; l != nil && l.up {
-			back, lost := w.way(st.Zone, s.zone)
-			boot := s.boot
+	for _, b := range w.seats {
+		if l := b.links[i]; l != nil && l.up {
+			toBroker, lost := w.way(st.Zone, b.zone)
+			incarnation := b.boot
 			if !lost {
-				w.at(back, func() {
-					if s.boot == boot {
-						w.broke(s, i, core.ReadFailed)
+				w.at(toBroker, func() {
+					if b.boot == incarnation {
+						w.broke(b, i, core.ReadFailed)
 					}
 				})
 			}
@@ -668,16 +688,17 @@
 	}
 }
 
-func (w *World) giveUp(s *seat, g core.Cancel) {
-	fl := w.flights[g.Ref<<16|int64(s.n)&0xffff]
-	if fl == nil || fl.ended {
+// cancelPart carries out a broker's cancellation: the dispatch ends at once, the store receives the cancellation later.
+func (w *World) giveUp(b *seat, c core.Cancel) {
+	disp := w.flights[c.Ref<<16|int64(b.n)&0xffff]
+	if disp == nil || disp.ended {
 		return
 	}
-	fl.ended = true
-	st := w.Stores[fl.store]
-	there, lost := w.way(s.zone, st.Zone)
-	ref := fl.part.Ref
-	w.at(there, func() {
+	disp.ended = true
+	st := w.Stores[disp.store]
+	toStore, lost := w.way(b.zone, st.Zone)
+	ref := disp.part.Ref
+	w.at(toStore, func() {
 		delete(w.flights, ref)
 		w.Judge.over(ref)
 		if !lost && st.Up() {
@@ -686,20 +707,22 @@
 	})
 }
 
-func (w *World) probe(s *seat, p core.Probe) {
+// probeStore carries out a health probe. There is no response if a message is lost or if the store is unreachable or
+// unresponsive.
+func (w *World) probe(b *seat, p core.Probe) {
 	i, known := w.byHost[p.Host]
-	boot := s.boot
+	incarnation := b.boot
 	if !known {
-		w.tell(s, boot, core.Ended{Ref: p.Ref, Reason: core.NoAddress, At: epoch + w.now})
+		w.tell(b, incarnation, core.Ended{Ref: p.Ref, Reason: core.NoAddress, At: epoch + w.now})
 		return
 	}
 	st := w.Stores[i]
-	there, lost := w.way(s.zone, st.Zone)
-	back, lostBack := w.way(st.Zone, s.zone)
-	if lost || lostBack || st.Ails.Vanished || st.Ails.Mute {
+	toStore, lost := w.way(b.zone, st.Zone)
+	toBroker, replyLost := w.way(st.Zone, b.zone)
+	if lost || replyLost || st.Ails.Vanished || st.Ails.Mute {
 		return
 	}
-	w.at(there+back, func() {
+	w.at(toStore+toBroker, func() {
 		e := core.Ended{Ref: p.Ref, Reason: core.Answered, At: epoch + w.now}
 		if !st.Up() {
 			e.Reason = core.DialRefused
@@ -707,75 +730,77 @@
 			load := st.Reported(w.now)
 			e.Load = map[string]float64{"running": load.Running, "waiting": load.Waiting, "busy": load.Busy}
 		}
-		w.tell(s, boot, e)
+		w.tell(b, incarnation, e)
 	})
 }
 
-// relist changes a store's line and has it told to every broker, each after its own lag.
-func (w *World) relist(i int, is logic.Readiness, late float64) {
-	w.states[i].Readiness = is
-	entry := w.states[i]
+// updateReadiness changes a store's entry in discovery and sends it to every broker, each after a delay of its own.
+func (w *World) relist(i int, readiness logic.Readiness, extraLag float64) {
+	w.states[i].Readiness = readiness
+	node := w.states[i]
 	if w.mute {
-		return // nobody hears of it; what is told when discovery is back says it too
+		return // not sent; the full list sent after the outage includes it
 	}
-	for _, s := range w.seats {
-		lag := late + w.stale + w.Fleet.ListLag + w.rnd.Float64()*w.Fleet.ListSpread
-		w.at(lag, func() { w.list(s, entry) })
+	for _, b := range w.seats {
+		lag := extraLag + w.stale + w.Fleet.ListLag + w.rnd.Float64()*w.Fleet.ListSpread
+		w.at(lag, func() { w.list(b, node) })
 	}
 }
 
-func (w *World) list(s *seat, e core.Node) {
+// deliverListChange updates a broker's node list, and records for the checker since when the broker knows that a store
+// takes no more parts.
+func (w *World) list(b *seat, node core.Node) {
 	if w.mute {
 		return
 	}
-	i := w.byHost[e.Host]
-	at := slices.IndexFunc(s.told, func(n core.Node) bool { return n.Host == e.Host })
+	i := w.byHost[node.Host]
+	pos := slices.IndexFunc(b.told, func(n core.Node) bool { return n.Host == node.Host })
 	switch {
-	case e.Readiness == logic.Gone && at >= 0:
-		s.told = slices.Delete(s.told, at, at+1)
-	case e.Readiness != logic.Gone && at >= 0:
-		s.told[at] = e
-	case e.Readiness != logic.Gone:
-		s.told = append(s.told, e)
-	}
-	key := [2]int{s.n, i}
-	if e.Readiness == logic.Ready {
+	case node.Readiness == logic.Gone && pos >= 0:
+		b.told = slices.Delete(b.told, pos, pos+1)
+	case node.Readiness != logic.Gone && pos >= 0:
+		b.told[pos] = node
+	case node.Readiness != logic.Gone:
+		b.told = append(b.told, node)
+	}
+	key := [2]int{b.n, i}
+	if node.Readiness == logic.Ready {
 		delete(w.Judge.told, key)
-	} else if _, known := w.Judge.told[key]; !known && s.up && !s.paused {
+	} else if _, known := w.Judge.told[key]; !known && b.up && !b.paused {
 		w.Judge.told[key] = w.now
 	}
 	if w.live != nil {
-		w.live.told(s, e)
+		w.live.told(b, node)
 		return
 	}
-	w.tell(s, s.boot, core.List{Kind: logic.ListDelta, Nodes: []core.Node{e}})
+	w.tell(b, b.boot, core.List{Kind: logic.ListDelta, Nodes: []core.Node{node}})
 }
 
-// tellAll gives every broker the whole list, as discovery does when it is back.
+// sendFullListToAll sends every broker the full list, as discovery does after an outage.
 func (w *World) tellAll() {
-	for _, s := range w.seats {
-		w.at(w.rnd.Float64()*w.Fleet.ListSpread, func() { w.tellOne(s) })
+	for _, b := range w.seats {
+		w.at(w.rnd.Float64()*w.Fleet.ListSpread, func() { w.tellOne(b) })
 	}
 }
 
-// tellOne gives a broker the whole list.
-func (w *World) tellOne(s *seat) {
+// sendFullList sends a broker the full list.
+func (w *World) tellOne(b *seat) {
 	if w.mute {
 		return
 	}
-	s.told = s.told[:0]
-	for i, e := range w.states {
+	b.told = b.told[:0]
+	for i, node := range w.states {
 		if w.live != nil {
-			w.live.told(s, e)
+			w.live.told(b, node)
 		}
-		if key := [2]int{s.n, i}; e.Readiness == logic.Ready {
+		if key := [2]int{b.n, i}; node.Readiness == logic.Ready {
 			delete(w.Judge.told, key)
 		} else if _, known := w.Judge.told[key]; !known {
 			w.Judge.told[key] = w.now
 		}
-		if e.Readiness != logic.Gone {
-			s.told = append(s.told, e)
+		if node.Readiness != logic.Gone {
+			b.told = append(b.told, node)
 		}
 	}
-	w.tell(s, s.boot, core.List{Kind: logic.ListFull, Nodes: slices.Clone(s.told)})
+	w.tell(b, b.boot, core.List{Kind: logic.ListFull, Nodes: slices.Clone(b.told)})
 }
