--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -13,17 +13,17 @@
 // Fault is a failure that lasts for a limited time. Its targets are named, or selected at random, by the seed, when it
 // begins.
 type Fault struct {
-	Kind    string   // a key of Faults
+	Kind    string   // a key of FaultKinds
 	At, For float64  // begin and duration, ms
 	Share   float64  // fraction of the stores or brokers that it affects, unless Stores names them
-	Size    float64  // severity; its meaning depends on the kind, see Faults
+	Size    float64  // severity; its meaning depends on the kind, see FaultKinds
 	Zone    string   // affected zone of zone_cut and one_way_loss; "": selected at random
 	Stores  []string // names of the affected stores; none: selected at random
 
 	chance *rand.Rand // of this fault alone, so that its targets do not depend on other faults
 }
 
-// Faults describes each kind of fault and the meaning of Fault.Size and Fault.Share for it.
+// FaultKinds describes each kind of fault and the meaning of Fault.Size and Fault.Share for it.
 var Faults = map[string]string{
 	"die":              "store processes die and their connections are reset; the stores restart cold",
 	"vanish":           "hosts of stores become unreachable without closing connections; the stores restart cold",
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -11,7 +11,7 @@
 // Fleet describes the emulated system: stores, brokers, network, service discovery and clients. Times are in ms.
 type Fleet struct {
 	Zones   []string
-	Cells   int // each store belongs to one of these cells; shard s is held by the stores of Reach cells, from cell s modulo Cells on
+	Cells   int // a store belongs to one of these; the stores of Reach cells hold shard s, from cell s modulo Cells on
 	Reach   int
 	Shards  int
 	Stores  int
@@ -19,20 +19,20 @@
 	Kinds   []KindShare
 	Nature  Nature // behaviour of all stores
 
-	Same, Cross, Jitter  float64 // one-way delay within a zone and between two, and the random part added to either
+	Same, Cross, Jitter  float64 // one-way delay within a zone, between two zones, and its largest random addition
 	Client               float64 // one-way delay between client and broker
-	ConnectTimeout, Idle float64 // for connections from brokers to stores; idle for longer, they are not reused
+	ConnectTimeout, Idle float64 // of connections from brokers to stores; a connection that is idle for longer is not reused
 
 	Turn          float64 // least time between two turns of a broker
 	Batch         int     // maximum number of parts in a call
 	Dispatches    int     // maximum number of dispatches per part, the first included
 	OpenCap       int     // maximum number of open scans of a broker
 	SecondCopies  bool    // a part may be dispatched again while an earlier dispatch is still open
-	RetryAfter    bool    // throttled clients are told when to retry
+	RetryAfter    bool    // throttling responses state when to retry
 	MaxRetryAfter float64
-	DrainGrace    float64 // parts may still be sent for so long after a broker received that a store drains
+	DrainGrace    float64 // time for which a broker may still send parts to a store after receiving that it drains
 
-	ListLag, ListSpread float64 // a broker receives a change of the node list after ListLag plus a random part of ListSpread
+	ListLag, ListSpread float64 // a broker receives a change of the node list after ListLag plus a random part of ListLagSpread
 	SilentLag           float64 // additional delay until a vanished store is removed from the list
 	FrontNotice         float64 // time until clients no longer choose a broker that died
 
@@ -47,7 +47,7 @@
 	Confined Cells // assignment of tenants to subsets of the stores; Count 0: none
 
 	Limits []FleetLimit // each applies to all brokers together
-	// Notes: brokers exchange notes on calls and failures. Verdicts: brokers agree on which stores are faulty.
+	// PeerNotes: brokers exchange notes on calls and failures. SharedVerdicts: brokers agree on which stores are faulty.
 	Notes, Verdicts bool
 }
 
@@ -59,6 +59,7 @@
 	Rate           float64 // maximum scans per second of a cell at one broker; 0: unlimited
 }
 
+// cellName returns the name of the tenant cell with this number.
 func cellName(i int) string { return fmt.Sprintf("cell-%d", i) }
 
 // cellPlan returns the plan for cells.Build, and the limits by cell. The burst is the number of scans in 200 ms.
@@ -87,7 +88,7 @@
 	Benefit, LateBenefit float64 // value of an answer within Target, and of a later one
 	Effect               string  // replayable, keyed or non-replayable
 	RepeatWindow         float64 // time within which a keyed part may be repeated
-	Need, Floor, Partial float64 // weight of the parts in a complete answer and the least in a partial one; benefit factor of a partial one
+	Need, Floor, Partial float64 // least weight of the parts in a complete and in a partial answer; benefit factor of a partial answer
 	Fetch                int     // number of parts that a second step fetches; 0: no second step
 	FetchWork            float64 // work of a fetch as a fraction of the work of the part
 }
@@ -102,12 +103,13 @@
 	Heed          float64 // probability that the client respects the retry time in the response
 	Skew          float64 // Zipf exponent of shard popularity; 0: uniform
 	// The tenants' shares of the scans follow a Zipf distribution with exponent TenantSkew; tenant 0 sends most. Each
-	// tenant is entitled to TenantPerSecond scans per second at all brokers together; scans beyond that may be shed first.
+	// tenant is entitled to TenantEntitledRate scans per second at all brokers together; scans beyond that may be shed first.
 	Tenants         int
 	TenantSkew      float64
 	TenantPerSecond float64
 }
 
+// tenantName returns the name of the tenant with this number.
 func tenantName(i int) string { return fmt.Sprintf("tenant-%d", i) }
 
 // settings returns the start settings, under the decision module's names, for the broker with the given number and zone.
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -28,7 +28,7 @@
 	Due() float64
 }
 
-// BrokerFactory creates the core of a broker that starts. Known is the node list that the broker had before a restart.
+// BrokerFactory creates the core of a broker that starts; known is the node list that it had before a restart.
 type Maker func(f *Fleet, ordinal, zone int, seed uint64, known []core.Node) (Decider, error)
 
 // Gullstair creates the production broker: the unmodified core and decision module.
@@ -169,7 +169,7 @@
 	sentAt float64
 }
 
-// New creates a world whose brokers start with the complete node list. Factory is nil if the brokers are real processes,
+// New creates a world whose brokers start with the complete node list; factory is nil if the brokers are real processes,
 // see RunLive.
 func New(f *Fleet, seed uint64, factory Maker) *World {
 	w := &World{Fleet: f, Judge: newJudge(f), rnd: rand.New(rand.NewPCG(seed, 0xe0)), come: rand.New(rand.NewPCG(seed, 0xc0e)), seed: seed, make: factory, memory: NewMemory(),
