--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -140,8 +140,8 @@
 const longAgo = -1e12
 
 // NewStore makes a store that has been up for long, or starts at born.
-func NewStore(name string, zone, cell int, kind Kind, n *Nature, m *Memory, born float64) *Store {
-	return &Store{Name: name, Zone: zone, Cell: cell, Kind: kind, Nature: n, Born: born, memory: m,
+func NewStore(name string, zone, cell int, kind Kind, params *Nature, executed *Memory, startedAt float64) *Store {
+	return &Store{Name: name, Zone: zone, Cell: cell, Kind: kind, Nature: params, Born: startedAt, memory: executed,
 		conns: map[int]bool{}, repAt: longAgo}
 }
 
@@ -169,48 +169,48 @@
 // Disconnect ends a broker's connection: what it sent is nobody's any more.
 func (s *Store) Disconnect(broker int) {
 	delete(s.conns, broker)
-	for _, list := range [][]*job{s.running, s.waiting} {
-		for _, j := range list {
+	for _, jobs := range [][]*job{s.running, s.waiting} {
+		for _, j := range jobs {
 			j.p.gone = j.p.gone || j.p.Broker == broker
 		}
 	}
 }
 
 // Crash ends all that the store was doing, and its connections. What had begun may have run.
-func (s *Store) Crash() (broken []Done) {
+func (s *Store) Crash() (aborted []Done) {
 	for _, j := range s.running {
 		s.Worked, s.Wasted = s.Worked+j.cost, s.Wasted+j.cost
-		broken = append(broken, Done{Part: j.p, How: Reset, Ran: true})
+		aborted = append(aborted, Done{Part: j.p, How: Reset, Ran: true})
 	}
 	for _, j := range s.waiting {
-		broken = append(broken, Done{Part: j.p, How: Reset})
+		aborted = append(aborted, Done{Part: j.p, How: Reset})
 	}
 	s.running, s.waiting, s.sent, s.sum = nil, nil, nil, 0
 	clear(s.conns)
-	return broken
+	return aborted
 }
 
 // Arrive takes a part at a moment; chance is a number from 0 to 1. Done comes back at once where it needs no work. Fell
 // tells that this part has pushed the store over.
-func (s *Store) Arrive(now float64, p *Part, chance float64) (at []Done, fell bool) {
+func (s *Store) Arrive(now float64, p *Part, draw float64) (completions []Done, overloaded bool) {
 	p.arrived = now
 	if s.overWork(now, p.Work) {
 		s.Fell = true
 		return append(s.Crash(), Done{Part: p, How: Reset}), true
 	}
-	a := &s.Ails
+	faults := &s.Ails
 	fate := Served
 	switch {
-	case a.Mute:
+	case faults.Mute:
 		fate = Silent
-	case chance < a.Fails:
+	case draw < faults.Fails:
 		return []Done{{Part: p, How: Failed, Ran: true, At: now + 0.2}}, false
-	case chance < a.Fails+a.Resets:
+	case draw < faults.Fails+faults.Resets:
 		return []Done{{Part: p, How: Reset, Ran: true, At: now + 0.2}}, false
-	case chance < a.Fails+a.Resets+a.Spoils:
+	case draw < faults.Fails+faults.Resets+faults.Spoils:
 		fate = Spoilt
 	}
-	if at, ran := s.memory.ran[p.Key]; p.Key != "" && ran && now-at <= s.Nature.Repeats {
+	if ranAt, ran := s.memory.ran[p.Key]; p.Key != "" && ran && now-ranAt <= s.Nature.Repeats {
 		return []Done{{Part: p, How: fate, At: now + 0.2}}, false // a repeat that is known: the answer it had
 	}
 	j := &job{p: p, from: now, fate: fate}
@@ -227,18 +227,18 @@
 
 // overWork keeps what was sent within the fall's window, and says whether it is more than a cold store bears.
 func (s *Store) overWork(now, work float64) bool {
-	n := s.Nature
-	if n.Fall <= 0 || s.Capacity(now) >= 1 {
+	params := s.Nature
+	if params.Fall <= 0 || s.Capacity(now) >= 1 {
 		s.sent, s.sum = nil, 0
 		return false
 	}
 	s.sent, s.sum = append(s.sent, sentWork{now, work}), s.sum+work
-	for len(s.sent) > 0 && s.sent[0].at < now-n.Fall {
+	for len(s.sent) > 0 && s.sent[0].at < now-params.Fall {
 		s.sum -= s.sent[0].work
 		s.sent = s.sent[1:]
 	}
-	bears := n.FallMultiple * s.Capacity(now) * float64(s.Kind.Cores) * s.Kind.Speed * n.Fall
-	return s.sum > bears*1.05+3*work
+	bearable := params.FallMultiple * s.Capacity(now) * float64(s.Kind.Cores) * s.Kind.Speed * params.Fall
+	return s.sum > bearable*1.05+3*work
 }
 
 // begin puts a part in work on a free core.
@@ -253,61 +253,61 @@
 }
 
 // through is when something that takes so long is over, with the pauses in between.
-func (s *Store) through(now, takes float64) float64 {
-	every, stop := s.Nature.PauseEvery, s.Nature.PauseFor
-	if every <= 0 || stop <= 0 || stop >= every {
-		return now + takes
+func (s *Store) through(now, duration float64) float64 {
+	interval, pause := s.Nature.PauseEvery, s.Nature.PauseFor
+	if interval <= 0 || pause <= 0 || pause >= interval {
+		return now + duration
 	}
 	// Each store pauses at moments of its own.
-	shift := float64(xxhash.Sum64String(s.Name)%1000) / 1000 * every
+	offset := float64(xxhash.Sum64String(s.Name)%1000) / 1000 * interval
 	for {
-		into := math.Mod(now+shift, every)
-		if into < stop {
-			now += stop - into
-			into = stop
+		phase := math.Mod(now+offset, interval)
+		if phase < pause {
+			now += pause - phase
+			phase = pause
 		}
-		if left := every - into; takes > left {
-			takes, now = takes-left, now+left
+		if untilPause := interval - phase; duration > untilPause {
+			duration, now = duration-untilPause, now+untilPause
 			continue
 		}
-		return now + takes
+		return now + duration
 	}
 }
 
 // Due is when Step is wanted next.
 func (s *Store) Due() float64 {
-	at := math.Inf(1)
+	earliest := math.Inf(1)
 	for _, j := range s.running {
-		at = min(at, j.ends)
+		earliest = min(earliest, j.ends)
 	}
-	return at
+	return earliest
 }
 
 // Step ends what is over by now and begins what waits.
-func (s *Store) Step(now float64) (done []Done) {
+func (s *Store) Step(now float64) (completions []Done) {
 	for {
-		next := -1
+		first := -1
 		for i, j := range s.running {
-			if j.ends <= now && (next < 0 || j.ends < s.running[next].ends) {
-				next = i
+			if j.ends <= now && (first < 0 || j.ends < s.running[first].ends) {
+				first = i
 			}
 		}
-		if next < 0 {
-			return done
+		if first < 0 {
+			return completions
 		}
-		j := s.running[next]
-		s.running = append(s.running[:next], s.running[next+1:]...)
+		j := s.running[first]
+		s.running = append(s.running[:first], s.running[first+1:]...)
 		s.Worked += j.cost
 		s.busy += j.cost
-		d := Done{Part: j.p, How: j.fate, Ran: true, At: j.ends, Cost: j.cost}
+		c := Done{Part: j.p, How: j.fate, Ran: true, At: j.ends, Cost: j.cost}
 		if j.p.gone || j.ends > j.p.Until || j.fate != Served {
-			s.Wasted, d.Cost = s.Wasted+j.cost, 0
+			s.Wasted, c.Cost = s.Wasted+j.cost, 0
 		}
 		s.keep(j.p.Key, j.ends)
 		if s.Ails.Late {
-			d.At = max(d.At, j.p.Until+5)
+			c.At = max(c.At, j.p.Until+5)
 		}
-		done = append(done, d)
+		completions = append(completions, c)
 		s.next(j.ends)
 	}
 }
@@ -330,14 +330,14 @@
 	if key == "" {
 		return
 	}
-	m := s.memory
-	m.ran[key] = now
-	m.order = append(m.order, ranKey{key, now})
-	for len(m.order) > 0 && m.order[0].at < now-s.Nature.Repeats {
-		if m.ran[m.order[0].key] == m.order[0].at {
-			delete(m.ran, m.order[0].key)
+	executed := s.memory
+	executed.ran[key] = now
+	executed.order = append(executed.order, ranKey{key, now})
+	for len(executed.order) > 0 && executed.order[0].at < now-s.Nature.Repeats {
+		if executed.ran[executed.order[0].key] == executed.order[0].at {
+			delete(executed.ran, executed.order[0].key)
 		}
-		m.order = m.order[1:]
+		executed.order = executed.order[1:]
 	}
 }
 
@@ -374,11 +374,11 @@
 		s.report = Load{float64(len(s.running)), float64(len(s.waiting)), float64(len(s.running)) / float64(s.Kind.Cores)}
 		s.repAt = now
 	}
-	r := s.report
+	load := s.report
 	if s.Ails.Lies > 0 {
-		r.Running, r.Waiting, r.Busy = r.Running*s.Ails.Lies, r.Waiting*s.Ails.Lies, min(1, r.Busy*s.Ails.Lies)
+		load.Running, load.Waiting, load.Busy = load.Running*s.Ails.Lies, load.Waiting*s.Ails.Lies, min(1, load.Busy*s.Ails.Lies)
 	}
-	return r
+	return load
 }
 
 // Out is how many parts are at the store.
@@ -386,12 +386,12 @@
 
 // Value is what any store answers for a part: it depends on shard, text and step alone, so a wrong or mixed-up answer is
 // seen. Score likewise.
-func Value(shard int, text string, second bool) string {
-	step := ""
-	if second {
-		step = ".get"
+func Value(shard int, text string, secondStep bool) string {
+	suffix := ""
+	if secondStep {
+		suffix = ".get"
 	}
-	return strconv.FormatUint(xxhash.Sum64String(strconv.Itoa(shard)+"/"+text+step), 16)
+	return strconv.FormatUint(xxhash.Sum64String(strconv.Itoa(shard)+"/"+text+suffix), 16)
 }
 
 // Score ranks a shard for a text.
