--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -9,7 +9,7 @@
 	"gullstair/logic"
 )
 
-// arrivals draws the next scan: Poisson, whatever becomes of the others.
+// scheduleArrival schedules the next scan. Scans arrive as a Poisson process, independent of the answers to earlier ones.
 func (w *World) arrivals() {
 	rate := w.Fleet.Traffic.Rate * w.rate
 	if rate <= 0 {
@@ -25,7 +25,7 @@
 	})
 }
 
-// abuse has one tenant send so many scans a second, until it is over.
+// scheduleAbuse makes one tenant send additional scans, rate per second as a Poisson process, until ended is set.
 func (w *World) abuse(tenant int, rate float64, draw func() float64, ended *bool) {
 	w.at(-math.Log(1-draw())*1000/rate, func() {
 		if w.now >= w.ending || *ended {
@@ -36,7 +36,7 @@
 	})
 }
 
-// scan has a scan come, of a tenant drawn by chance where none is named.
+// submitScan creates a scan and sends its first attempt. If tenant is negative, the tenant is drawn at random.
 func (w *World) scan(tenant int) {
 	fleet := w.Fleet
 	w.asks++
@@ -67,6 +67,7 @@
 	w.try(req)
 }
 
+// drawType draws a table type by the types' shares.
 func (w *World) typeOf() int {
 	sum := 0.0
 	for _, tableType := range w.Fleet.Types {
@@ -81,6 +82,7 @@
 	return len(w.Fleet.Types) - 1
 }
 
+// drawTenant draws one of count tenants. The weight of tenant i is (i+1) to the power of -TenantSkew.
 func (w *World) tenant(count int) int {
 	sum := 0.0
 	for i := range count {
@@ -95,6 +97,7 @@
 	return count - 1
 }
 
+// drawShard draws the first shard of a scan: the hot shard with its probability, else one by the weights of the shards.
 func (w *World) shard() int {
 	if w.hot.share > 0 && w.come.Float64() < w.hot.share {
 		return w.hot.shard
@@ -104,7 +107,8 @@
 	return min(i, len(w.weights)-1)
 }
 
-// try sends a client's scan to one of the brokers that clients take for up.
+// sendAttempt sends a scan to a random broker among those that are up or that clients do not yet know to be down. If the
+// client's time is over or no broker is left, the scan fails.
 func (w *World) try(a *ask) {
 	a.tries++
 	var candidates []*seat
@@ -120,7 +124,7 @@
 	}
 	broker := candidates[w.rnd.IntN(len(candidates))]
 	if !broker.up {
-		w.at(w.Fleet.Client*2, func() { w.again(a, logic.Abandon, 0) }) // refused: nobody is there
+		w.at(w.Fleet.Client*2, func() { w.again(a, logic.Abandon, 0) }) // the connection is refused: the broker is down
 		return
 	}
 	attempt := &try{a: a, seat: broker.n, boot: broker.boot, sentAt: w.now}
@@ -140,7 +144,7 @@
 		} else {
 			w.tell(broker, attempt.boot, attempt.sc)
 		}
-		// The client goes when its time is up: it has had no answer.
+		// The client gives up when its time is over without an answer.
 		w.at(timeLeft+2*slack, func() {
 			if broker.open[id] == attempt {
 				delete(broker.open, id)
@@ -151,7 +155,8 @@
 	})
 }
 
-// reply takes a broker's answer to its client.
+// deliverReply checks a broker's reply and delivers it to the client, which retries or records the benefit. The benefit is
+// lower for partial and for late answers.
 func (w *World) reply(broker *seat, reply core.Reply) {
 	attempt := reply.Scan.Client.(*try)
 	w.Judge.replied(w.now, reply.Scan, reply)
@@ -178,7 +183,9 @@
 	})
 }
 
-// again lets a client try once more, or takes the end for what it is.
+// retryOrSettle sends a second attempt after a backoff, or records the scan as ended without benefit. It retries with
+// the configured probability, and only if the scan was throttled or its effect can be replayed. Some clients also wait for
+// retryAfter, in ms.
 func (w *World) again(req *ask, kind logic.ActionKind, retryAfter float64) {
 	traffic := &w.Fleet.Traffic
 	replaySafe := kind == logic.Throttle || w.Fleet.Types[req.typ].Effect != "non-replayable"
@@ -193,10 +200,12 @@
 	w.at(wait*(0.5+w.rnd.Float64()), func() { w.try(req) })
 }
 
+// settleWithoutBenefit records the end of a scan that was not answered.
 func (w *World) settle(req *ask, kind logic.ActionKind, elapsed float64) {
 	w.settleFor(req, kind, elapsed, 0, false)
 }
 
+// settleWithBenefit records the end of a scan once; elapsed is in ms. Later calls for the same scan do nothing.
 func (w *World) settleFor(req *ask, kind logic.ActionKind, elapsed, benefit float64, late bool) {
 	if req.settled {
 		return
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -1,6 +1,9 @@
-// Package emulator is a fleet of stores, their network, discovery, clients and failures, with brokers in their midst, in
-// virtual time. The model of a store has no I/O: a drive tells it what arrives and when, and it says what it answers.
-// The brokers are the real ones, core and decision module; what they do is judged from the stores' and clients' side.
+// Package emulator runs a fleet of brokers against emulated stores, networks, discovery, clients and faults. A run is in
+// virtual time, or in real time on loopback with broker processes.
+//
+// The model of a store has no I/O and no clock: its caller passes in each part with the time of its arrival and gets back
+// the results with their times. The brokers under test are the real ones, with their core and decision module. A checker
+// verifies their behavior only by what stores and clients observe.
 package emulator
 
 import (
@@ -10,83 +13,83 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind is a kind of machine.
+// MachineKind is a type of machine on which stores run.
 type Kind struct {
 	Name  string
-	Cores int
-	Speed float64 // of a core, against the work as stated
-	Queue int     // parts that may wait beyond those in work
+	Cores int     // parts that run at the same time, one per core
+	Speed float64 // of a core, relative to the one for which work is stated
+	Queue int     // most parts in the queue, beyond those that run
 }
 
-// Nature is how stores of a fleet behave; times in ms.
+// StoreParams are the parameters of the store model, the same for all stores of a fleet. Times are in ms.
 type Nature struct {
-	CallWork     float64 // of a call, beside its parts'
-	Cancel       string  // what a cancel does: none, queued (waiting parts are dropped) or all
-	Repeats      float64 // for so long a keyed part that has run is not run again
-	Report       float64 // load reports are refreshed each so long
-	ConnWork     float64 // of a new connection
-	ConnMost     int     // connections that a store holds
-	Cold         float64 // a store warms up for so long
-	ColdFrom     float64 // from this share of its capacity
-	Fall         float64 // sent more than FallMultiple times what it can do for so long while it is cold, it falls
-	FallMultiple float64
-	PauseEvery   float64 // it stands still each so long, 0: never,
-	PauseFor     float64 // for so long
+	CallWork     float64 // work of a call in addition to its parts
+	Cancel       string  // parts that a cancel request stops: "none", "queued" (only those that have not begun) or "all"
+	Repeats      float64 // time for which a keyed part that has run is not run again
+	Report       float64 // time between refreshes of the load report
+	ConnWork     float64 // work of accepting a connection
+	ConnMost     int     // most connections at a store
+	Cold         float64 // time from the start of a store until it has full capacity
+	ColdFrom     float64 // share of the full capacity at the start; it grows linearly
+	Fall         float64 // sliding window over which the overload of a store that warms up is measured
+	FallMultiple float64 // such a store crashes if it is sent more than this multiple of its capacity in the window
+	PauseEvery   float64 // time between the starts of two pauses; 0: no pauses
+	PauseFor     float64 // length of a pause
 }
 
-// Part is one dispatch of a part, as it reaches a store.
+// Part is one dispatch of a part of a scan, as a store receives it. Times are in ms.
 type Part struct {
-	ID      string // the part's, the same for each of its dispatches
-	Ref     int64  // the dispatch's own
+	ID      string // of the part, the same for all its dispatches
+	Ref     int64  // of the dispatch, unique
 	Broker  int
 	Shard   int
-	Work    float64 // ms of a core at speed 1, its share of the call's work in it
-	Until   float64 // the broker waits so long
-	Key     string
+	Work    float64 // ms of a core at speed 1, with its share of the work of the call
+	Until   float64 // time until which the broker waits for the answer
+	Key     string  // idempotency key; empty: none
 	Text    string
 	Type    int
 	arrived float64
-	gone    bool // cancelled, or its connection has ended
+	gone    bool // cancelled, or its connection has closed: nobody waits for the answer
 }
 
-// Result is how a part ended at a store.
+// Result is how a dispatch ended at a store.
 type Result uint8
 
 const (
-	Served   Result = iota + 1
-	Failed          // an error
-	Rejected        // turned away unseen
-	Silent          // no answer ever comes
-	Reset           // its connection breaks
-	Spoilt          // an answer that can't be read
+	Served   Result = iota + 1 // answered with a value
+	Failed                     // answered with an error
+	Rejected                   // rejected without being run: the queue is full
+	Silent                     // never answered
+	Reset                      // the connection is reset
+	Spoilt                     // answered with a malformed message
 )
 
-// Done is the end of a part at a store.
+// Completion is the end of a dispatch at a store.
 type Done struct {
 	Part *Part
 	How  Result
-	Ran  bool // its work was done, or begun
-	At   float64
-	Cost float64 // ms of core time
+	Ran  bool    // its work was done, at least in part
+	At   float64 // time of the answer, in ms
+	Cost float64 // core time in ms that is wasted if the answer is lost; 0 if it is already counted as wasted
 }
 
-// Ails are what is wrong with a store at the moment; several may hold at once.
+// StoreFaults are the faults of a store that are in effect. Several can be in effect at once.
 type Ails struct {
-	Dead     bool    // the process is gone: connections are refused
-	Vanished bool    // the machine is gone: nothing is heard of it
-	Refuses  bool    // no new connection is taken
-	Mute     bool    // it takes connections and parts and never answers
-	Late     bool    // it answers only after its broker has stopped waiting
-	Slow     float64 // times as slow; 0: as usual
-	Taken    float64 // share of its cores that a neighbour has
-	Fails    float64 // share of the parts that it fails at once
-	Resets   float64 // share of the parts at which it breaks the connection
-	Spoils   float64 // share of the answers that can't be read
-	Lies     float64 // its load reports say so many times the truth; 0: the truth
-	Frozen   bool    // its load reports are no longer refreshed
+	Dead     bool    // the process has ended: connections are refused
+	Vanished bool    // the machine is unreachable: packets get no response
+	Refuses  bool    // new connections are refused
+	Mute     bool    // connections and parts are accepted and never answered
+	Late     bool    // answers are sent only after the broker has stopped waiting
+	Slow     float64 // factor by which parts take longer; 0: none
+	Taken    float64 // share of the CPU that another program on the machine takes
+	Fails    float64 // share of the parts that fail at once
+	Resets   float64 // share of the parts on which the connection is reset
+	Spoils   float64 // share of the answers that are malformed
+	Lies     float64 // factor by which load reports are wrong; 0: they are right
+	Frozen   bool    // load reports are not refreshed
 }
 
-// Store is one store. It does not know what time it is: each call says.
+// Store is the model of one store. It has no clock: the caller passes the time, in ms, to each method.
 type Store struct {
 	Name   string
 	Zone   int
@@ -94,58 +97,61 @@
 	Kind   Kind
 	Nature *Nature
 	Ails   Ails
-	Born   float64 // when it started; far below 0: long ago
-	Fell   bool    // it was pushed over
+	Born   float64 // time of its start; below longAgo/2: it has been warm since before the run
+	Fell   bool    // it crashed from overload while it was warming up
 
 	running []*job
 	waiting []*job
 	memory  *Memory
-	report  Load
+	report  Load // the last load report
 	repAt   float64
-	conns   map[int]bool
-	busy    float64 // ms of core time spent, at the state of busyAt
-	sent    []sentWork
-	sum     float64
-	Worked  float64 // ms of core time spent in all
-	Wasted  float64 // of it, on what nobody waited for any more
+	conns   map[int]bool // open connections by broker
+	busy    float64      // core time in ms of the parts that ran to the end
+	sent    []sentWork   // received within the overload window
+	sum     float64      // total work of sent
+	Worked  float64      // core time used, in ms
+	Wasted  float64      // core time in ms, out of the time used, whose result was lost, failed or no longer waited for
 }
 
-// Memory is what stores know together of keyed parts that have run: a repeat is dropped wherever it comes.
+// ExecutedKeys records the keyed parts that have run. All stores share it, so that a repeat is not run again at any store.
 type Memory struct {
-	ran   map[string]float64
-	order []ranKey
+	ran   map[string]float64 // time of the last run by key
+	order []ranKey           // all recorded runs, oldest first
 }
 
+// executedKey is one run of a keyed part.
 type ranKey struct {
 	key string
 	at  float64
 }
 
-// NewMemory is empty.
+// NewExecutedKeys returns an empty record.
 func NewMemory() *Memory { return &Memory{ran: map[string]float64{}} }
 
+// workSample is the work of a received part with its arrival time.
 type sentWork struct{ at, work float64 }
 
+// job is a part that runs or is queued.
 type job struct {
 	p    *Part
-	from float64
+	from float64 // time of its start; of its arrival while it is queued
 	ends float64
 	fate Result
-	cost float64
+	cost float64 // core time in ms
 }
 
-// Load is what a store reports.
+// Load is the load report of a store: the number of running and of queued parts, and the share of cores in use.
 type Load struct{ Running, Waiting, Busy float64 }
 
-const longAgo = -1e12
+const longAgo = -1e12 // start time of stores that run since before the emulation
 
-// NewStore makes a store that has been up for long, or starts at born.
+// NewStore returns a store that starts at startedAt. With longAgo it has full capacity from the beginning.
 func NewStore(name string, zone, cell int, kind Kind, params *Nature, executed *Memory, startedAt float64) *Store {
 	return &Store{Name: name, Zone: zone, Cell: cell, Kind: kind, Nature: params, Born: startedAt, memory: executed,
 		conns: map[int]bool{}, repAt: longAgo}
 }
 
-// Capacity is the share of its full capacity that a store has at a moment.
+// Capacity returns the share of its full capacity that the store has at a time. It grows linearly over the warm-up.
 func (s *Store) Capacity(now float64) float64 {
 	age := now - s.Born
 	if s.Born <= longAgo/2 || age >= s.Nature.Cold || s.Nature.Cold <= 0 {
@@ -154,10 +160,10 @@
 	return s.Nature.ColdFrom + (1-s.Nature.ColdFrom)*max(0, age)/s.Nature.Cold
 }
 
-// Up says whether its process runs and is heard of.
+// Reachable reports whether the process runs and its machine can be reached.
 func (s *Store) Up() bool { return !s.Ails.Dead && !s.Ails.Vanished && !s.Fell }
 
-// Connect takes a broker's new connection, or doesn't.
+// Connect reports whether the store accepts a new connection of a broker, and records the connection if so.
 func (s *Store) Connect(broker int) bool {
 	if s.Ails.Refuses || len(s.conns) >= max(1, s.Nature.ConnMost) && !s.conns[broker] {
 		return false
@@ -166,7 +172,7 @@
 	return true
 }
 
-// Disconnect ends a broker's connection: what it sent is nobody's any more.
+// Disconnect ends the connection of a broker. The parts that came on it still run, but their answers go nowhere.
 func (s *Store) Disconnect(broker int) {
 	delete(s.conns, broker)
 	for _, jobs := range [][]*job{s.running, s.waiting} {
@@ -176,7 +182,8 @@
 	}
 }
 
-// Crash ends all that the store was doing, and its connections. What had begun may have run.
+// Crash ends all running and queued parts and all connections. Running parts count as executed, since their effect may
+// have happened.
 func (s *Store) Crash() (aborted []Done) {
 	for _, j := range s.running {
 		s.Worked, s.Wasted = s.Worked+j.cost, s.Wasted+j.cost
@@ -190,8 +197,9 @@
 	return aborted
 }
 
-// Arrive takes a part at a moment; chance is a number from 0 to 1. Done comes back at once where it needs no work. Fell
-// tells that this part has pushed the store over.
+// Receive accepts a part at a time. draw is a random number in [0, 1) that selects the fault of this part, if any. Receive
+// returns the completions that need no work: errors, rejections, known repeats. overloaded reports that this part made the
+// store crash; then the completions cover all parts at the store.
 func (s *Store) Arrive(now float64, p *Part, draw float64) (completions []Done, overloaded bool) {
 	p.arrived = now
 	if s.overWork(now, p.Work) {
@@ -211,7 +219,7 @@
 		fate = Spoilt
 	}
 	if ranAt, ran := s.memory.ran[p.Key]; p.Key != "" && ran && now-ranAt <= s.Nature.Repeats {
-		return []Done{{Part: p, How: fate, At: now + 0.2}}, false // a repeat that is known: the answer it had
+		return []Done{{Part: p, How: fate, At: now + 0.2}}, false // a known repeat is answered without being run
 	}
 	j := &job{p: p, from: now, fate: fate}
 	switch {
@@ -225,7 +233,8 @@
 	return nil, false
 }
 
-// overWork keeps what was sent within the fall's window, and says whether it is more than a cold store bears.
+// overloads records the work of a part and reports whether the work received within the overload window is more than a
+// store that is warming up can take, with a margin of 5% plus three parts of this size.
 func (s *Store) overWork(now, work float64) bool {
 	params := s.Nature
 	if params.Fall <= 0 || s.Capacity(now) >= 1 {
@@ -241,7 +250,7 @@
 	return s.sum > bearable*1.05+3*work
 }
 
-// begin puts a part in work on a free core.
+// startJob starts a job on a free core.
 func (s *Store) begin(now float64, j *job) {
 	speed := s.Kind.Speed * s.Capacity(now) * (1 - min(s.Ails.Taken, 0.99))
 	if s.Ails.Slow > 0 {
@@ -252,13 +261,13 @@
 	s.running = append(s.running, j)
 }
 
-// through is when something that takes so long is over, with the pauses in between.
+// completionTime returns the time at which work that starts now and takes duration ends, with the pauses in between.
 func (s *Store) through(now, duration float64) float64 {
 	interval, pause := s.Nature.PauseEvery, s.Nature.PauseFor
 	if interval <= 0 || pause <= 0 || pause >= interval {
 		return now + duration
 	}
-	// Each store pauses at moments of its own.
+	// The offset is derived from the name, so that stores do not pause at the same time.
 	offset := float64(xxhash.Sum64String(s.Name)%1000) / 1000 * interval
 	for {
 		phase := math.Mod(now+offset, interval)
@@ -274,7 +283,7 @@
 	}
 }
 
-// Due is when Step is wanted next.
+// NextCompletion returns the time at which the next running part ends, or +Inf if none runs. Call Advance at that time.
 func (s *Store) Due() float64 {
 	earliest := math.Inf(1)
 	for _, j := range s.running {
@@ -283,7 +292,7 @@
 	return earliest
 }
 
-// Step ends what is over by now and begins what waits.
+// Advance completes the parts that end by now, in the order of their ends, and starts queued parts in their place.
 func (s *Store) Step(now float64) (completions []Done) {
 	for {
 		first := -1
@@ -312,7 +321,8 @@
 	}
 }
 
-// next puts the first that waits in work; what was cancelled while it waited is dropped where the site drops it.
+// startQueued starts queued parts while cores are free. It drops those whose broker no longer waits, unless the cancel
+// mode is "none".
 func (s *Store) next(now float64) {
 	for len(s.waiting) > 0 && len(s.running) < s.Kind.Cores {
 		j := s.waiting[0]
@@ -325,7 +335,7 @@
 	}
 }
 
-// keep remembers a key that has run, and forgets those whose time is over.
+// recordKey records the run of a keyed part and deletes the keys whose repeat window has ended.
 func (s *Store) keep(key string, now float64) {
 	if key == "" {
 		return
@@ -341,7 +351,8 @@
 	}
 }
 
-// Cancel says that nobody waits for a dispatch any more. It returns whether that dispatch will not run for it.
+// Cancel handles the request to cancel a dispatch, according to the cancel mode. It reports whether this prevents the
+// dispatch from running: it was queued and has been dropped.
 func (s *Store) Cancel(now float64, ref int64) bool {
 	for i, j := range s.waiting {
 		if j.p.Ref == ref {
@@ -368,7 +379,8 @@
 	return false
 }
 
-// Reported is the load that the store tells at a moment: refreshed now and then, and not always the truth.
+// LoadReport returns the load report of the store at a time. It is refreshed at the report interval, and faults can freeze
+// or falsify it.
 func (s *Store) Reported(now float64) Load {
 	if !s.Ails.Frozen && now-s.repAt >= s.Nature.Report {
 		s.report = Load{float64(len(s.running)), float64(len(s.waiting)), float64(len(s.running)) / float64(s.Kind.Cores)}
@@ -381,11 +393,11 @@
 	return load
 }
 
-// Out is how many parts are at the store.
+// Outstanding returns the number of running and queued parts.
 func (s *Store) Out() int { return len(s.running) + len(s.waiting) }
 
-// Value is what any store answers for a part: it depends on shard, text and step alone, so a wrong or mixed-up answer is
-// seen. Score likewise.
+// PartValue returns the value with which any store answers a part. It depends only on shard, text and step, so that the
+// checker detects a wrong answer or one that belongs to another part.
 func Value(shard int, text string, secondStep bool) string {
 	suffix := ""
 	if secondStep {
@@ -394,7 +406,7 @@
 	return strconv.FormatUint(xxhash.Sum64String(strconv.Itoa(shard)+"/"+text+suffix), 16)
 }
 
-// Score ranks a shard for a text.
+// PartScore returns the score of a shard for a text. It depends only on these two, like PartValue.
 func Score(shard int, text string) float64 {
 	return float64(xxhash.Sum64String(text+"?"+strconv.Itoa(shard)) >> 12)
 }
