--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -21,7 +21,7 @@
 	Queue int     // most parts in the queue, beyond those that run
 }
 
-// StoreParams are the parameters of the store model, the same for all stores of a fleet. Times are in ms.
+// Behavior holds the parameters of the store model, the same for all stores of a fleet. Times are in ms.
 type Nature struct {
 	CallWork     float64 // work of a call in addition to its parts
 	Cancel       string  // parts that a cancel request stops: "none", "queued" (only those that have not begun) or "all"
@@ -52,7 +52,7 @@
 	gone    bool // cancelled, or its connection has closed: nobody waits for the answer
 }
 
-// Result is how a dispatch ended at a store.
+// PartResult is how a dispatch ended at a store.
 type Result uint8
 
 const (
