--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -47,7 +47,7 @@
 	i     int // index of the store in World.Stores
 	addr  string
 	ln    net.Listener // nil while the store is down
-	mu    sync.Mutex   // guards ln and conns
+	mu    sync.Mutex   // guards listener and conns
 	conns map[net.Conn]struct{}
 }
 
@@ -596,7 +596,7 @@
 			b.mu.Unlock()
 			return http.StatusOK, list
 		}
-		seq := b.seq
+		version := b.seq
 		b.mu.Unlock()
 		select {
 		case <-listChanged:
@@ -605,7 +605,7 @@
 				<-b.l.ctx.Done()
 				return 0, nil
 			}
-			return http.StatusOK, listing(seq, false, nil, b.l.dial)
+			return http.StatusOK, listing(version, false, nil, b.l.dial)
 		case <-b.l.ctx.Done():
 			return 0, nil
 		}
@@ -824,7 +824,8 @@
 }
 
 // roundTrip sends a request and reads the answer. If c is a reused connection that fails for another reason than the
-// timeout, it retries once on a new connection. It returns the connection if it can be reused, else nil.
+// timeout, it retries once on a new connection, since the broker may have closed c while it was idle. It returns the
+// connection if it can be reused, else nil.
 func exchange(addr string, c *clientConn, payload []byte, timeout time.Duration) (reply core.Reply, _ *clientConn, err error) {
 	for reused := c != nil; ; reused = false {
 		if c == nil {
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -108,7 +108,7 @@
 	conns   map[int]bool // open connections by broker
 	busy    float64      // core time in ms of the parts that ran to the end
 	sent    []sentWork   // received within the overload window
-	sum     float64      // total work of sent
+	sum     float64      // total work in recentWork
 	Worked  float64      // core time used, in ms
 	Wasted  float64      // core time in ms, out of the time used, whose result was lost, failed or no longer waited for
 }
@@ -172,7 +172,8 @@
 	return true
 }
 
-// Disconnect ends the connection of a broker. The parts that came on it still run, but their answers go nowhere.
+// Disconnect ends the connection of a broker and marks the parts that came on it as abandoned. Those that run go on;
+// queued ones are dropped when their turn comes, unless the cancel mode is "none".
 func (s *Store) Disconnect(broker int) {
 	delete(s.conns, broker)
 	for _, jobs := range [][]*job{s.running, s.waiting} {
@@ -246,8 +247,8 @@
 		s.sum -= s.sent[0].work
 		s.sent = s.sent[1:]
 	}
-	bearable := params.FallMultiple * s.Capacity(now) * float64(s.Kind.Cores) * s.Kind.Speed * params.Fall
-	return s.sum > bearable*1.05+3*work
+	maxWork := params.FallMultiple * s.Capacity(now) * float64(s.Kind.Cores) * s.Kind.Speed * params.Fall
+	return s.sum > maxWork*1.05+3*work
 }
 
 // startJob starts a job on a free core.
