--- a/cmd/gullstair/rehearse.go
+++ b/cmd/gullstair/rehearse.go
@@ -69,7 +69,7 @@
 			}
 		}
 	}
-	if len(f.Breaches) > 0 || len(f.ExpectFaults) > 0 {
+	if len(f.Violations) > 0 || len(f.FailedExpectations) > 0 {
 		return errRehearsalFailed
 	}
 	return nil
@@ -81,12 +81,12 @@
 	if c.Loopback {
 		makePolicy = nil
 	} else if c.Policy != "gullstair" {
-		makePolicy = emulator.Plain(c.Policy == "least")
+		makePolicy = emulator.Baseline(c.Policy == "least")
 	}
 	w := emulator.New(&s.Fleet, c.Seed, makePolicy)
-	w.Share = c.Share
+	w.ProbePeriod = c.Share
 	for _, x := range s.Faults {
-		if err := w.Plan(x); err != nil {
+		if err := w.ScheduleFault(x); err != nil {
 			return f, nil, err
 		}
 	}
@@ -97,18 +97,18 @@
 		if err != nil {
 			return f, nil, fmt.Errorf("rehearse: %w", err)
 		}
-		if f, err = w.RunLive(ctx, s.Length, self, "serve", "--log", "warn"); err != nil {
+		if f, err = w.RunLoopback(ctx, s.Length, self, "serve", "--log", "warn"); err != nil {
 			return f, nil, err
 		}
 		if ctx.Err() != nil {
 			f.Interrupted = true
-			return f, w.Notes, nil // expectations hold for complete runs only
+			return f, w.Timeline, nil // expectations hold for complete runs only
 		}
 	} else if f, err = w.Run(s.Length); err != nil {
 		return f, nil, err
 	}
-	f.ExpectFaults = s.Check(f)
-	return f, w.Notes, nil
+	f.FailedExpectations = s.Check(f)
+	return f, w.Timeline, nil
 }
 
 // findScenario reads a scenario from a file, or one that comes with the program.
@@ -156,10 +156,10 @@
 	fmt.Fprintln(w, "from s\tscans\tserved %\tin time\tlate\tthrottled\tfailed\t")
 	for _, x := range f.Windows {
 		served := 100.0
-		if x.Asked > 0 {
-			served = 100 * x.Served / x.Asked
+		if x.Requested > 0 {
+			served = 100 * x.Earned / x.Requested
 		}
-		fmt.Fprintf(w, "%.0f\t%d\t%.1f\t%d\t%d\t%d\t%d\t\n", x.From/1000, x.Scans, served, x.Answered, x.Late, x.Throttled, x.Fails)
+		fmt.Fprintf(w, "%.0f\t%d\t%.1f\t%d\t%d\t%d\t%d\t\n", x.From/1000, x.Scans, served, x.Answered, x.Late, x.Throttled, x.Failed)
 	}
 	w.Flush()
 	fmt.Fprintln(out)
@@ -167,7 +167,7 @@
 		fmt.Fprintln(out, n)
 	}
 	fmt.Fprintf(out, "\nservice %.4f   worst 10 s %.4f   worst type %.4f (%s)   p50 %.0f ms   p99 %.0f ms   p99.9 %.0f ms\n", f.Service, f.Worst10s,
-		f.WorstType, f.WorstName, f.P50, f.P99, f.P999)
+		f.WorstType, f.WorstTypeName, f.P50, f.P99, f.P999)
 	fmt.Fprintf(out, "scans %d   late %d   throttled %d   failed %d   unanswered %d   dispatches a scan %.2f   work wasted %.1f%%\n", f.Scans, f.Late,
 		f.Throttled, f.Failed, f.Unanswered, f.Dispatches, 100*f.Wasted)
 	if len(f.ByTenant) > 0 {
@@ -187,16 +187,16 @@
 	if f.Interrupted {
 		fmt.Fprintln(out, "interrupted: the report is of what was played")
 	}
-	if len(f.Breaches) == 0 {
+	if len(f.Violations) == 0 {
 		fmt.Fprintln(out, "rules kept")
 	}
-	for _, b := range f.Breaches[:min(len(f.Breaches), 5)] {
-		fmt.Fprintf(out, "RULE BROKEN at %.2f s: %s: scan %s: %s\n", b.At/1000, b.Rule, b.Scan, b.What)
+	for _, b := range f.Violations[:min(len(f.Violations), 5)] {
+		fmt.Fprintf(out, "RULE BROKEN at %.2f s: %s: scan %s: %s\n", b.At/1000, b.Rule, b.Scan, b.Detail)
 		for _, line := range b.Trace {
 			fmt.Fprintln(out, "    "+line)
 		}
 	}
-	for _, e := range f.ExpectFaults {
+	for _, e := range f.FailedExpectations {
 		fmt.Fprintln(out, "NOT AS EXPECTED: "+e)
 	}
 }
--- a/cmd/gullstair/rehearse_test.go
+++ b/cmd/gullstair/rehearse_test.go
@@ -53,7 +53,7 @@
 	require.NoError(t, err)
 	var f emulator.Figures
 	require.NoError(t, json.Unmarshal(text, &f))
-	assert.Empty(t, f.Breaches)
+	assert.Empty(t, f.Violations)
 	assert.Greater(t, f.Scans, 150)
 	assert.Greater(t, f.Service, 0.5)
 	assert.Contains(t, out.String(), "broker_kill begins")
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -183,7 +183,7 @@
 	if err != nil {
 		return err
 	}
-	policies := []emulator.Maker{emulator.Gullstair, emulator.Plain(false), emulator.Plain(true)}
+	policies := []emulator.BrokerFactory{emulator.Gullstair, emulator.Baseline(false), emulator.Baseline(true)}
 	type cell struct {
 		service, worst float64
 		broken         int
@@ -204,12 +204,12 @@
 				}
 				w := emulator.New(&s.Fleet, uint64(1+i%c.Seeds), policies[i/c.Seeds])
 				for _, f := range s.Faults {
-					if err := w.Plan(f); err != nil {
+					if err := w.ScheduleFault(f); err != nil {
 						return err
 					}
 				}
 				f, err := w.Run(s.Length)
-				cells[i] = cell{f.Service, f.Worst10s, len(f.Breaches)}
+				cells[i] = cell{f.Service, f.Worst10s, len(f.Violations)}
 				return err
 			})
 		}
--- a/cmd/measure/page.go
+++ b/cmd/measure/page.go
@@ -51,8 +51,8 @@
 	s = runView{Name: name, F: f}
 	var service, parts plotter.XYs
 	for _, w := range f.Windows {
-		if w.Asked > 0 {
-			service = append(service, plotter.XY{X: w.From / 1000, Y: w.Served / w.Asked})
+		if w.Requested > 0 {
+			service = append(service, plotter.XY{X: w.From / 1000, Y: w.Earned / w.Requested})
 		}
 		parts = append(parts, plotter.XY{X: w.From / 1000, Y: float64(w.Struck)})
 	}
@@ -91,8 +91,8 @@
 	least, most := 1.0, 0
 	for _, f := range []emulator.Figures{off, on} {
 		for _, w := range f.Windows {
-			if w.Asked > 0 {
-				least = min(least, w.Served/w.Asked)
+			if w.Requested > 0 {
+				least = min(least, w.Earned/w.Requested)
 			}
 			most = max(most, w.Struck)
 		}
--- a/cmd/measure/verdicts.go
+++ b/cmd/measure/verdicts.go
@@ -68,10 +68,10 @@
 					if c.Brokers > 0 {
 						s.Fleet.Brokers = c.Brokers
 					}
-					s.Fleet.Notes, s.Fleet.Verdicts = sharingModes[k].notes, sharingModes[k].verdicts
+					s.Fleet.PeerNotes, s.Fleet.SharedVerdicts = sharingModes[k].notes, sharingModes[k].verdicts
 					world := emulator.New(&s.Fleet, uint64(seed+1), emulator.Gullstair)
 					for _, f := range s.Faults {
-						if err := world.Plan(f); err != nil {
+						if err := world.ScheduleFault(f); err != nil {
 							return err
 						}
 					}
@@ -91,7 +91,7 @@
 				service, worst, p99 = append(service, f.Service), append(worst, f.Worst10s), append(p99, f.P99)
 				struck, dispatches = append(struck, float64(f.Struck)), append(dispatches, f.Dispatches)
 				gain = append(gain, f.Service-all[0][seed].Service)
-				if len(f.Breaches) > 0 {
+				if len(f.Violations) > 0 {
 					broken = ", a rule broken"
 				}
 			}
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -2,28 +2,28 @@
 
 // eventQueue is a priority queue of events, ordered by time and then by order of insertion. It is a heap with four children
 // per node, which has half the depth of a binary heap; BenchmarkQueue compares the two.
-type queue struct {
-	heap []event
-	seq  uint64 // sequence number of the last event
+type eventQueue struct {
+	heap    []event
+	lastSeq uint64 // sequence number of the last event
 }
 
 // event is a function to be called at a time in ms.
 type event struct {
 	at  float64
 	seq uint64 // order of insertion, from 1
-	do  func()
+	run func()
 }
 
 func (e event) before(other event) bool {
 	return e.at < other.at || e.at == other.at && e.seq < other.seq
 }
 
-func (q *queue) len() int { return len(q.heap) }
+func (q *eventQueue) len() int { return len(q.heap) }
 
 // push adds an event.
-func (q *queue) push(at float64, do func()) {
-	q.seq++
-	e := event{at, q.seq, do}
+func (q *eventQueue) push(at float64, do func()) {
+	q.lastSeq++
+	e := event{at, q.lastSeq, do}
 	q.heap = append(q.heap, e)
 	i := len(q.heap) - 1
 	for i > 0 {
@@ -38,7 +38,7 @@
 }
 
 // pop removes and returns the first event. The queue must not be empty.
-func (q *queue) pop() event {
+func (q *eventQueue) pop() event {
 	heap := q.heap
 	top, last := heap[0], heap[len(heap)-1]
 	heap[len(heap)-1] = event{}
--- a/internal/emulator/race_test.go
+++ b/internal/emulator/race_test.go
@@ -2,4 +2,4 @@
 
 package emulator
 
-func init() { longRun = 60000 } // one minute: runs take about ten times as long under the race detector
+func init() { memoryTestLength = 60000 } // one minute: runs take about ten times as long under the race detector
--- a/internal/emulator/wire.go
+++ b/internal/emulator/wire.go
@@ -23,12 +23,12 @@
 
 // Limits on the size of frames and HTTP bodies, in bytes.
 const (
-	frameMost = 1 << 20
-	bodyMost  = 1 << 20
+	maxFrameBytes = 1 << 20
+	maxBodyBytes  = 1 << 20
 )
 
 // errProtocol is wrapped by errors about messages that violate the protocol.
-var errWire = errors.New("not as the protocol says")
+var errProtocol = errors.New("not as the protocol says")
 
 // readFrame reads one frame from a broker's connection to a store: a length of four bytes (big-endian), a letter that
 // gives the type, and the payload. The length counts the letter.
@@ -38,8 +38,8 @@
 		return 0, nil, err
 	}
 	length := binary.BigEndian.Uint32(header[:])
-	if length < 1 || length > frameMost {
-		return 0, nil, fmt.Errorf("%w: invalid frame length %d", errWire, length)
+	if length < 1 || length > maxFrameBytes {
+		return 0, nil, fmt.Errorf("%w: invalid frame length %d", errProtocol, length)
 	}
 	frame := make([]byte, length)
 	if _, err := io.ReadFull(in, frame); err != nil {
@@ -49,47 +49,47 @@
 }
 
 // encodeFrame returns a frame with the given type and payload.
-func frameOf(letter byte, payload string) []byte {
+func encodeFrame(letter byte, payload string) []byte {
 	frame := binary.BigEndian.AppendUint32(nil, uint32(1+len(payload)))
 	return append(append(frame, letter), payload...)
 }
 
 // wirePart is a part of a request frame (R).
 type wirePart struct {
-	id    string
-	shard int
-	wait  float64 // ms until the broker stops waiting
-	key   string  // for deduplication; may be empty
-	from  string  // step 2: the shards that answered step 1
-	text  string
+	id             string
+	shard          int
+	timeLeft       float64 // ms until the broker stops waiting
+	key            string  // for deduplication; may be empty
+	answeredShards string  // step 2: the shards that answered step 1
+	text           string
 }
 
 // parseCall parses the payload of a request frame (R): for each part a line "ID SHARD OPTIONS LENGTH", followed by LENGTH
 // bytes of text. OPTIONS is a comma-separated list of name=value.
-func readCall(payload []byte) (parts []wirePart, err error) {
+func parseCall(payload []byte) (parts []wirePart, err error) {
 	for remaining := string(payload); remaining != ""; {
 		header, tail, ok := strings.Cut(remaining, "\n")
 		fields := strings.Split(header, " ")
 		if !ok || len(fields) != 4 {
-			return nil, fmt.Errorf("%w: line %.60q", errWire, header)
+			return nil, fmt.Errorf("%w: line %.60q", errProtocol, header)
 		}
 		part := wirePart{id: fields[0]}
 		length, err1 := strconv.Atoi(fields[3])
 		shard, err2 := strconv.Atoi(fields[1])
 		if err1 != nil || err2 != nil || length < 0 || length > len(tail) || shard < 0 {
-			return nil, fmt.Errorf("%w: line %.60q", errWire, header)
+			return nil, fmt.Errorf("%w: line %.60q", errProtocol, header)
 		}
 		part.shard, part.text, remaining = shard, tail[:length], tail[length:]
 		for _, option := range strings.Split(fields[2], ",") {
 			switch name, value, _ := strings.Cut(option, "="); name {
 			case "d":
-				if part.wait, err = strconv.ParseFloat(value, 64); err != nil {
-					return nil, fmt.Errorf("%w: %.60q", errWire, option)
+				if part.timeLeft, err = strconv.ParseFloat(value, 64); err != nil {
+					return nil, fmt.Errorf("%w: %.60q", errProtocol, option)
 				}
 			case "k":
 				part.key = value
 			case "from":
-				part.from = value
+				part.answeredShards = value
 			}
 		}
 		parts = append(parts, part)
@@ -99,12 +99,12 @@
 
 // String returns the load report as stores send it.
 func (l Load) String() string {
-	return fmt.Sprintf("inflight=%d,queue=%d,util=%.2f", int(l.Running), int(l.Waiting), l.Busy)
+	return fmt.Sprintf("inflight=%d,queue=%d,util=%.2f", int(l.Running), int(l.Queued), l.Utilization)
 }
 
 // encodeRequest returns the HTTP request of a client for a scan; left is the time left in ms. An empty tenant sends no
 // X-Account header.
-func request(host string, scan *core.Scan, tableType, tenant string, timeLeft float64) ([]byte, error) {
+func encodeRequest(host string, scan *core.Scan, tableType, tenant string, timeLeft float64) ([]byte, error) {
 	type segment struct {
 		Segment int     `json:"segment"`
 		Boost   float64 `json:"boost"`
@@ -134,13 +134,13 @@
 
 // readResponse reads a broker's HTTP response. It reports in last whether the connection can't be reused. Any status other
 // than 200, 429 and 503 means that the scan was abandoned.
-func response(in *bufio.Reader) (reply core.Reply, last bool, err error) {
+func readResponse(in *bufio.Reader) (reply core.Reply, last bool, err error) {
 	resp, err := http.ReadResponse(in, nil)
 	if err != nil {
 		return reply, true, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, bodyMost))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	if err != nil {
 		return reply, true, err
 	}
@@ -155,7 +155,7 @@
 			} `json:"matches"`
 		}
 		if err := json.Unmarshal(text, &body); err != nil {
-			return reply, true, fmt.Errorf("%w: %v", errWire, err)
+			return reply, true, fmt.Errorf("%w: %v", errProtocol, err)
 		}
 		reply.Kind, reply.Complete = logic.Answer, body.AllIn
 		for _, match := range body.Matches {
@@ -173,21 +173,21 @@
 }
 
 // healthNames holds the names of the readiness states in the protocol of discovery.
-var healthWords = map[logic.Readiness]string{logic.Ready: "SERVING", logic.Draining: "DRAINING", logic.Gone: "DELETED"}
+var healthNames = map[logic.Readiness]string{logic.Ready: "SERVING", logic.Draining: "DRAINING", logic.Gone: "DELETED"}
 
 // encodeNodeList returns a node list in the JSON form of discovery; whole means a full list, otherwise only changes. dial
 // returns the address of a host.
-func listing(seq int64, full bool, nodes []core.Node, dial func(host string) string) map[string]any {
+func encodeNodeList(seq int64, full bool, nodes []core.Node, dial func(host string) string) map[string]any {
 	hosts := []any{}
 	for _, node := range nodes {
 		hosts = append(hosts, map[string]any{"host": node.Host, "dial": dial(node.Host), "site": node.Zone, "class": node.Kind, "block": node.Cell,
-			"health": healthWords[node.Readiness], "share": node.Units, "born_ms": node.Born})
+			"health": healthNames[node.Readiness], "share": node.Units, "born_ms": node.Born})
 	}
 	return map[string]any{"seq": seq, "whole": full, "hosts": hosts}
 }
 
 // nestSettings converts settings with dotted keys to the nested form of a start file.
-func tree(flat map[string]any) any {
+func nestSettings(flat map[string]any) any {
 	root := map[string]any{}
 	for key, value := range flat {
 		parent := root
@@ -205,11 +205,11 @@
 		}
 		parent[path[len(path)-1]] = value
 	}
-	return listed(root)
+	return convertLists(root)
 }
 
 // convertLists converts objects whose keys are exactly 0 to n-1 to lists, recursively.
-func listed(value any) any {
+func convertLists(value any) any {
 	object, ok := value.(map[string]any)
 	if !ok {
 		return value
@@ -217,7 +217,7 @@
 	list := make([]any, len(object))
 	allNumeric := len(object) > 0
 	for key, child := range object {
-		object[key] = listed(child)
+		object[key] = convertLists(child)
 		if index, err := strconv.Atoi(key); err == nil && index >= 0 && index < len(list) {
 			list[index] = object[key]
 		} else {
@@ -232,7 +232,7 @@
 
 // serveConn serves HTTP requests on a connection, one after the other, until either side closes it or handle returns the
 // status 0. A connection that stays idle for 90 s is closed.
-func answerOnce(conn net.Conn, handle func(*http.Request) (status int, body any)) {
+func serveConn(conn net.Conn, handle func(*http.Request) (status int, body any)) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
@@ -241,7 +241,7 @@
 		if err != nil {
 			return
 		}
-		io.Copy(io.Discard, io.LimitReader(req.Body, bodyMost))
+		io.Copy(io.Discard, io.LimitReader(req.Body, maxBodyBytes))
 		status, body := handle(req)
 		if status == 0 {
 			return
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -343,18 +343,18 @@
 	}
 	t := raw.Traffic
 	s.Fleet.Traffic = emulator.Traffic{Rate: c.number("traffic", 0, "scans_per_s", &t.Rate, 0.1, 100000, 0),
-		PatienceLeast: c.number("traffic", 0, "patience_least", t.Patience, 0.05, 1, 0.7), Retries: c.number("traffic", 0, "retries", t.Retries, 0, 1, 0.5),
-		Backoff: c.number("traffic", 0, "backoff_ms", t.Backoff, 0, 60000, 200), Heed: 0.6, Skew: c.number("traffic", 0, "skew", t.Skew, 0, 3, 0.2)}
+		MinPatience: c.number("traffic", 0, "patience_least", t.Patience, 0.05, 1, 0.7), RetryChance: c.number("traffic", 0, "retries", t.Retries, 0, 1, 0.5),
+		Backoff: c.number("traffic", 0, "backoff_ms", t.Backoff, 0, 60000, 200), HeedRetryAfter: 0.6, ShardSkew: c.number("traffic", 0, "skew", t.Skew, 0, 3, 0.2)}
 	s.Fleet.Traffic.Tenants = c.count("traffic", 0, "tenants", &t.Tenants, 0, 10000, 0)
 	s.Fleet.Traffic.TenantSkew = c.number("traffic", 0, "tenant_skew", t.TenantSkew, 0, 5, 1)
-	s.Fleet.Traffic.TenantPerSecond = c.number("traffic", 0, "tenant_scans_per_s", t.TenantRate, 0.01, 1e6, 1e6)
+	s.Fleet.Traffic.TenantEntitledRate = c.number("traffic", 0, "tenant_scans_per_s", t.TenantRate, 0.01, 1e6, 1e6)
 	if k := raw.Cells; k != nil {
-		s.Fleet.Confined = emulator.Cells{Count: c.count("cells", 0, "count", &k.Count, 1, 256, 0), Holders: c.count("cells", 0, "holders", k.Holders, 1, 100, 2),
-			Least: c.number("cells", 0, "least_share", k.Least, 0.01, 1, 0.5), Open: c.count("cells", 0, "open_scans", k.Open, 1, 1000000, 0),
-			Rate: c.number("cells", 0, "scans_per_s", k.Rate, 0.1, 1e6, 0)}
+		s.Fleet.TenantCells = emulator.TenantCells{Count: c.count("cells", 0, "count", &k.Count, 1, 256, 0), Holders: c.count("cells", 0, "holders", k.Holders, 1, 100, 2),
+			MinHolderShare: c.number("cells", 0, "least_share", k.Least, 0.01, 1, 0.5), MaxOpenScans: c.count("cells", 0, "open_scans", k.Open, 1, 1000000, 0),
+			MaxScanRate: c.number("cells", 0, "scans_per_s", k.Rate, 0.1, 1e6, 0)}
 	}
 	if raw.Sharing != nil {
-		s.Fleet.Notes, s.Fleet.Verdicts = raw.Sharing.Notes, raw.Sharing.Verdicts
+		s.Fleet.PeerNotes, s.Fleet.SharedVerdicts = raw.Sharing.Notes, raw.Sharing.Verdicts
 	}
 	for i, l := range raw.Limits {
 		s.Fleet.Limits = append(s.Fleet.Limits, c.limit(i, l))
@@ -377,8 +377,8 @@
 
 // limit validates a limit that applies to all brokers together.
 func (c *checker) limit(i int, l limit) emulator.FleetLimit {
-	x := emulator.FleetLimit{Name: l.Name, For: l.For, Rate: c.number("limit", i, "scans_per_s", l.Rate, 0.001, 1e6, 0), Open: c.count("limit", i, "open_scans", l.Open, 1, 1000000, 0),
-		Term: c.duration("limit", i, "term", cmp.Or(l.Term, "1s"), 100*time.Millisecond, time.Minute)}
+	x := emulator.FleetLimit{Name: l.Name, Scope: l.For, Rate: c.number("limit", i, "scans_per_s", l.Rate, 0.001, 1e6, 0), MaxOpen: c.count("limit", i, "open_scans", l.Open, 1, 1000000, 0),
+		LoanTerm: c.duration("limit", i, "term", cmp.Or(l.Term, "1s"), 100*time.Millisecond, time.Minute)}
 	x.Burst = c.number("limit", i, "burst", l.Burst, 1, 1e6, max(1, x.Rate/5))
 	if !slices.Contains([]string{"fleet", "cell", "tenant"}, l.For) {
 		c.reportError("limit", i, "for", "%q is not fleet, cell or tenant", l.For)
@@ -396,18 +396,18 @@
 	}
 	*f = emulator.Fleet{Zones: r.Zones, Cells: c.count("fleet", 0, "cells", &r.Cells, 1, 10000, 0), Reach: r.Reach,
 		Shards: c.count("fleet", 0, "shards", &r.Shards, 1, 100000, 0), Stores: c.count("fleet", 0, "stores", &r.Stores, 1, 5000, 0),
-		Brokers: c.count("fleet", 0, "brokers", &r.Brokers, 1, 1000, 0), Same: 0.2, Cross: 0.6, Jitter: 0.1, Client: 0.5,
-		ConnectTimeout: c.number("fleet", 0, "connect_timeout_ms", r.ConnectTimeout, 1, 60000, 250), Idle: 30000, Turn: 5,
-		Batch: c.count("fleet", 0, "batch", r.Batch, 1, 1000, 4), Dispatches: c.count("fleet", 0, "dispatches", r.Dispatches, 1, 20, 4),
+		Brokers: c.count("fleet", 0, "brokers", &r.Brokers, 1, 1000, 0), SameZoneDelay: 0.2, CrossZoneDelay: 0.6, DelayJitter: 0.1, ClientDelay: 0.5,
+		ConnectTimeout: c.number("fleet", 0, "connect_timeout_ms", r.ConnectTimeout, 1, 60000, 250), ConnIdle: 30000, TurnInterval: 5,
+		MaxBatch: c.count("fleet", 0, "batch", r.Batch, 1, 1000, 4), MaxDispatches: c.count("fleet", 0, "dispatches", r.Dispatches, 1, 20, 4),
 		OpenCap: 5000, SecondCopies: r.SecondCopies, RetryAfter: true, MaxRetryAfter: 1000, DrainGrace: 500,
-		ListLag: c.number("fleet", 0, "list_lag_ms", r.ListLag, 0, 60000, 800), ListSpread: 400,
-		SilentLag: c.number("fleet", 0, "silent_lag_ms", r.SilentLag, 0, 600000, 6000), FrontNotice: 2000,
-		Nature: emulator.Nature{CallWork: c.number("fleet", 0, "call_work_ms", r.CallWork, 0, 10000, 5), Cancel: "queued", Repeats: 2500,
-			Report: 500, ConnWork: 1, ConnMost: 2000, Cold: 1000 * c.number("fleet", 0, "cold_s", r.Cold, 0, 3600, 10),
-			ColdFrom: c.number("fleet", 0, "cold_from", r.ColdFrom, 0.01, 1, 0.2), Fall: 3000,
-			FallMultiple: c.number("fleet", 0, "fall_multiple", r.FallMultiple, 1, 100, 2.5),
-			PauseEvery:   1000 * c.number("fleet", 0, "pause_every_s", r.PauseEvery, 0.1, 3600, 0),
-			PauseFor:     c.number("fleet", 0, "pause_ms", r.PauseFor, 0, 60000, 0)}}
+		ListLag: c.number("fleet", 0, "list_lag_ms", r.ListLag, 0, 60000, 800), ListLagSpread: 400,
+		VanishedListLag: c.number("fleet", 0, "silent_lag_ms", r.SilentLag, 0, 600000, 6000), BrokerDownLag: 2000,
+		StoreModel: emulator.Behavior{CallWork: c.number("fleet", 0, "call_work_ms", r.CallWork, 0, 10000, 5), CancelMode: "queued", RepeatWindow: 2500,
+			ReportInterval: 500, ConnWork: 1, MaxConns: 2000, WarmUp: 1000 * c.number("fleet", 0, "cold_s", r.Cold, 0, 3600, 10),
+			StartCapacity: c.number("fleet", 0, "cold_from", r.ColdFrom, 0.01, 1, 0.2), OverloadWindow: 3000,
+			OverloadMultiple: c.number("fleet", 0, "fall_multiple", r.FallMultiple, 1, 100, 2.5),
+			PauseInterval:    1000 * c.number("fleet", 0, "pause_every_s", r.PauseEvery, 0.1, 3600, 0),
+			PauseDuration:    c.number("fleet", 0, "pause_ms", r.PauseFor, 0, 60000, 0)}}
 	f.BudgetWindow = 1000 * c.number("fleet", 0, "budget_window_s", r.BudgetWindow, 0.1, 3600, 0)
 	f.BudgetSpare = c.count("fleet", 0, "budget_spare", r.BudgetSpare, 0, 1000000, 0)
 	f.BudgetShare = c.number("fleet", 0, "budget_share", r.BudgetShare, 0, 10, 0)
@@ -424,12 +424,12 @@
 		c.reportError("fleet", 0, "reach", "%d is not from 1 to the %d cells", r.Reach, r.Cells)
 	}
 	if r.Cancel != "" {
-		if f.Nature.Cancel = r.Cancel; !slices.Contains([]string{"none", "queued", "all"}, r.Cancel) {
+		if f.StoreModel.CancelMode = r.Cancel; !slices.Contains([]string{"none", "queued", "all"}, r.Cancel) {
 			c.reportError("fleet", 0, "cancel", "%q is not none, queued or all", r.Cancel)
 		}
 	}
-	if f.Nature.PauseEvery > 0 && f.Nature.PauseFor >= f.Nature.PauseEvery {
-		c.reportError("fleet", 0, "pause_ms", "a pause of %v ms each %v ms leaves no time to work", f.Nature.PauseFor, f.Nature.PauseEvery)
+	if f.StoreModel.PauseInterval > 0 && f.StoreModel.PauseDuration >= f.StoreModel.PauseInterval {
+		c.reportError("fleet", 0, "pause_ms", "a pause of %v ms each %v ms leaves no time to work", f.StoreModel.PauseDuration, f.StoreModel.PauseInterval)
 	}
 	for _, k := range r.Kinds {
 		share, queue := 1.0, 40
@@ -442,10 +442,10 @@
 		if k.Cores < 1 || k.Cores > 1024 || !(k.Speed > 0.001 && k.Speed < 1000) || !(share > 0) || queue < 0 {
 			c.reportError("fleet", 0, "", "kind %s: its cores, speed, share or queue is impossible", k.Name)
 		}
-		f.Kinds = append(f.Kinds, emulator.KindShare{Kind: emulator.Kind{Name: k.Name, Cores: k.Cores, Speed: k.Speed, Queue: queue}, Share: share})
+		f.Kinds = append(f.Kinds, emulator.KindShare{MachineKind: emulator.MachineKind{Name: k.Name, Cores: k.Cores, Speed: k.Speed, QueueSize: queue}, Share: share})
 	}
 	if len(f.Kinds) == 0 {
-		f.Kinds = []emulator.KindShare{{Kind: emulator.Kind{Name: "std", Cores: 2, Speed: 1, Queue: 40}, Share: 1}}
+		f.Kinds = []emulator.KindShare{{MachineKind: emulator.MachineKind{Name: "std", Cores: 2, Speed: 1, QueueSize: 40}, Share: 1}}
 	}
 }
 
@@ -456,7 +456,7 @@
 		Target: c.number(at, i, "target_ms", &y.Target, 1, 1e6, 0), Timeout: c.number(at, i, "timeout_ms", &y.Timeout, 1, 1e6, 0),
 		Benefit: c.number(at, i, "benefit", &y.Benefit, 0.0001, 1e6, 0), LateBenefit: c.number(at, i, "late_benefit", &y.LateBenefit, 0, 1, 0),
 		Effect: y.Effect, RepeatWindow: c.number(at, i, "repeat_window_ms", &y.Repeat, 0, 1e6, 0), Need: 1,
-		Floor: c.number(at, i, "least_share", y.Floor, 0.01, 1, 1), Partial: 0.9, Fetch: y.Fetch, FetchWork: c.number(at, i, "fetch_work", y.FetchWork, 0.01, 10, 0.5)}
+		Floor: c.number(at, i, "least_share", y.Floor, 0.01, 1, 1), PartialBenefit: 0.9, Fetch: y.Fetch, FetchWork: c.number(at, i, "fetch_work", y.FetchWork, 0.01, 10, 0.5)}
 	if !slices.Contains([]string{"replayable", "keyed", "non-replayable"}, y.Effect) {
 		c.reportError(at, i, "effect", "%q is not replayable, keyed or non-replayable", y.Effect)
 	}
@@ -476,7 +476,7 @@
 func (c *checker) faultBlock(i int, f fault, s *Scenario) emulator.Fault {
 	x := emulator.Fault{Kind: f.Kind, At: c.duration("fault", i, "at", f.At, 0, 2*time.Hour), For: c.duration("fault", i, "for", f.For, time.Millisecond, 2*time.Hour),
 		Share: c.number("fault", i, "share", f.Share, 0.0001, 1, 0.25), Size: c.number("fault", i, "size", f.Size, 0, 1e6, defaultSizes[f.Kind]), Zone: f.Zone, Stores: f.Stores}
-	if _, known := emulator.Faults[f.Kind]; !known {
+	if _, known := emulator.FaultKinds[f.Kind]; !known {
 		c.reportError("fault", i, "", "there is no such fault; there are: %s", strings.Join(faultKinds(), ", "))
 	}
 	if x.At >= s.Length {
@@ -505,7 +505,7 @@
 	"resets": 0.3, "spoils": 0.3, "lies": 5, "stale_list": 5000, "hot_key": 0.3, "traffic": 2, "abuse": 3, "broker_loss": 0.3}
 
 func faultKinds() (all []string) {
-	for k := range emulator.Faults {
+	for k := range emulator.FaultKinds {
 		all = append(all, k)
 	}
 	slices.Sort(all)
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -91,7 +91,7 @@
 	assert.Equal(t, 10000.0, s.Length)
 	assert.Len(t, s.Fleet.Types, 3)
 	assert.Empty(t, s.Expect)
-	assert.Equal(t, []emulator.FleetLimit{{Name: "all", For: "fleet", Rate: 50, Burst: 10, Term: 1000}}, s.Fleet.Limits)
+	assert.Equal(t, []emulator.FleetLimit{{Name: "all", Scope: "fleet", Rate: 50, Burst: 10, LoanTerm: 1000}}, s.Fleet.Limits)
 	assert.Equal(t, 0.3, s.Faults[0].Size)
 	for text, want := range map[string]string{
 		"base = \"none\"\n":          `x.hcl:1: base: there is no scenario "none" in the same folder or in the program`,
