--- a/cmd/gullstair/control_test.go
+++ b/cmd/gullstair/control_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"gullstair/internal/rig"
+	"gullstair/internal/fleettest"
 	"gullstair/internal/settings"
 )
 
@@ -33,7 +33,7 @@
 	folder    string
 	disk      bool
 	bootstrap bool
-	process   *rig.Process
+	process   *fleettest.Process
 	programs  []string // programs to start in turn; if empty, this test binary
 	starts    int
 }
@@ -74,7 +74,7 @@
 		program = c.programs[c.starts%len(c.programs)]
 	}
 	c.starts++
-	c.process, err = rig.Launch([]string{program, "broker"}, []string{"GULLSTAIR_TEST_CHILD=1", settings.EnvironmentVariable + "=" + path}, out)
+	c.process, err = fleettest.Launch([]string{program, "broker"}, []string{"GULLSTAIR_TEST_CHILD=1", settings.EnvironmentVariable + "=" + path}, out)
 	require.NoError(c.t, err)
 	c.bootstrap = false
 }
--- a/cmd/gullstair/json_test.go
+++ b/cmd/gullstair/json_test.go
@@ -11,7 +11,7 @@
 	"gullstair/internal/broker"
 	"gullstair/internal/core"
 	"gullstair/internal/emulator"
-	"gullstair/internal/sharer"
+	"gullstair/internal/memberactor"
 )
 
 var snakeCase = regexp.MustCompile(`^[a-z][a-z0-9]*(_[a-z0-9]+)*$`)
@@ -44,7 +44,7 @@
 // TestJSONKeys checks that all JSON keys that the commands write are in snake case, since scripts read them.
 func TestJSONKeys(t *testing.T) {
 	n := 0
-	for _, v := range []any{sharer.State{}, core.CellView{}, emulator.Figures{}, broker.LimitsView{}} {
+	for _, v := range []any{memberactor.State{}, core.CellView{}, emulator.Figures{}, broker.LimitsView{}} {
 		walkKeys(reflect.TypeOf(v), func(where, key string) {
 			n++
 			assert.Regexp(t, snakeCase, key, where)
--- a/cmd/gullstair/lease.go
+++ b/cmd/gullstair/lease.go
@@ -20,7 +20,7 @@
 	"gullstair/internal/control"
 	"gullstair/internal/fence"
 	"gullstair/internal/guard"
-	"gullstair/internal/sharer"
+	"gullstair/internal/memberactor"
 	"gullstair/internal/tasks"
 )
 
@@ -181,7 +181,7 @@
 	GracePeriodMS float64       `json:"quiet_ms"` // remaining time in which this broker's voter grants nothing
 }
 
-func leaseRows(s sharer.State) (rows []leaseRow) {
+func leaseRows(s memberactor.State) (rows []leaseRow) {
 	views := map[string]tasks.View{}
 	for _, v := range s.Tasks {
 		views[v.Lease] = v
@@ -282,7 +282,7 @@
 }
 
 func (c *leaseOrderCmd) Run(out io.Writer) error {
-	var s sharer.State
+	var s memberactor.State
 	if err := control.Get(c.Socket, "sharing", &s); err != nil {
 		return err
 	}
--- a/cmd/gullstair/leases_test.go
+++ b/cmd/gullstair/leases_test.go
@@ -20,9 +20,9 @@
 	"golang.org/x/sys/unix"
 
 	"gullstair/internal/broker"
+	"gullstair/internal/fleettest"
 	"gullstair/internal/guard"
-	"gullstair/internal/rig"
-	"gullstair/internal/sharer"
+	"gullstair/internal/memberactor"
 )
 
 // skewedClocks returns clocks that read their error from a file: the rate once at the start, the offset of the wall
@@ -46,9 +46,9 @@
 
 // leaseFleet is a fleet with one task, whose runs report to a witness.
 type leaseFleet struct {
-	*rig.Fleet
+	*fleettest.Fleet
 	t       *testing.T
-	witness *rig.Witness
+	witness *fleettest.Witness
 }
 
 const (
@@ -58,8 +58,8 @@
 )
 
 // taskDocument returns a member's features document: a task that works for the given span, and leases by hand.
-func taskDocument(witness, span, how, dir string) func(m *rig.Member) (string, string) {
-	return func(m *rig.Member) (string, string) {
+func taskDocument(witness, span, how, dir string) func(m *fleettest.Member) (string, string) {
+	return func(m *fleettest.Member) (string, string) {
 		votes := ""
 		if dir != "" {
 			votes = fmt.Sprintf("  dir = %q\n", m.Path(dir))
@@ -70,21 +70,21 @@
 	}
 }
 
-func startLeases(t *testing.T, members int, span, how, dir string, bend func(*rig.Member)) *leaseFleet {
-	w, err := rig.NewWitness()
+func startLeases(t *testing.T, members int, span, how, dir string, bend func(*fleettest.Member)) *leaseFleet {
+	w, err := fleettest.NewWitness()
 	require.NoError(t, err)
 	dir0, env := t.TempDir(), []string{"GULLSTAIR_TEST_CHILD=1"}
 	if how == "fenced" {
 		env = append(env, "RIG_FENCE="+filepath.Join(dir0, "fence"))
 	}
-	f, err := rig.New(rig.Config{Dir: dir0, Members: members, Program: []string{os.Args[0], "serve", "--log", "info"}, Env: env,
+	f, err := fleettest.New(fleettest.Config{Dir: dir0, Members: members, Program: []string{os.Args[0], "serve", "--log", "info"}, Env: env,
 		Start: startTree(t), Features: taskDocument(w.Addr, span, how, dir), Seed: 1})
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		f.Close()
 		// Guards outlive their brokers up to their deadlines, and must be gone by then.
 		last := 0
-		assert.NoError(t, rig.WaitUntil(10*time.Second, func() bool {
+		assert.NoError(t, fleettest.WaitUntil(10*time.Second, func() bool {
 			n := len(w.Observed())
 			idle := n == last && guardsGone(w)
 			last = n
@@ -112,15 +112,15 @@
 }
 
 // guardsGone reports whether no process that reported to the witness is left.
-func guardsGone(w *rig.Witness) bool {
-	return !slices.ContainsFunc(w.Observed(), func(k rig.Work) bool { return len(k.Remaining()) > 0 })
+func guardsGone(w *fleettest.Witness) bool {
+	return !slices.ContainsFunc(w.Observed(), func(k fleettest.Work) bool { return len(k.Remaining()) > 0 })
 }
 
 // newerWork waits for work under a higher fencing number than the given work.
-func (f *leaseFleet) newerWork(than rig.Work) (rig.Work, *rig.Member) {
+func (f *leaseFleet) newerWork(than fleettest.Work) (fleettest.Work, *fleettest.Member) {
 	f.t.Helper()
-	var last rig.Work
-	require.NoError(f.t, rig.WaitUntil(takeoverTimeout, func() bool {
+	var last fleettest.Work
+	require.NoError(f.t, fleettest.WaitUntil(takeoverTimeout, func() bool {
 		if all := f.witness.Observed(); len(all) > 0 {
 			last = all[len(all)-1]
 		}
@@ -130,10 +130,10 @@
 }
 
 // currentWork waits for work that is in progress, and returns it with its holder.
-func (f *leaseFleet) currentWork() (k rig.Work, m *rig.Member) {
+func (f *leaseFleet) currentWork() (k fleettest.Work, m *fleettest.Member) {
 	f.t.Helper()
 	now := guard.BootTime()
-	require.NoError(f.t, rig.WaitUntil(takeoverTimeout, func() bool {
+	require.NoError(f.t, fleettest.WaitUntil(takeoverTimeout, func() bool {
 		for _, k = range f.witness.Observed() {
 			if strings.HasPrefix(k.Lease, "task/") && k.Last > now {
 				// Work that a killed broker's guard continues up to its deadline has no holder any more.
@@ -148,12 +148,12 @@
 }
 
 // holder returns the member whose lease has the fencing number, or nil if no member reports it.
-func (f *leaseFleet) holder(fence uint64) *rig.Member {
+func (f *leaseFleet) holder(fence uint64) *fleettest.Member {
 	for _, m := range f.Members {
 		if !m.Running() {
 			continue
 		}
-		var s sharer.State
+		var s memberactor.State
 		if m.Query("sharing", &s) != nil {
 			continue
 		}
@@ -166,7 +166,7 @@
 	return nil
 }
 
-func (f *leaseFleet) others(m *rig.Member) (all []int) {
+func (f *leaseFleet) others(m *fleettest.Member) (all []int) {
 	for _, o := range f.Members {
 		if o != m {
 			all = append(all, o.Index)
@@ -179,25 +179,25 @@
 // numbers must grow, and work must resume once a majority is connected.
 func TestLeaseFaults(t *testing.T) {
 	runParallel(t)
-	f := startLeases(t, 5, "1500ms", "stubborn", "votes", func(m *rig.Member) {
+	f := startLeases(t, 5, "1500ms", "stubborn", "votes", func(m *fleettest.Member) {
 		require.NoError(t, m.SkewClocks([]float64{0.99, 1.01, 1}[m.Index%3], 0)) // the configured drift, at both ends of its range
 	})
 	for _, c := range []struct {
 		name string
-		do   func(k rig.Work, m *rig.Member)
+		do   func(k fleettest.Work, m *fleettest.Member)
 	}{
-		{"the holder is killed during a task", func(k rig.Work, m *rig.Member) {
+		{"the holder is killed during a task", func(k fleettest.Work, m *fleettest.Member) {
 			m.Kill()
 			f.newerWork(k)
 			require.NoError(t, m.Launch())
 		}},
-		{"the holder is paused for three terms during a task", func(k rig.Work, m *rig.Member) {
+		{"the holder is paused for three terms during a task", func(k fleettest.Work, m *fleettest.Member) {
 			m.Signal(syscall.SIGSTOP)
 			_, other := f.newerWork(k)
 			assert.NotEqual(t, m, other)
 			m.Signal(syscall.SIGCONT)
 		}},
-		{"the holder's guard is paused", func(k rig.Work, m *rig.Member) {
+		{"the holder's guard is paused", func(k fleettest.Work, m *fleettest.Member) {
 			for _, pid := range guardsOf(m.Pid()) {
 				syscall.Kill(pid, syscall.SIGSTOP)
 			}
@@ -205,54 +205,54 @@
 			f.newerWork(k)
 			f.Switch.Heal()
 		}},
-		{"the holder is cut off", func(k rig.Work, m *rig.Member) {
+		{"the holder is cut off", func(k fleettest.Work, m *fleettest.Member) {
 			f.Switch.Split(f.others(m))
 			_, other := f.newerWork(k)
 			assert.NotEqual(t, m, other)
 			f.Switch.Heal()
 		}},
-		{"no member receives from the holder", func(k rig.Work, m *rig.Member) {
+		{"no member receives from the holder", func(k fleettest.Work, m *fleettest.Member) {
 			for i := range f.Members {
-				f.Switch.Set(m.Index, i, func(l *rig.Link) { l.Cut = true })
+				f.Switch.Set(m.Index, i, func(l *fleettest.Link) { l.Cut = true })
 			}
 			f.newerWork(k)
 			f.Switch.Heal()
 		}},
-		{"the holder receives from no member", func(k rig.Work, m *rig.Member) {
+		{"the holder receives from no member", func(k fleettest.Work, m *fleettest.Member) {
 			for i := range f.Members {
-				f.Switch.Set(i, m.Index, func(l *rig.Link) { l.Cut = true })
+				f.Switch.Set(i, m.Index, func(l *fleettest.Link) { l.Cut = true })
 			}
 			f.newerWork(k)
 			f.Switch.Heal()
 		}},
-		{"a partition of three and two", func(k rig.Work, m *rig.Member) {
+		{"a partition of three and two", func(k fleettest.Work, m *fleettest.Member) {
 			o := f.others(m)
 			f.Switch.Split([]int{m.Index, o[0]}, o[1:])
 			f.newerWork(k)
 			f.Switch.Heal()
 		}},
-		{"a partition of two, two and one", func(_ rig.Work, m *rig.Member) {
+		{"a partition of two, two and one", func(_ fleettest.Work, m *fleettest.Member) {
 			o := f.others(m)
 			f.Switch.Split([]int{m.Index, o[0]}, o[1:3])
 			before := len(f.witness.Observed())
-			require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool { return f.holderOf() == nil }), "no side has a majority, so the lease has no holder")
+			require.NoError(t, fleettest.WaitUntil(takeoverTimeout, func() bool { return f.holderOf() == nil }), "no side has a majority, so the lease has no holder")
 			assert.LessOrEqual(t, len(f.witness.Observed()), before+1)
 			f.Switch.Heal()
 		}},
-		{"loss, duplicates, reordering and corruption", func(rig.Work, *rig.Member) {
-			f.Switch.All(func(l *rig.Link) { l.Loss, l.Duplicate, l.Jitter, l.Flip = 0.3, 0.3, 20, 0.02 })
+		{"loss, duplicates, reordering and corruption", func(fleettest.Work, *fleettest.Member) {
+			f.Switch.All(func(l *fleettest.Link) { l.Loss, l.Duplicate, l.Jitter, l.Flip = 0.3, 0.3, 20, 0.02 })
 			f.currentWork()
 			f.currentWork()
 			f.Switch.Heal()
 		}},
-		{"replayed datagrams", func(k rig.Work, m *rig.Member) {
+		{"replayed datagrams", func(k fleettest.Work, m *fleettest.Member) {
 			m.Kill()
 			f.newerWork(k)
 			assert.Positive(t, f.Switch.Replay())
 			require.NoError(t, m.Launch())
 			assert.Positive(t, f.Switch.Replay())
 		}},
-		{"wall clocks an hour apart, and jumping", func(k rig.Work, m *rig.Member) {
+		{"wall clocks an hour apart, and jumping", func(k fleettest.Work, m *fleettest.Member) {
 			o := f.others(m)
 			require.NoError(t, m.SkewClocks(1, time.Hour)) // its own clock cuts it off from the others, which continue
 			require.NoError(t, f.Members[o[0]].SkewClocks(1, -10*time.Second))
@@ -261,13 +261,13 @@
 			require.NoError(t, m.SkewClocks(1, 0))
 			require.NoError(t, f.Members[o[0]].SkewClocks(1, 0))
 		}},
-		{"all restart at once", func(rig.Work, *rig.Member) {
+		{"all restart at once", func(fleettest.Work, *fleettest.Member) {
 			for _, m := range f.Members {
 				m.Kill()
 			}
 			require.NoError(t, f.LaunchAll())
 		}},
-		{"all restart, one voter with an older copy of its disk", func(_ rig.Work, m *rig.Member) {
+		{"all restart, one voter with an older copy of its disk", func(_ fleettest.Work, m *fleettest.Member) {
 			for _, m := range f.Members {
 				m.Kill()
 			}
@@ -281,7 +281,7 @@
 			require.NoError(t, os.RemoveAll(path))
 			copyDir(t, path+".old", path)
 			require.NoError(t, f.LaunchAll())
-			require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool {
+			require.NoError(t, fleettest.WaitUntil(takeoverTimeout, func() bool {
 				log, _ := os.ReadFile(m.Path("log"))
 				return bytes.Contains(log, []byte("it is a copy"))
 			}), "the copy is detected and logged")
@@ -289,12 +289,12 @@
 			// since.
 			m.Kill()
 			require.NoError(t, m.Launch())
-			require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool {
+			require.NoError(t, fleettest.WaitUntil(takeoverTimeout, func() bool {
 				log, _ := os.ReadFile(m.Path("log"))
 				return bytes.Contains(log, []byte("an earlier process found something missing"))
 			}), "the next process still distrusts its votes")
 		}},
-		{"the holder shuts down in order", func(k rig.Work, m *rig.Member) {
+		{"the holder shuts down in order", func(k fleettest.Work, m *fleettest.Member) {
 			m.Terminate(20 * time.Second)
 			f.newerWork(k)
 			require.NoError(t, m.Launch())
@@ -328,11 +328,11 @@
 		syscall.Kill(pid, syscall.SIGKILL)
 	}
 	// The broker ends the processes that the guard left behind, including the grandchild in a session of its own.
-	require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool { return len(k.Remaining()) == 0 }))
+	require.NoError(t, fleettest.WaitUntil(takeoverTimeout, func() bool { return len(k.Remaining()) == 0 }))
 	// The broker must not be killed before it has reported this: if a guard and its broker die at once, only the fence
 	// stops a grandchild in a session of its own (docs/leases.md). A late report of such a grandchild once counted as
 	// running work, and the test failed when it killed the broker.
-	require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool {
+	require.NoError(t, fleettest.WaitUntil(takeoverTimeout, func() bool {
 		log, _ := os.ReadFile(m.Path("log"))
 		return bytes.Contains(log, []byte("its guard was ended"))
 	}))
@@ -346,14 +346,14 @@
 	runParallel(t)
 	f := startLeases(t, 3, "300ms", "plain", "votes", nil)
 	f.currentWork()
-	said := func(m *rig.Member, any ...string) {
+	said := func(m *fleettest.Member, any ...string) {
 		t.Helper()
-		require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool {
+		require.NoError(t, fleettest.WaitUntil(takeoverTimeout, func() bool {
 			log, _ := os.ReadFile(m.Path("log"))
 			return slices.ContainsFunc(any, func(what string) bool { return bytes.Contains(log, []byte(what)) })
 		}), any)
 	}
-	fill := func(m *rig.Member) {
+	fill := func(m *fleettest.Member) {
 		t.Helper()
 		// The log is longer than the file of votes and must stay writable, so it is truncated to stay below the size limit.
 		require.NoError(t, os.Truncate(m.Path("log"), 0))
@@ -371,7 +371,7 @@
 	fill(f.Members[0])
 	f.currentWork() // two of three are a majority
 	fill(f.Members[1])
-	require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool { return f.holderOf() == nil }), "one voter of three is no majority")
+	require.NoError(t, fleettest.WaitUntil(takeoverTimeout, func() bool { return f.holderOf() == nil }), "one voter of three is no majority")
 	all := f.witness.Observed()
 	for _, m := range f.Members[:2] {
 		m.Kill()
@@ -394,14 +394,14 @@
 		require.NoError(t, syscall.Kill(pid, syscall.SIGSTOP))
 	}
 	next, _ := f.newerWork(k)
-	require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool { // its writes have arrived
+	require.NoError(t, fleettest.WaitUntil(takeoverTimeout, func() bool { // its writes have arrived
 		all := f.witness.Observed()
 		return all[len(all)-1].Fence == next.Fence && all[len(all)-1].Last > next.Last
 	}))
 	for _, pid := range k.Pids {
 		require.NoError(t, syscall.Kill(pid, syscall.SIGCONT))
 	}
-	require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool { return len(k.Remaining()) == 0 }), "the fence refuses its writes, and it ends")
+	require.NoError(t, fleettest.WaitUntil(takeoverTimeout, func() bool { return len(k.Remaining()) == 0 }), "the fence refuses its writes, and it ends")
 	for _, pid := range stopped {
 		syscall.Kill(pid, syscall.SIGCONT)
 	}
@@ -417,12 +417,12 @@
 // the lease next, an operator can release it, and a command that loses its lease is ended. A broker that is not
 // scheduled for longer than a term loses its lease; such attempts are repeated.
 func TestLeaseByHand(t *testing.T) {
-	for name, disturb := range map[string]func(*rig.Fleet) (stop func()){
-		"calm": func(*rig.Fleet) func() { return func() {} },
-		"a broker is paused for longer than the term": func(f *rig.Fleet) func() {
+	for name, disturb := range map[string]func(*fleettest.Fleet) (stop func()){
+		"calm": func(*fleettest.Fleet) func() { return func() {} },
+		"a broker is paused for longer than the term": func(f *fleettest.Fleet) func() {
 			return pauseTurns(f.Members[:1], time.Second, leaseTerm+time.Second, 3)
 		},
-		"a broker is repeatedly declared dead and rejoins": func(f *rig.Fleet) func() {
+		"a broker is repeatedly declared dead and rejoins": func(f *fleettest.Fleet) func() {
 			return pauseTurns(f.Members[:1], 700*time.Millisecond, 900*time.Millisecond, 5)
 		},
 	} {
@@ -442,7 +442,7 @@
 }
 
 // hold runs a command under a lease by hand.
-func (f *leaseFleet) hold(m *rig.Member, name, span string, holders int, more ...string) *exec.Cmd {
+func (f *leaseFleet) hold(m *fleettest.Member, name, span string, holders int, more ...string) *exec.Cmd {
 	args := append([]string{"lease", "run", "--socket", m.Socket(), "--term", leaseTerm.String(), "--holders", fmt.Sprint(holders), "--wait", "60s"}, more...)
 	cmd := exec.Command(os.Args[0], append(args, name, "--", os.Args[0], "witness", f.witness.Addr, span, "plain")...)
 	cmd.Env = append(os.Environ(), "GULLSTAIR_TEST_CHILD=1")
@@ -453,7 +453,7 @@
 }
 
 // countHolders counts the holders of a lease, as a member sees it.
-func (f *leaseFleet) countHolders(m *rig.Member, name string) (n int) {
+func (f *leaseFleet) countHolders(m *fleettest.Member, name string) (n int) {
 	var rows []leaseRow
 	require.NoError(f.t, json.Unmarshal([]byte(command(f.t, m, "lease", "list", "--json")), &rows))
 	for _, r := range rows {
@@ -469,8 +469,8 @@
 func (f *leaseFleet) awaitRunning(name string) {
 	f.t.Helper()
 	now := guard.BootTime()
-	require.NoError(f.t, rig.WaitUntil(takeoverTimeout, func() bool {
-		return slices.ContainsFunc(f.witness.Observed(), func(k rig.Work) bool { return strings.HasPrefix(k.Lease, "hold/"+name+"/") && k.Last > now })
+	require.NoError(f.t, fleettest.WaitUntil(takeoverTimeout, func() bool {
+		return slices.ContainsFunc(f.witness.Observed(), func(k fleettest.Work) bool { return strings.HasPrefix(k.Lease, "hold/"+name+"/") && k.Last > now })
 	}))
 }
 
@@ -495,7 +495,7 @@
 		for _, m := range f.Members {
 			cmds = append(cmds, f.hold(m, name, "2500ms", 2))
 		}
-		two := rig.WaitUntil(takeoverTimeout, func() bool { return f.countHolders(f.Members[0], name) == 2 })
+		two := fleettest.WaitUntil(takeoverTimeout, func() bool { return f.countHolders(f.Members[0], name) == 2 })
 		for _, c := range cmds {
 			if code := waitExitCode(c); code != 0 {
 				return fmt.Errorf("a command ended with %d", code)
@@ -528,7 +528,7 @@
 			first.Wait()
 		}()
 		f.awaitRunning("one")
-		seen := rig.WaitUntil(takeoverTimeout, func() bool { return f.countHolders(f.Members[0], "one") == 1 })
+		seen := fleettest.WaitUntil(takeoverTimeout, func() bool { return f.countHolders(f.Members[0], "one") == 1 })
 		late := waitExitCode(f.hold(f.Members[1], "one", "60s", 1, "--wait", "300ms"))
 		shown := command(f.t, f.Members[2], "lease", "show", "one")
 		if seen != nil || late != int(exitNotAcquired) || !strings.Contains(shown, "witness") || !strings.Contains(shown, "n0") {
@@ -579,7 +579,7 @@
 func (f *leaseFleet) ordersOnTheTask() {
 	f.t.Helper()
 	command(f.t, f.Members[1], "lease", "pause", "close")
-	require.NoError(f.t, rig.WaitUntil(takeoverTimeout, func() bool {
+	require.NoError(f.t, fleettest.WaitUntil(takeoverTimeout, func() bool {
 		return strings.Contains(command(f.t, f.Members[2], "lease", "list"), "paused")
 	}), "it is shown as paused")
 	assert.Contains(f.t, refusal(f.t, f.Members[1], "lease", "trigger", "close"), "the task is paused")
@@ -605,8 +605,8 @@
 		return nil
 	})
 	f.Members[0].Signal(syscall.SIGCONT)
-	require.NoError(t, rig.WaitUntil(takeoverTimeout, func() bool { return f.countHolders(f.Members[0], "one") == 0 }), "the resumed broker holds nothing")
-	var before, after rig.Work
+	require.NoError(t, fleettest.WaitUntil(takeoverTimeout, func() bool { return f.countHolders(f.Members[0], "one") == 0 }), "the resumed broker holds nothing")
+	var before, after fleettest.Work
 	for _, k := range f.witness.Observed() {
 		if strings.HasPrefix(k.Lease, "hold/one/") {
 			before, after = after, k
@@ -628,18 +628,18 @@
 // over. A failing schedule is printed, replayed to count how often it fails, and reduced; -rig.schedule plays it.
 func TestLeaseSchedule(t *testing.T) {
 	runParallel(t)
-	s := rig.RandomSchedule(*rigSeed, *rigMembers, *rigFaults, *rigSpan)
+	s := fleettest.RandomSchedule(*rigSeed, *rigMembers, *rigFaults, *rigSpan)
 	if *rigSchedule != "" {
 		text, err := os.ReadFile(*rigSchedule)
 		require.NoError(t, err)
-		s, err = rig.Parse(string(text))
+		s, err = fleettest.Parse(string(text))
 		require.NoError(t, err)
 	}
-	f := startLeases(t, *rigMembers, "1500ms", "stubborn", "votes", func(m *rig.Member) {
+	f := startLeases(t, *rigMembers, "1500ms", "stubborn", "votes", func(m *fleettest.Member) {
 		require.NoError(t, m.SkewClocks([]float64{0.99, 1.01, 1}[m.Index%3], 0))
 	})
 	plays := 0
-	play := func(s rig.Schedule) bool {
+	play := func(s fleettest.Schedule) bool {
 		plays++
 		f.currentWork()
 		before := len(f.witness.Violations())
@@ -656,7 +656,7 @@
 			again++
 		}
 	}
-	small := rig.Shrink(s, 20, play)
+	small := fleettest.Shrink(s, 20, play)
 	t.Fatalf("%v\nafter 1 schedules; it failed again %d times of 3; smaller, after %d plays:\n%s", f.witness.Violations(), again, plays, small)
 }
 
@@ -666,9 +666,9 @@
 }
 
 // holderOf returns the member that holds the task's lease.
-func (f *leaseFleet) holderOf() *rig.Member {
+func (f *leaseFleet) holderOf() *fleettest.Member {
 	for _, m := range f.Members {
-		var s sharer.State
+		var s memberactor.State
 		if m.Running() && m.Query("sharing", &s) == nil && len(s.Leases) > 0 && s.Leases[len(s.Leases)-1].Held {
 			return m
 		}
--- a/cmd/gullstair/limits_test.go
+++ b/cmd/gullstair/limits_test.go
@@ -19,15 +19,15 @@
 	"github.com/stretchr/testify/require"
 
 	"gullstair/internal/broker"
-	"gullstair/internal/rig"
-	"gullstair/internal/sharer"
+	"gullstair/internal/fleettest"
+	"gullstair/internal/memberactor"
 	"gullstair/internal/verdicts"
 )
 
 // limitFleet is a fleet with a limit, and clients that query each broker at a set rate. Checks use only the answers
 // that the clients got.
 type limitFleet struct {
-	*rig.Fleet
+	*fleettest.Fleet
 	t       *testing.T
 	client  *http.Client
 	demand  []atomic.Int64 // scans a second, by broker
@@ -75,8 +75,8 @@
 			"health": "SERVING", "share": 1, "born_ms": 0})
 	}
 	tree["known"] = map[string]any{"seq": 41, "whole": true, "hosts": hosts}
-	fleet, err := rig.New(rig.Config{Dir: t.TempDir(), Members: members, Program: []string{os.Args[0], "serve", "--log", "error"}, Env: []string{"GULLSTAIR_TEST_CHILD=1"},
-		Start: tree, Seed: 1, Features: func(m *rig.Member) (string, string) {
+	fleet, err := fleettest.New(fleettest.Config{Dir: t.TempDir(), Members: members, Program: []string{os.Args[0], "serve", "--log", "error"}, Env: []string{"GULLSTAIR_TEST_CHILD=1"},
+		Start: tree, Seed: 1, Features: func(m *fleettest.Member) (string, string) {
 			rest := limit
 			if m.Index%2 == 0 {
 				rest += fmt.Sprintf("limits {\n  dir = %q\n}\n", m.Path("lent"))
@@ -185,7 +185,7 @@
 func (f *limitFleet) awaitUse(what string, least float64, demand ...int64) {
 	f.t.Helper()
 	f.setDemand(demand...)
-	require.NoError(f.t, rig.WaitUntil(20*time.Second, func() bool {
+	require.NoError(f.t, fleettest.WaitUntil(20*time.Second, func() bool {
 		all, _ := f.measureRate(500 * time.Millisecond)
 		return all > least*limitRate
 	}), what)
@@ -204,11 +204,11 @@
 // excess returns how many scans more than rate x window + burst were answered in the worst window; a scan counts if it
 // was sent and answered within the window.
 func excess(got []answer, rate, burst float64) float64 {
-	var all []rig.Span
+	var all []fleettest.Span
 	for _, a := range got {
-		all = append(all, rig.Span{From: float64(a.sent) / 1e6, To: float64(a.came) / 1e6})
+		all = append(all, fleettest.Span{From: float64(a.sent) / 1e6, To: float64(a.came) / 1e6})
 	}
-	return rig.Excess(all, rate/1000, burst)
+	return fleettest.Excess(all, rate/1000, burst)
 }
 
 // TestLimitJudge checks that excess accepts as many scans as a token bucket grants, and finds one more.
@@ -238,7 +238,7 @@
 	f.measureRate(time.Second)
 	f.Switch.Split([]int{0, 1, 2}, []int{3, 4})
 	f.setDemand(100, 100, 100, 100, 100)
-	require.NoError(t, rig.WaitUntil(20*time.Second, func() bool {
+	require.NoError(t, fleettest.WaitUntil(20*time.Second, func() bool {
 		_, by := f.measureRate(time.Second)
 		return by[0]+by[1]+by[2] > 0.8*limitRate*3/5 && by[3]+by[4] > 0.8*limitRate*2/5
 	}), "each side at its members' share")
@@ -267,11 +267,11 @@
 	near("the clock is corrected", 0.85, 0, 0, 160, 0, 0)
 
 	// A one-way link between lender and borrower, loss, and replayed datagrams.
-	f.Switch.Set(0, 2, func(l *rig.Link) { l.Cut = true })
-	f.Switch.Set(2, 1, func(l *rig.Link) { l.Cut = true })
+	f.Switch.Set(0, 2, func(l *fleettest.Link) { l.Cut = true })
+	f.Switch.Set(2, 1, func(l *fleettest.Link) { l.Cut = true })
 	f.measureRate(time.Second)
 	f.Switch.Heal()
-	f.Switch.All(func(l *rig.Link) { l.Loss = 1.0 / 3 })
+	f.Switch.All(func(l *fleettest.Link) { l.Loss = 1.0 / 3 })
 	f.measureRate(time.Second)
 	f.Switch.Replay()
 	f.measureRate(500 * time.Millisecond)
@@ -351,12 +351,12 @@
 // itself also where it did not arrive when it was given. Safety is checked at every moment; progress has generous
 // timeouts for busy machines.
 func TestLimitOrders(t *testing.T) {
-	for name, disturb := range map[string]func(*rig.Fleet) (stop func()){
-		"calm": func(*rig.Fleet) func() { return func() {} },
-		"processes are paused in turn": func(f *rig.Fleet) func() {
+	for name, disturb := range map[string]func(*fleettest.Fleet) (stop func()){
+		"calm": func(*fleettest.Fleet) func() { return func() {} },
+		"processes are paused in turn": func(f *fleettest.Fleet) func() {
 			return pauseByTurns(f.Members, 50*time.Millisecond, 1200*time.Millisecond)
 		},
-		"one is paused for longer than the timeout": func(f *rig.Fleet) func() {
+		"one is paused for longer than the timeout": func(f *fleettest.Fleet) func() {
 			return pauseByTurns(f.Members[2:3], 2500*time.Millisecond, 2500*time.Millisecond)
 		},
 	} {
@@ -367,7 +367,7 @@
 	}
 }
 
-func limitOrders(t *testing.T, disturb func(*rig.Fleet) (stop func())) {
+func limitOrders(t *testing.T, disturb func(*fleettest.Fleet) (stop func())) {
 	const (
 		patience = 20 * time.Second
 		lasts    = 9 * time.Second
@@ -384,9 +384,9 @@
 	f.Switch.Split([]int{0, 1, 2}, []int{3, 4})
 	f.measureRate(1500 * time.Millisecond) // loans across the partition have expired
 	set(0, "8", time.Minute)
-	require.NoError(t, rig.WaitUntil(patience, func() bool { return allApply(f.observeOrders(), "n0", 0, 1, 2) }))
+	require.NoError(t, fleettest.WaitUntil(patience, func() bool { return allApply(f.observeOrders(), "n0", 0, 1, 2) }))
 	from := time.Since(f.started)
-	require.NoError(t, rig.WaitUntil(patience, func() bool {
+	require.NoError(t, fleettest.WaitUntil(patience, func() bool {
 		begun := time.Since(f.started)
 		f.measureRate(2 * time.Second)
 		high := f.between(begun, time.Since(f.started), 3, 4)
@@ -406,11 +406,11 @@
 		found = append(found, all...)
 		return all
 	}
-	require.NoError(t, rig.WaitUntil(lasts-2*time.Second, func() bool { return allApply(look(), "n4", 0, 1, 2, 3, 4) }), "the later order holds for all")
+	require.NoError(t, fleettest.WaitUntil(lasts-2*time.Second, func() bool { return allApply(look(), "n4", 0, 1, 2, 3, 4) }), "the later order holds for all")
 	from = time.Since(f.started)
 	f.measureRate(1500 * time.Millisecond)
 	assert.LessOrEqual(t, excess(f.between(from, time.Since(f.started), 0, 1, 2, 3, 4), limitRate/2, limitBurst/2+1), 0.0)
-	require.NoError(t, rig.WaitUntil(patience, func() bool { return allApply(look(), "", 0, 1, 2, 3, 4) }), "the order ends by itself")
+	require.NoError(t, fleettest.WaitUntil(patience, func() bool { return allApply(look(), "", 0, 1, 2, 3, 4) }), "the order ends by itself")
 	receivedAt := map[int]time.Duration{}
 	for _, o := range found {
 		switch at, known := receivedAt[o.member]; {
@@ -446,7 +446,7 @@
 		n := int(math.Pow(3000, rnd.Float64())) - 1
 		return fmt.Sprint("t", n, "-", (shift+n%10)/10)
 	}
-	f.Switch.All(func(l *rig.Link) { l.Loss = 1.0 / 3 })
+	f.Switch.All(func(l *fleettest.Link) { l.Loss = 1.0 / 3 })
 	for range 8 {
 		f.setDemand(40, 40, 40, 40, 40)
 		f.measureRate(time.Second)
@@ -456,15 +456,15 @@
 	}
 	// All brokers know which tenants are throttled, and by which limit.
 	f.Switch.Heal()
-	require.NoError(t, rig.WaitUntil(20*time.Second, func() bool {
-		var s sharer.State
+	require.NoError(t, fleettest.WaitUntil(20*time.Second, func() bool {
+		var s memberactor.State
 		return f.Members[3].Query("sharing", &s) == nil && slices.ContainsFunc(s.Tenants, func(x verdicts.Tenant) bool {
 			return len(x.Observers) >= 3 && slices.Equal(x.Why, []string{"the fleet's limit each"})
 		})
 	}))
 	assert.Contains(t, command(t, f.Members[3], "verdict", "tenants"), "the fleet's limit each")
 	f.setDemand(0, 0, 0, 0, 0)
-	require.NoError(t, rig.WaitUntil(40*time.Second, func() bool {
+	require.NoError(t, fleettest.WaitUntil(40*time.Second, func() bool {
 		for _, m := range f.Members {
 			var s broker.LimitsView
 			if m.Query("limits", &s) != nil || s.Accounts > 0 {
@@ -516,7 +516,7 @@
 	runParallel(t)
 	f := startLimits(t, 7, fleetLimit)
 	f.awaitUse("five", 0.85, 40, 40, 40, 40, 40)
-	list := func(n int, members ...*rig.Member) {
+	list := func(n int, members ...*fleettest.Member) {
 		for _, m := range members {
 			m.ListedMembers = n
 			require.NoError(t, m.Write())
@@ -552,7 +552,7 @@
 		return by[0] + by[1] + by[2], by[3] + by[4]
 	}
 	// The right side learns that three members are gone only when its members have declared them dead.
-	require.NoError(t, rig.WaitUntil(30*time.Second, func() bool {
+	require.NoError(t, fleettest.WaitUntil(30*time.Second, func() bool {
 		left, right := side()
 		return left > 0.9*0.6*limitRate && right > 0.9*alone*limitRate
 	}), "the larger side its members' share, the smaller one alone")
@@ -573,7 +573,7 @@
 	assert.LessOrEqual(t, over, 0.0)
 	assert.Positive(t, excess(during, limitRate, limitBurst), "the sides together exceed the plain limit, as the formula allows")
 	t.Logf("%d scans in a split of %.0f s, %.0f below the formula", len(during), (healed - cut).Seconds(), -over)
-	require.NoError(t, rig.WaitUntil(30*time.Second, func() bool {
+	require.NoError(t, fleettest.WaitUntil(30*time.Second, func() bool {
 		all, _ := f.measureRate(time.Second)
 		return all < 1.05*limitRate && all > 0.85*limitRate
 	}), "healed")
--- a/cmd/gullstair/measure_test.go
+++ b/cmd/gullstair/measure_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/stretchr/testify/require"
 
+	"gullstair/internal/fleettest"
 	"gullstair/internal/guard"
-	"gullstair/internal/rig"
-	"gullstair/internal/sharer"
+	"gullstair/internal/memberactor"
 )
 
 var measure = flag.Bool("measure", false, "run the measurements of docs/results.md that start processes; takes minutes")
@@ -32,12 +32,12 @@
 	return (u + s) / 100, rss * float64(os.Getpagesize()) / (1 << 20)
 }
 
-func startMeasurement(t *testing.T, members int, doc func(m *rig.Member) string) *rig.Fleet {
+func startMeasurement(t *testing.T, members int, doc func(m *fleettest.Member) string) *fleettest.Fleet {
 	if !*measure {
 		t.Skip("only with -measure")
 	}
-	f, err := rig.New(rig.Config{Dir: t.TempDir(), Members: members, Program: []string{os.Args[0], "serve", "--log", "warn"}, Env: []string{"GULLSTAIR_TEST_CHILD=1"},
-		Start: startTree(t), Features: func(m *rig.Member) (string, string) {
+	f, err := fleettest.New(fleettest.Config{Dir: t.TempDir(), Members: members, Program: []string{os.Args[0], "serve", "--log", "warn"}, Env: []string{"GULLSTAIR_TEST_CHILD=1"},
+		Start: startTree(t), Features: func(m *fleettest.Member) (string, string) {
 			return fmt.Sprintf("  key \"1\" {\n    secret = %q\n  }\n", strings.Repeat("5e", 32)), doc(m)
 		}})
 	require.NoError(t, err)
@@ -47,9 +47,9 @@
 }
 
 // countHeldLeases counts the leases that the members report as held by themselves.
-func countHeldLeases(f *rig.Fleet) (n int) {
+func countHeldLeases(f *fleettest.Fleet) (n int) {
 	for _, m := range f.Members {
-		var s sharer.State
+		var s memberactor.State
 		if m.Running() && m.Query("sharing", &s) == nil {
 			for _, l := range s.Leases {
 				if l.Held {
@@ -64,14 +64,14 @@
 // TestMeasureTasks measures the cost of holding a hundred tasks, none of which falls due, on five brokers.
 func TestMeasureTasks(t *testing.T) {
 	for _, tasks := range []int{0, 100} {
-		f := startMeasurement(t, 5, func(m *rig.Member) string {
+		f := startMeasurement(t, 5, func(m *fleettest.Member) string {
 			doc := fmt.Sprintf("lease {\n  dir = %q\n}\n", m.Path("votes"))
 			for i := range tasks {
 				doc += fmt.Sprintf("task \"t%d\" {\n  every = \"1h\"\n  run = [\"/bin/true\"]\n}\n", i)
 			}
 			return doc
 		})
-		require.NoError(t, rig.WaitUntil(2*time.Minute, func() bool { return countHeldLeases(f) == tasks }))
+		require.NoError(t, fleettest.WaitUntil(2*time.Minute, func() bool { return countHeldLeases(f) == tasks }))
 		before, begun := make([]float64, 5), guard.BootTime()
 		for i, m := range f.Members {
 			before[i], _ = processUsage(m.Pid())
@@ -198,14 +198,14 @@
 // held meanwhile.
 func TestMeasureRolling(t *testing.T) {
 	const n = 60
-	f := startMeasurement(t, n, func(m *rig.Member) string {
+	f := startMeasurement(t, n, func(m *fleettest.Member) string {
 		doc := fmt.Sprintf("lease {\n  dir = %q\n}\n", m.Path("votes"))
 		for i := range n {
 			doc += fmt.Sprintf("task \"t%d\" {\n  every = \"1h\"\n  term = \"3s\"\n  run = [\"/bin/true\"]\n  prefer = [\"n%d\"]\n}\n", i, i)
 		}
 		return doc
 	})
-	require.NoError(t, rig.WaitUntil(3*time.Minute, func() bool { return countHeldLeases(f) == n }))
+	require.NoError(t, fleettest.WaitUntil(3*time.Minute, func() bool { return countHeldLeases(f) == n }))
 	sum, looks, least := 0, 0, n
 	begun := time.Now()
 	for _, m := range f.Members {
@@ -216,7 +216,7 @@
 	}
 	took := time.Since(begun)
 	again := time.Now()
-	require.NoError(t, rig.WaitUntil(3*time.Minute, func() bool { return countHeldLeases(f) == n }))
+	require.NoError(t, fleettest.WaitUntil(3*time.Minute, func() bool { return countHeldLeases(f) == n }))
 	t.Logf("60 brokers killed and started again one by one in %.1f s: %.1f of 60 leases held in the mean, %d at least; all again %.1f s later", took.Seconds(),
 		float64(sum)/float64(looks), least, time.Since(again).Seconds())
 }
--- a/cmd/gullstair/ready_test.go
+++ b/cmd/gullstair/ready_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"gullstair/internal/rig"
+	"gullstair/internal/fleettest"
 )
 
 // TestManyAreReadySoon starts many brokers at once on the same cores, with a discovery that never answers (so
@@ -17,8 +17,8 @@
 func TestManyAreReadySoon(t *testing.T) {
 	acquireFleetSlots(t, 1)
 	const brokers, soon = 20, 10 * time.Second
-	f, err := rig.New(rig.Config{Dir: t.TempDir(), Members: brokers, Program: []string{os.Args[0], "serve", "--log", "error"},
-		Env: []string{"GULLSTAIR_TEST_CHILD=1"}, Start: startTree(t), Seed: 1, Features: func(*rig.Member) (string, string) {
+	f, err := fleettest.New(fleettest.Config{Dir: t.TempDir(), Members: brokers, Program: []string{os.Args[0], "serve", "--log", "error"},
+		Env: []string{"GULLSTAIR_TEST_CHILD=1"}, Start: startTree(t), Seed: 1, Features: func(*fleettest.Member) (string, string) {
 			return "  key \"1\" {\n    secret = \"5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e5e\"\n  }\n", ""
 		}})
 	require.NoError(t, err)
@@ -28,7 +28,7 @@
 		begun := time.Now()
 		require.NoError(t, f.LaunchAll(), what)
 		ready := map[string]time.Duration{}
-		rig.WaitUntil(2*soon, func() bool {
+		fleettest.WaitUntil(2*soon, func() bool {
 			for _, m := range f.Members {
 				if _, is := ready[m.Name]; is {
 					continue
--- a/cmd/gullstair/sharing.go
+++ b/cmd/gullstair/sharing.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 
 	"gullstair/internal/control"
-	"gullstair/internal/sharer"
+	"gullstair/internal/memberactor"
 )
 
 // socketFlags holds the flags that all commands to a running broker share.
@@ -16,7 +16,7 @@
 	JSON   bool   `name:"json" help:"Write JSON."`
 }
 
-func (a socketFlags) state() (s sharer.State, err error) {
+func (a socketFlags) state() (s memberactor.State, err error) {
 	return s, control.Get(a.Socket, "sharing", &s)
 }
 
--- a/cmd/gullstair/sharing_test.go
+++ b/cmd/gullstair/sharing_test.go
@@ -19,15 +19,15 @@
 	"github.com/stretchr/testify/require"
 
 	"gullstair/internal/broker"
-	"gullstair/internal/rig"
-	"gullstair/internal/sharer"
+	"gullstair/internal/fleettest"
+	"gullstair/internal/memberactor"
 )
 
 // TestMain lets the test binary run as the broker itself, so that tests can kill it as the platform does.
 func TestMain(m *testing.M) {
 	if os.Getenv("GULLSTAIR_TEST_CHILD") != "" {
 		if len(os.Args) > 1 && os.Args[1] == "witness" {
-			os.Exit(rig.RunWorker(os.Args[2:]))
+			os.Exit(fleettest.RunWorker(os.Args[2:]))
 		}
 		if path := os.Getenv("RIG_CLOCK"); path != "" {
 			clocks = func() broker.Clocks { return skewedClocks(path) }
@@ -104,7 +104,7 @@
 
 // fleet is a set of broker processes that share the probing of some stores.
 type fleet struct {
-	*rig.Fleet
+	*fleettest.Fleet
 	t      *testing.T
 	stores []*probedStore
 }
@@ -124,8 +124,8 @@
 	tree := startTree(t)
 	tree["known"] = map[string]any{"seq": 41, "whole": true, "hosts": hosts}
 	var err error
-	f.Fleet, err = rig.New(rig.Config{Dir: t.TempDir(), Members: brokers, Program: []string{os.Args[0], "serve", "--log", "error"}, Log: os.Stderr,
-		Env: []string{"GULLSTAIR_TEST_CHILD=1"}, Start: tree, Features: func(*rig.Member) (string, string) {
+	f.Fleet, err = fleettest.New(fleettest.Config{Dir: t.TempDir(), Members: brokers, Program: []string{os.Args[0], "serve", "--log", "error"}, Log: os.Stderr,
+		Env: []string{"GULLSTAIR_TEST_CHILD=1"}, Start: tree, Features: func(*fleettest.Member) (string, string) {
 			return fmt.Sprintf("  pace = 0.1\n  key \"1\" {\n    secret = %q\n  }\n  duty \"probing\" {\n    period = %q\n  }\n",
 				strings.Repeat("5e", 32), sharedPeriod), ""
 		}})
@@ -143,7 +143,7 @@
 	return tree
 }
 
-func (f *fleet) state(i int) (s sharer.State, err error) {
+func (f *fleet) state(i int) (s memberactor.State, err error) {
 	var out bytes.Buffer
 	if err = run([]string{"members", "--socket", f.Members[i].Socket(), "--json"}, &out); err == nil {
 		err = json.Unmarshal(out.Bytes(), &s)
--- a/cmd/gullstair/signals_test.go
+++ b/cmd/gullstair/signals_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"gullstair/internal/rig"
+	"gullstair/internal/fleettest"
 )
 
 // signalEvery is the interval at which a process gets signals until it is gone, so that each phase of its shutdown,
@@ -15,7 +15,7 @@
 const signalEvery = 200 * time.Microsecond
 
 // requireEndUnderSignals sends SIGTERM, SIGHUP and SIGINT in turn until the process is gone, and requires exit code 0.
-func requireEndUnderSignals(t *testing.T, p *rig.Process) {
+func requireEndUnderSignals(t *testing.T, p *fleettest.Process) {
 	t.Helper()
 	tick := time.NewTicker(signalEvery)
 	defer tick.Stop()
--- a/cmd/gullstair/starved_test.go
+++ b/cmd/gullstair/starved_test.go
@@ -17,19 +17,19 @@
 	"github.com/stretchr/testify/require"
 
 	"gullstair/internal/broker"
-	"gullstair/internal/rig"
-	"gullstair/internal/sharer"
+	"gullstair/internal/fleettest"
+	"gullstair/internal/memberactor"
 )
 
 // These helpers emulate a machine under heavy load, on which one or several processes are not scheduled for some time.
 
 // pauseByTurns pauses one member after the other for off, with all running for on in between, until it is stopped.
-func pauseByTurns(members []*rig.Member, on, off time.Duration) (stop func()) {
+func pauseByTurns(members []*fleettest.Member, on, off time.Duration) (stop func()) {
 	return pauseTurns(members, on, off, math.MaxInt)
 }
 
 // pauseTurns does the same for at most this many turns.
-func pauseTurns(members []*rig.Member, on, off time.Duration, turns int) (stop func()) {
+func pauseTurns(members []*fleettest.Member, on, off time.Duration, turns int) (stop func()) {
 	over := make(chan struct{})
 	var turning sync.WaitGroup
 	turning.Go(func() {
@@ -77,13 +77,13 @@
 
 // stallMeter holds the total time that members, and the test itself, had been stalled at some moment.
 type stallMeter struct {
-	members []*rig.Member
-	their   []rig.StallSnapshot
-	own     rig.StallSnapshot
+	members []*fleettest.Member
+	their   []fleettest.StallSnapshot
+	own     fleettest.StallSnapshot
 }
 
-func newStallMeter(members ...*rig.Member) stallMeter {
-	s := stallMeter{members: members, own: rig.OwnStalls()}
+func newStallMeter(members ...*fleettest.Member) stallMeter {
+	s := stallMeter{members: members, own: fleettest.OwnStalls()}
 	for _, m := range members {
 		s.their = append(s.their, m.Stalls())
 	}
@@ -93,9 +93,9 @@
 // longest returns the longest stall of any of them since then. The kernel adds a delay only when it is over, so this
 // waits for members that do not answer.
 func (s stallMeter) longest() (most time.Duration) {
-	most = rig.OwnStalledSince(s.own)
+	most = fleettest.OwnStalledSince(s.own)
 	for i, m := range s.members {
-		_ = rig.WaitUntil(takeoverTimeout, func() bool { return !m.Running() || m.Query("sharing", &sharer.State{}) == nil })
+		_ = fleettest.WaitUntil(takeoverTimeout, func() bool { return !m.Running() || m.Query("sharing", &memberactor.State{}) == nil })
 		if m.Running() {
 			most = max(most, m.StalledSince(s.their[i]))
 		}
@@ -105,7 +105,7 @@
 
 // retryAfterStall repeats an attempt until it succeeds. A failure is excused only if a member, or the test itself,
 // stalled meanwhile.
-func retryAfterStall(t *testing.T, what string, members []*rig.Member, do func(attempt int) error) {
+func retryAfterStall(t *testing.T, what string, members []*fleettest.Member, do func(attempt int) error) {
 	t.Helper()
 	for attempt, begun := 0, time.Now(); ; attempt++ {
 		before := newStallMeter(members...)
@@ -121,9 +121,9 @@
 }
 
 // command runs a command of the program on a member's control socket and returns its output.
-func command(t *testing.T, m *rig.Member, args ...string) (text string) {
+func command(t *testing.T, m *fleettest.Member, args ...string) (text string) {
 	t.Helper()
-	retryAfterStall(t, args[0]+" at "+m.Name, []*rig.Member{m}, func(int) error {
+	retryAfterStall(t, args[0]+" at "+m.Name, []*fleettest.Member{m}, func(int) error {
 		var out bytes.Buffer
 		err := run(append(args, "--socket", m.Socket()), &out)
 		text = out.String()
@@ -133,9 +133,9 @@
 }
 
 // refusal runs a command that must be refused, and returns the reason.
-func refusal(t *testing.T, m *rig.Member, args ...string) (why string) {
+func refusal(t *testing.T, m *fleettest.Member, args ...string) (why string) {
 	t.Helper()
-	retryAfterStall(t, args[0]+" at "+m.Name, []*rig.Member{m}, func(int) error {
+	retryAfterStall(t, args[0]+" at "+m.Name, []*fleettest.Member{m}, func(int) error {
 		err := run(append(args, "--socket", m.Socket()), io.Discard)
 		var late interface{ Timeout() bool }
 		if err == nil || errors.As(err, &late) && late.Timeout() {
@@ -150,12 +150,12 @@
 var errAccepted = errors.New("it was accepted")
 
 // queryControlSockets queries each member's pages repeatedly and returns the sorted latencies.
-func queryControlSockets(t *testing.T, f *rig.Fleet, rounds int) []time.Duration {
+func queryControlSockets(t *testing.T, f *fleettest.Fleet, rounds int) []time.Duration {
 	var all []time.Duration
 	for range rounds {
 		for _, m := range f.Members {
-			for page, into := range map[string]any{"limits": &broker.LimitsView{}, "sharing": &sharer.State{}} {
-				retryAfterStall(t, page+" at "+m.Name, []*rig.Member{m}, func(int) error {
+			for page, into := range map[string]any{"limits": &broker.LimitsView{}, "sharing": &memberactor.State{}} {
+				retryAfterStall(t, page+" at "+m.Name, []*fleettest.Member{m}, func(int) error {
 					begun := time.Now()
 					err := m.Query(page, into)
 					all = append(all, time.Since(begun))
--- a/cmd/gullstair/verdicts_test.go
+++ b/cmd/gullstair/verdicts_test.go
@@ -21,8 +21,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"gullstair/internal/rig"
-	"gullstair/internal/sharer"
+	"gullstair/internal/fleettest"
+	"gullstair/internal/memberactor"
 	"gullstair/internal/verdicts"
 )
 
@@ -106,7 +106,7 @@
 
 // verdictFleet is five brokers over six stores, three of each set, and clients.
 type verdictFleet struct {
-	*rig.Fleet
+	*fleettest.Fleet
 	t       *testing.T
 	stores  []*recordingStore
 	demand  []atomic.Int64
@@ -135,8 +135,8 @@
 	}
 	tree["known"] = map[string]any{"seq": 41, "whole": true, "hosts": hosts}
 	var err error
-	f.Fleet, err = rig.New(rig.Config{Dir: t.TempDir(), Members: brokers, Program: []string{os.Args[0], "serve", "--log", "error"}, Env: []string{"GULLSTAIR_TEST_CHILD=1"},
-		Start: tree, Seed: 1, Features: func(m *rig.Member) (string, string) {
+	f.Fleet, err = fleettest.New(fleettest.Config{Dir: t.TempDir(), Members: brokers, Program: []string{os.Args[0], "serve", "--log", "error"}, Env: []string{"GULLSTAIR_TEST_CHILD=1"},
+		Start: tree, Seed: 1, Features: func(m *fleettest.Member) (string, string) {
 			dir := ""
 			if m.Index == 3 { // one of them stores operators' orders
 				dir = fmt.Sprintf("    dir = %q\n", m.Path("orders"))
@@ -248,7 +248,7 @@
 	}
 }
 
-func (f *verdictFleet) state(i int) (s sharer.State) {
+func (f *verdictFleet) state(i int) (s memberactor.State) {
 	f.Members[i].Query("sharing", &s)
 	return s
 }
@@ -266,7 +266,7 @@
 func (f *verdictFleet) eventually(what string, holds func() bool) {
 	f.t.Helper()
 	begun := time.Now()
-	if err := rig.WaitUntil(30*time.Second, holds); err != nil {
+	if err := fleettest.WaitUntil(30*time.Second, holds); err != nil {
 		// On a timeout, logs what the stores saw and what the brokers concluded.
 		for i, s := range f.stores {
 			var by []int
@@ -409,7 +409,7 @@
 	f.order(4, 2, "drain", "60s")
 	f.eventually("each side applies its own order", func() bool { return f.seen(2, 2).Kind == "well" && f.seen(3, 2).Kind == "drained" })
 	f.Switch.Heal()
-	f.Switch.All(func(l *rig.Link) { l.Duplicate, l.Jitter, l.Flip, l.Loss = 0.3, 20, 0.02, 0.1 })
+	f.Switch.All(func(l *fleettest.Link) { l.Duplicate, l.Jitter, l.Flip, l.Loss = 0.3, 20, 0.02, 0.1 })
 	f.Switch.Replay()
 	f.eventually("one order holds for all", func() bool {
 		for i := range f.Members {
--- a/cmd/measure/capacity.go
+++ b/cmd/measure/capacity.go
@@ -10,7 +10,7 @@
 
 	"gullstair/internal/config"
 	"gullstair/internal/core"
-	"gullstair/internal/trial"
+	"gullstair/internal/simulation"
 	"gullstair/logic"
 )
 
@@ -37,7 +37,7 @@
 	}
 	fmt.Fprintln(w, "\nMEMBERS, 900 TENANTS\tDATAGRAMS /member/s\tBYTES /member/s\tACCOUNTS, MOST\tBYTES /account\tTAKEN\tOVER")
 	for _, n := range c.Members {
-		x := trial.Tenants(1, n, 900)
+		x := simulation.Tenants(1, n, 900)
 		fmt.Fprintf(w, "%d\t%.0f\t%.0f\t%d\t%.0f\t%d of %d\t%.1f\n", n, x.Datagrams, x.Bytes, x.Most, x.BytesPerAccount, x.Taken, x.Asked, x.Over)
 		if err := w.Flush(); err != nil {
 			return err
--- a/cmd/measure/fleet.go
+++ b/cmd/measure/fleet.go
@@ -22,8 +22,8 @@
 	"gullstair/internal/config"
 	"gullstair/internal/control"
 	"gullstair/internal/features"
-	"gullstair/internal/rig"
-	"gullstair/internal/sharer"
+	"gullstair/internal/fleettest"
+	"gullstair/internal/memberactor"
 )
 
 // fleetCmd measures the cost of the members' control traffic for a broker. It runs real broker processes next to
@@ -72,7 +72,7 @@
 type fleetRun struct {
 	dir    string
 	agent  net.Listener
-	real   []*rig.Process
+	real   []*fleettest.Process
 	hollow []*broker.Broker
 }
 
@@ -123,7 +123,7 @@
 	}
 	addresses := make([]string, members)
 	for i := range addresses {
-		if addresses[i], err = rig.FreeAddr("udp"); err != nil {
+		if addresses[i], err = fleettest.FreeAddr("udp"); err != nil {
 			return r, err
 		}
 	}
@@ -154,7 +154,7 @@
 	if err := os.WriteFile(path+".hcl", []byte(doc), 0o600); err != nil {
 		return err
 	}
-	p, err := rig.Launch([]string{c.Program, "serve", "--log", "error", "--features", path + ".hcl"}, []string{"GW_CONFIG=" + path + ".json"}, os.Stderr)
+	p, err := fleettest.Launch([]string{c.Program, "serve", "--log", "error", "--features", path + ".hcl"}, []string{"GW_CONFIG=" + path + ".json"}, os.Stderr)
 	if err != nil {
 		return err
 	}
@@ -185,7 +185,7 @@
 }
 
 func (r *fleetRun) startFile(nodes, memoryMB, i int) ([]byte, error) {
-	listen, err := rig.FreeAddr("tcp")
+	listen, err := fleettest.FreeAddr("tcp")
 	if err != nil {
 		return nil, err
 	}
@@ -234,7 +234,7 @@
 func (r *fleetRun) sample() (l fleetSample, err error) {
 	l.seen = 1 << 30
 	for i, p := range r.real {
-		var s sharer.State
+		var s memberactor.State
 		if err := control.Get(r.socket(i), "sharing", &s); err != nil {
 			return l, err
 		}
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -15,7 +15,7 @@
 
 	"gullstair/internal/emulator"
 	"gullstair/internal/scenario"
-	"gullstair/internal/trial"
+	"gullstair/internal/simulation"
 	"gullstair/scenarios"
 )
 
@@ -40,7 +40,7 @@
 	fmt.Fprintln(w, "MEMBERS\tLOSS\tFIRST SEES s\tLAST SEES s\tAT MOST s\tMISSED\tFALSE SUSPICIONS /member/h\tFALSE DEATHS /member/h\tMESSAGES /member/s\tBYTES /member/s")
 	for _, n := range []int{4, 32, 200} {
 		for _, loss := range []float64{0, 0.05, 0.3} {
-			m := trial.Detect(c.Seed, n, loss, c.Kills)
+			m := simulation.Detect(c.Seed, n, loss, c.Kills)
 			fmt.Fprintf(w, "%d\t%.0f%%\t%.1f\t%.1f\t%.1f\t%d of %d\t%.2f\t%.2f\t%.1f\t%.0f\n", n, loss*100, m.First/1000, m.Last/1000,
 				m.LastMost/1000, m.Undetected, m.Kills, m.FalseSuspicions, m.FalseDeaths, m.Messages, m.Bytes)
 			if err := w.Flush(); err != nil {
@@ -61,9 +61,9 @@
 	fmt.Fprintln(w, "VOTERS\tTERM s\tKILLED p50 s\tp99 s\tBOUND s\tORDERLY p50 s\tp99 s\tMISSED\tALL RESTARTED, DISKS s\tNO DISKS s")
 	for _, n := range []int{3, 5, 9} {
 		for _, term := range []float64{1000, 3000, 10000} {
-			k, o := trial.Takeover(c.Seed, n, term, c.Tries, false), trial.Takeover(c.Seed, n, term, c.Tries, true)
+			k, o := simulation.Takeover(c.Seed, n, term, c.Tries, false), simulation.Takeover(c.Seed, n, term, c.Tries, true)
 			fmt.Fprintf(w, "%d\t%.0f\t%.2f\t%.2f\t%.2f\t%.3f\t%.3f\t%d of %d\t%.2f\t%.2f\n", n, term/1000, k.P50/1000, k.P99/1000, k.Bound/1000, o.P50/1000, o.P99/1000,
-				k.Missed+o.Missed, 2*c.Tries, trial.RestartGap(c.Seed, n, term, true)/1000, trial.RestartGap(c.Seed, n, term, false)/1000)
+				k.Missed+o.Missed, 2*c.Tries, simulation.RestartGap(c.Seed, n, term, true)/1000, simulation.RestartGap(c.Seed, n, term, false)/1000)
 		}
 	}
 	if err := w.Flush(); err != nil {
@@ -71,26 +71,26 @@
 	}
 	fmt.Fprintln(w, "\nLEASES OF ONE HOLDER, 5 VOTERS, TERM 10 s\tMESSAGES /s\tDATAGRAMS /s")
 	for _, n := range []int{1, 100, 1000} {
-		m, d := trial.Traffic(c.Seed, n, 10000)
+		m, d := simulation.Traffic(c.Seed, n, 10000)
 		fmt.Fprintf(w, "%d\t%.1f\t%.1f\n", n, m, d)
 	}
 	return w.Flush()
 }
 
 type limitsCmd struct {
-	Seeds   int              `default:"3" help:"Number of seeds for each day."`
-	Members []int            `default:"5,60" help:"Fleet sizes."`
-	Size    float64          `default:"200" help:"The limit, in scans a second."`
-	Ways    []trial.Strategy `default:"fixed share,escrow,leader,gossip,each alone" help:"Ways to share the limit. The messages of gossip grow with the members: omit it for large fleets."`
-	Tenants bool             `help:"Measure the cost of 1,000 and 10,000 keys of one limit instead."`
-	Plot    string           `help:"Draw a partition with outstanding loans under each way into this SVG file instead." placeholder:"FILE"`
+	Seeds   int                   `default:"3" help:"Number of seeds for each day."`
+	Members []int                 `default:"5,60" help:"Fleet sizes."`
+	Size    float64               `default:"200" help:"The limit, in scans a second."`
+	Ways    []simulation.Strategy `default:"fixed share,escrow,leader,gossip,each alone" help:"Ways to share the limit. The messages of gossip grow with the members: omit it for large fleets."`
+	Tenants bool                  `help:"Measure the cost of 1,000 and 10,000 keys of one limit instead."`
+	Plot    string                `help:"Draw a partition with outstanding loans under each way into this SVG file instead." placeholder:"FILE"`
 }
 
 // mean plays a day with one way of sharing under all seeds and returns the means; Over and Follow are maxima.
-func (c *limitsCmd) mean(d trial.Day, way trial.Strategy) trial.DayResult {
-	sum := trial.DayResult{Strategy: way}
+func (c *limitsCmd) mean(d simulation.Day, way simulation.Strategy) simulation.DayResult {
+	sum := simulation.DayResult{Strategy: way}
 	for seed := range c.Seeds {
-		p := trial.Play(uint64(seed+1), d, way)
+		p := simulation.Play(uint64(seed+1), d, way)
 		k := float64(c.Seeds)
 		sum.Utilization, sum.WorstUtilization, sum.Messages = sum.Utilization+p.Utilization/k, sum.WorstUtilization+p.WorstUtilization/k, sum.Messages+p.Messages/k
 		sum.Over, sum.Recovery = max(sum.Over, p.Over), max(sum.Recovery, p.Recovery)
@@ -106,9 +106,9 @@
 
 func (c *limitsCmd) Run(out io.Writer) error {
 	if c.Plot != "" {
-		for _, d := range trial.Days(c.Members[0], c.Size) {
+		for _, d := range simulation.Days(c.Members[0], c.Size) {
 			if d.Name == "split, loans out" {
-				return plotLimits(c.Plot, d, []trial.Strategy{trial.Escrow, trial.Fixed, trial.Leader, trial.Gossip})
+				return plotLimits(c.Plot, d, []simulation.Strategy{simulation.Escrow, simulation.Fixed, simulation.Leader, simulation.Gossip})
 			}
 		}
 	}
@@ -117,7 +117,7 @@
 		fmt.Fprintln(w, "MEMBERS\tKEYS\tTAKEN\tOVER scans\tACCOUNTS\tLEFT A MINUTE LATER\tDATAGRAMS /member/s\tBYTES /member/s\tMEMORY bytes/account\tAT ONCE WHEN BACK\tBURST")
 		for _, n := range c.Members {
 			for _, keys := range []int{1000, 10000} {
-				x := trial.Tenants(1, n, keys)
+				x := simulation.Tenants(1, n, keys)
 				fmt.Fprintf(w, "%d\t%d\t%d of %d\t%.1f\t%d\t%d\t%.0f\t%.0f\t%.0f\t%d\t%d\n", n, keys, x.Taken, x.Asked, x.Over, x.Most, x.Left, x.Datagrams, x.Bytes, x.BytesPerAccount,
 					x.Readmitted, x.ReadmittedBound)
 			}
@@ -126,15 +126,15 @@
 	}
 	fmt.Fprintln(w, "MEMBERS\tDAY\tWAY\tUSED\tWORST 500 ms\tOVER scans\tSIDES, OF THEIR MEMBERS' SHARE\tFOLLOWS AFTER ms\tMESSAGES /member/s")
 	for _, n := range c.Members {
-		var rows []trial.DayResult
+		var rows []simulation.DayResult
 		var names []string
-		for _, d := range trial.Days(n, c.Size) {
+		for _, d := range simulation.Days(n, c.Size) {
 			for _, way := range c.Ways {
-				rows, names = append(rows, trial.DayResult{Strategy: way}), append(names, d.Name)
+				rows, names = append(rows, simulation.DayResult{Strategy: way}), append(names, d.Name)
 			}
 		}
 		var group errgroup // the days are independent of each other
-		for i, d := range trial.Days(n, c.Size) {
+		for i, d := range simulation.Days(n, c.Size) {
 			for j, way := range c.Ways {
 				group.run(func() error {
 					rows[i*len(c.Ways)+j] = c.mean(d, way)
@@ -167,7 +167,7 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBERS\tSTORES\tPROBES /store/period\tIF EACH PROBED ALL\tMOVED BY A DEATH\tIDEAL\tTAKEOVER s\tMESSAGES /member/s\tBYTES /member/s")
 	for _, at := range [][2]int{{4, 60}, {4, 1000}, {32, 1000}, {100, 1000}} {
-		p := trial.Share(c.Seed, at[0], at[1], 10000)
+		p := simulation.Share(c.Seed, at[0], at[1], 10000)
 		fmt.Fprintf(w, "%d\t%d\t%.3f\t%.0f\t%.3f\t%.3f\t%.1f\t%.1f\t%.0f\n", p.Members, p.Stores, p.PerPeriod, p.Alone, p.Moved, p.Ideal,
 			p.Takeover/1000, p.Messages, p.Bytes)
 	}
--- a/cmd/measure/plot.go
+++ b/cmd/measure/plot.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"gullstair/internal/trial"
+	"gullstair/internal/simulation"
 )
 
 const (
@@ -27,17 +27,17 @@
 		for _, x := range series[i-smoothingSteps : i] {
 			sum += x
 		}
-		pts = append(pts, plotter.XY{X: float64(i) * trial.SeriesStep / 1000, Y: sum / smoothingSteps})
+		pts = append(pts, plotter.XY{X: float64(i) * simulation.SeriesStep / 1000, Y: sum / smoothingSteps})
 	}
 	return pts
 }
 
 // plotLimits draws a day under each way of sharing: what the fleet and each side of the partition used over time, next
 // to the limit.
-func plotLimits(path string, d trial.Day, ways []trial.Strategy) error {
+func plotLimits(path string, d simulation.Day, ways []simulation.Strategy) error {
 	all := make([]*plot.Plot, 0, len(ways))
 	for _, way := range ways {
-		played := trial.Play(1, d, way)
+		played := simulation.Play(1, d, way)
 		p := plot.New()
 		p.Title.Text = fmt.Sprintf("%s: %s, %d members, 200 scans a second", d.Name, way, d.Members)
 		p.X.Label.Text, p.Y.Label.Text = "s", "scans a second"
--- a/cmd/measure/verdicts.go
+++ b/cmd/measure/verdicts.go
@@ -10,7 +10,7 @@
 
 	"gullstair/internal/emulator"
 	"gullstair/internal/scenario"
-	"gullstair/internal/trial"
+	"gullstair/internal/simulation"
 	"gullstair/scenarios"
 )
 
@@ -117,12 +117,12 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBERS\tLOSS\tVERDICT EVERYWHERE ms\tAT MOST\tMISSED\tORDER EVERYWHERE AT MOST ms\tAFTER A SPLIT AT MOST ms\tOLDEST GONE BY ms\tBYTES /member/s CALM\tONE STORE FAILS\tMESSAGES /member/s THEN")
 	sizes, losses := c.Sizes, []float64{0, 0.05, 0.3}
-	all := make([]trial.SpreadResult, len(sizes)*len(losses))
+	all := make([]simulation.SpreadResult, len(sizes)*len(losses))
 	var group errgroup
 	for i := range all {
 		group.run(func() error {
 			n := sizes[i/len(losses)]
-			all[i] = trial.MeasureSpread(1, n, losses[i%len(losses)], max(1, c.Seeds*min(n, 32)/n))
+			all[i] = simulation.MeasureSpread(1, n, losses[i%len(losses)], max(1, c.Seeds*min(n, 32)/n))
 			return nil
 		})
 	}
--- a/internal/confine/confine.go
+++ b/internal/admission/admission.go
@@ -1,10 +1,10 @@
-// Package confine decides for each scan, before the decision module sees it, whether its cell admits it and which nodes
+// Package admission decides for each scan, before the decision module sees it, whether its cell admits it and which nodes
 // it may use. It combines the map of cells (package cells), the limits (package quota) and the node list. It does no I/O
 // and reads no clock.
 //
 // A scan keeps the version of the map with which it was admitted: all its dispatches go to the nodes of its cell at that
 // version, even if tenants move meanwhile.
-package confine
+package admission
 
 import (
 	"maps"
--- a/internal/confine/confine_test.go
+++ b/internal/admission/admission_test.go
@@ -1,4 +1,4 @@
-package confine
+package admission
 
 import (
 	"fmt"
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -21,11 +21,11 @@
 	"gullstair/internal/control"
 	"gullstair/internal/core"
 	"gullstair/internal/discovery"
-	"gullstair/internal/ending"
 	"gullstair/internal/features"
 	"gullstair/internal/front"
 	"gullstair/internal/guard"
 	"gullstair/internal/node"
+	"gullstair/internal/shutdown"
 )
 
 const (
@@ -301,7 +301,7 @@
 // Addr returns the address for clients.
 func (b *Broker) Addr() string { return b.ln.Addr().String() }
 
-// Stop answers the accepted scans and stops the broker, on the schedule of ending.Begin, within patience. A negative
+// Stop answers the accepted scans and stops the broker, on the schedule of shutdown.Begin, within patience. A negative
 // patience stands for the time that a planned restart leaves.
 func (b *Broker) Stop(patience time.Duration) {
 	b.log.Info().Msg("stopping")
@@ -311,7 +311,7 @@
 	for _, typ := range b.startFile.Site.Types {
 		longest = max(longest, typ.Timeout)
 	}
-	answeredAll := b.front.Stop(ending.New(longest, float64(patience)/1e6))
+	answeredAll := b.front.Stop(shutdown.New(longest, float64(patience)/1e6))
 	// The listener is closed before the check for open scans: a client accepted between the two would be read but never
 	// answered, since the actor has stopped.
 	b.ln.Close()
--- a/internal/broker/features.go
+++ b/internal/broker/features.go
@@ -12,15 +12,15 @@
 	"gullstair/internal/cells"
 	"gullstair/internal/control"
 	"gullstair/internal/core"
+	"gullstair/internal/durable"
 	"gullstair/internal/duties"
 	"gullstair/internal/features"
 	"gullstair/internal/gossip"
-	"gullstair/internal/lasting"
 	"gullstair/internal/lease"
+	"gullstair/internal/memberactor"
 	"gullstair/internal/membership"
+	"gullstair/internal/memberstate"
 	"gullstair/internal/quota"
-	"gullstair/internal/sharer"
-	"gullstair/internal/sharing"
 	"gullstair/internal/verdicts"
 )
 
@@ -30,7 +30,7 @@
 // sharingState connects the broker to the sharing actor. Calls from the core's actor never block.
 type sharingState struct {
 	b              *Broker
-	actor          *sharer.Actor
+	actor          *memberactor.Actor
 	sealer         *gossip.Sealer
 	probeResults   chan core.ProbeResult
 	nodeLists      chan core.NodeList
@@ -38,8 +38,8 @@
 	done           chan struct{}
 
 	now    func() float64                // the clock of leases
-	votes  *lasting.Dir[lease.Record]    // nil if votes are not stored
-	orders *lasting.Dir[verdicts.Stored] // nil if operators' orders are not stored
+	votes  *durable.Dir[lease.Record]    // nil if votes are not stored
+	orders *durable.Dir[verdicts.Stored] // nil if operators' orders are not stored
 	mu     sync.Mutex
 	runs   map[runKey]*run
 
@@ -177,13 +177,13 @@
 	}
 	begun, base := b.clocks.Elapsed(), wall()
 	now := func() float64 { return base + float64(b.clocks.Elapsed()-begun)/1e6 }
-	plan := sharing.Plan{Name: b.startFile.Name, Addr: s.Advertise, Boot: boot, Incarnation: uint64(wall()), Weight: s.Weight,
+	plan := memberstate.Plan{Name: b.startFile.Name, Addr: s.Advertise, Boot: boot, Incarnation: uint64(wall()), Weight: s.Weight,
 		Roster: s.Members, Seeds: s.Join, Timing: membership.Standard().Scaled(s.Pace), Drift: s.ClockDrift,
 		Floor: uint64(wall()), Seed: b.startFile.Seed}
 	for _, d := range s.Duties {
 		plan.Duties = append(plan.Duties, duties.Duty{Name: d.Name, Period: float64(d.Period) / 1e6})
 	}
-	work := sharer.Callbacks{Wall: wall}
+	work := memberactor.Callbacks{Wall: wall}
 	dir, err := b.openLeases(&plan, &work)
 	if err != nil {
 		carrier.Close()
@@ -205,7 +205,7 @@
 			Roster: slices.Sorted(maps.Keys(s.Members))}
 		b.core.ReportOutcomes()
 		if path := s.Verdicts.Dir; path != "" {
-			orders, found, err := lasting.Open[verdicts.Stored](path, lasting.OrderRecords)
+			orders, found, err := durable.Open[verdicts.Stored](path, durable.OrderRecords)
 			if err != nil {
 				carrier.Close()
 				sh.closeDirs()
@@ -219,7 +219,7 @@
 	plan.Notes = s.Notes
 	work.Verdict, work.Note = sh.applyVerdict, func(note []byte) { b.put(core.PeerNote{Note: note}) }
 	work.Turn, work.Heard, work.Begin, work.Extend, work.Cancel = sh.probe, sh.peerProbed, sh.begin, sh.extend, sh.cancel
-	sh.actor = sharer.Start(plan, carrier, now, work, b.log)
+	sh.actor = memberactor.Start(plan, carrier, now, work, b.log)
 	b.sharing = sh
 	if limits != nil {
 		limits.setWake(sh.actor.Wake)
@@ -258,7 +258,7 @@
 
 func (s *sharingState) peerProbed(duty, item, _ string, age float64, data []byte) {
 	var r probeReport
-	if duty == probeDuty && len(data) > 0 && sharing.Unmarshal(data, &r) == nil {
+	if duty == probeDuty && len(data) > 0 && memberstate.Unmarshal(data, &r) == nil {
 		s.b.put(core.PeerProbe{Host: item, Age: age, Served: r.Served, Load: r.Load})
 	}
 }
@@ -292,7 +292,7 @@
 	for {
 		select {
 		case p := <-s.probeResults:
-			data, err := sharing.Marshal(&probeReport{Served: p.Served, Load: p.Load})
+			data, err := memberstate.Marshal(&probeReport{Served: p.Served, Load: p.Load})
 			if err != nil {
 				data = nil
 			}
--- a/internal/broker/leases.go
+++ b/internal/broker/leases.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"gullstair/internal/control"
+	"gullstair/internal/durable"
 	"gullstair/internal/guard"
-	"gullstair/internal/lasting"
 	"gullstair/internal/lease"
-	"gullstair/internal/sharer"
-	"gullstair/internal/sharing"
+	"gullstair/internal/memberactor"
+	"gullstair/internal/memberstate"
 	"gullstair/internal/tasks"
 )
 
@@ -38,7 +38,7 @@
 }
 
 // openLeases adds the tasks to the plan and opens the directory of votes.
-func (b *Broker) openLeases(plan *sharing.Plan, work *sharer.Callbacks) (*lasting.Dir[lease.Record], error) {
+func (b *Broker) openLeases(plan *memberstate.Plan, work *memberactor.Callbacks) (*durable.Dir[lease.Record], error) {
 	for _, t := range b.features.Tasks {
 		plan.Tasks = append(plan.Tasks, tasks.Task{Name: t.Name, Every: ms64(t.Every), At: t.Schedule, Term: ms64(t.Term), Holders: t.Holders,
 			CatchUp: t.RunMissedOnce, Timeout: ms64(t.Timeout), Prefer: t.Prefer})
@@ -51,7 +51,7 @@
 	if l.Dir == "" {
 		return nil, nil
 	}
-	dir, found, err := lasting.Open[lease.Record](l.Dir, lasting.Votes)
+	dir, found, err := durable.Open[lease.Record](l.Dir, durable.Votes)
 	if err != nil {
 		return nil, fmt.Errorf("features: lease: %w", err)
 	}
@@ -60,7 +60,7 @@
 	} else {
 		b.log.Warn().Str("dir", l.Dir).Str("because", found.Why).Msg("votes on leases may be missing: nothing is granted for a term")
 	}
-	plan.Votes = &sharing.Votes{Records: found.Records, Sound: found.Complete}
+	plan.Votes = &memberstate.Votes{Records: found.Records, Sound: found.Complete}
 	work.Votes = dir
 	return dir, nil
 }
--- a/internal/broker/limits.go
+++ b/internal/broker/limits.go
@@ -16,10 +16,10 @@
 	"github.com/rs/zerolog"
 
 	"gullstair/internal/core"
+	"gullstair/internal/durable"
 	"gullstair/internal/features"
-	"gullstair/internal/lasting"
-	"gullstair/internal/shares"
-	"gullstair/internal/sharing"
+	"gullstair/internal/limitshare"
+	"gullstair/internal/memberstate"
 )
 
 // limiter applies the fleet's limits to scans: the core's actor queries it, the sharing actor passes it the messages of
@@ -31,13 +31,13 @@
 	limits      []features.Limit
 
 	mu                 sync.Mutex
-	pending            []shares.Input // operators' orders and disk events for the next Step
-	core               *shares.Core
-	due                float64                       // the due time that the sharing actor knows
-	queue              *lasting.Queue[shares.Record] // nil if loans are not stored
-	dir                *lasting.Dir[shares.Record]
+	pending            []limitshare.Input // operators' orders and disk events for the next Step
+	core               *limitshare.Core
+	due                float64                           // the due time that the sharing actor knows
+	queue              *durable.Queue[limitshare.Record] // nil if loans are not stored
+	dir                *durable.Dir[limitshare.Record]
 	marksSinceSnapshot int // loan marks stored since the last snapshot
-	scratch            []shares.Use
+	scratch            []limitshare.Use
 	reasons            []string // reasons for refused scans, by limit
 }
 
@@ -53,29 +53,29 @@
 )
 
 // openLimits adds the fleet's limits to the plan and returns their limiter; nil if there are none.
-func (b *Broker) openLimits(plan *sharing.Plan, boot uint64, now func() float64) (*limiter, error) {
+func (b *Broker) openLimits(plan *memberstate.Plan, boot uint64, now func() float64) (*limiter, error) {
 	if len(b.features.Limits) == 0 {
 		return nil, nil
 	}
 	l := &limiter{now: now, wakeSharing: func() {}, notifyCore: func() { b.put(core.LimitsChanged{}) }, limits: b.features.Limits}
-	rules := shares.Rules{Self: plan.Name, Boot: boot, Drift: plan.Drift, Most: maxLimitKeys, Loans: true, After: defaultRetryAfter}
+	rules := limitshare.Rules{Self: plan.Name, Boot: boot, Drift: plan.Drift, Most: maxLimitKeys, Loans: true, After: defaultRetryAfter}
 	if after, is := b.startFile.Flat["limit.maxRetryAfter"].(float64); is && after > 0 {
 		rules.After = after
 	}
 	for name := range plan.Roster {
 		rules.Roster = append(rules.Roster, name)
 	}
-	var limits []shares.Limit
+	var limits []limitshare.Limit
 	for _, f := range l.limits {
-		x := shares.Limit{Name: f.Name, Kind: shares.Rate, Size: f.Rate, Burst: f.Burst, Term: ms64(f.Term), Owners: f.Owners, Available: f.Available,
+		x := limitshare.Limit{Name: f.Name, Kind: limitshare.Rate, Size: f.Rate, Burst: f.Burst, Term: ms64(f.Term), Owners: f.Owners, Available: f.Available,
 			Linger: ms64(f.Linger), Alone: f.PartitionShare}
 		if f.Rate == 0 {
-			x.Kind, x.Size = shares.Stock, f.OpenScans+f.WorkMS
+			x.Kind, x.Size = limitshare.Stock, f.OpenScans+f.WorkMS
 		}
 		limits = append(limits, x)
 		l.reasons = append(l.reasons, fmt.Sprintf("the fleet's limit %s", f.Name))
 	}
-	l.core = shares.New(rules, limits, rand.New(rand.NewPCG(b.startFile.Seed, boot^0x11a17)).Float64)
+	l.core = limitshare.New(rules, limits, rand.New(rand.NewPCG(b.startFile.Seed, boot^0x11a17)).Float64)
 	plan.Limits = l
 	if b.features.LoansDir != "" {
 		return l, l.openDir(b.features.LoansDir, b.log)
@@ -85,7 +85,7 @@
 
 // openDir stores loans durably in a directory and restores those that it finds there.
 func (l *limiter) openDir(path string, log zerolog.Logger) error {
-	dir, found, err := lasting.Open[shares.Record](path, lasting.Loans)
+	dir, found, err := durable.Open[limitshare.Record](path, durable.Loans)
 	if err != nil {
 		return fmt.Errorf("features: limits: %w", err)
 	}
@@ -95,9 +95,9 @@
 		log.Warn().Str("dir", path).Str("because", cmp.Or(found.Why, "limits or members have changed")).Msg("what was lent of limits may be more than is known: home shares rest for a term")
 	}
 	l.dir = dir
-	l.queue = lasting.NewQueue(dir, func(upto uint64) { l.enqueue(shares.Stored{Upto: upto}) }, func(err error) {
+	l.queue = durable.NewQueue(dir, func(upto uint64) { l.enqueue(limitshare.Stored{Upto: upto}) }, func(err error) {
 		log.Error().Err(err).Msg("what is lent of limits can't be stored: this broker lends nothing any more, until it is started again")
-		l.enqueue(shares.DiskLost{})
+		l.enqueue(limitshare.DiskLost{})
 	})
 	return nil
 }
@@ -111,14 +111,14 @@
 }
 
 // scanUses returns what a scan takes from each limit. The result is valid until the next call.
-func (l *limiter) scanUses(account, cell string, work float64) []shares.Use {
+func (l *limiter) scanUses(account, cell string, work float64) []limitshare.Use {
 	l.scratch = l.scratch[:0]
 	for i := range l.limits {
 		f := &l.limits[i]
 		if f.FurtherDispatches {
 			continue // applies to further dispatches, not to scans
 		}
-		u := shares.Use{Limit: i, Cost: 1}
+		u := limitshare.Use{Limit: i, Cost: 1}
 		switch f.For {
 		case "tenant":
 			u.Key = account
@@ -148,7 +148,7 @@
 	return l.decide(l.core.Again, account, cell, work, lasts)
 }
 
-func (l *limiter) decide(ask func(float64, []shares.Use, float64) shares.Verdict, account, cell string, work, lasts float64) core.LimitDecision {
+func (l *limiter) decide(ask func(float64, []limitshare.Use, float64) limitshare.Verdict, account, cell string, work, lasts float64) core.LimitDecision {
 	l.mu.Lock()
 	v := ask(l.now(), l.scanUses(account, cell, work), lasts+lateEndMs)
 	dueEarlier := l.core.Due() < l.due
@@ -179,7 +179,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.core.Room(l.now(), shares.Use{Limit: i})
+	return l.core.Room(l.now(), limitshare.Use{Limit: i})
 }
 
 // TakeFurther implements core.Limiter.
@@ -189,7 +189,7 @@
 		return true
 	}
 	l.mu.Lock()
-	v := l.core.Take(l.now(), []shares.Use{{Limit: i, Cost: 1}}, 0)
+	v := l.core.Take(l.now(), []limitshare.Use{{Limit: i, Cost: 1}}, 0)
 	dueEarlier := l.core.Due() < l.due
 	if dueEarlier {
 		l.due = l.core.Due()
@@ -209,14 +209,14 @@
 }
 
 // Step steps the limits. The sharing actor calls it.
-func (l *limiter) Step(now float64, in []shares.Input) []shares.Send {
+func (l *limiter) Step(now float64, in []limitshare.Input) []limitshare.Send {
 	l.mu.Lock()
 	out := l.core.Step(now, append(l.pending, in...))
 	l.pending = nil
 	l.due = l.core.Due()
 	capacityArrived := l.core.Came()
 	stores := l.core.PendingStores()
-	var all []shares.Record
+	var all []limitshare.Record
 	if l.marksSinceSnapshot += len(stores); l.marksSinceSnapshot >= snapshotEvery {
 		l.marksSinceSnapshot, all = 0, l.core.Records()
 	}
@@ -226,10 +226,10 @@
 	}
 	if l.queue != nil {
 		for _, s := range stores {
-			l.queue.Put(lasting.Job[shares.Record]{Number: s.Number, Record: s.Record, Trust: s.Trust})
+			l.queue.Put(durable.Job[limitshare.Record]{Number: s.Number, Record: s.Record, Trust: s.Trust})
 		}
 		if all != nil {
-			l.queue.Put(lasting.Job[shares.Record]{All: all})
+			l.queue.Put(durable.Job[limitshare.Record]{All: all})
 		}
 	}
 	return out
@@ -245,7 +245,7 @@
 	return l.due
 }
 
-func (l *limiter) enqueue(in ...shares.Input) {
+func (l *limiter) enqueue(in ...limitshare.Input) {
 	l.mu.Lock()
 	l.pending = append(l.pending, in...)
 	poke := l.wakeSharing
@@ -268,7 +268,7 @@
 	}
 	f := l.limits[at]
 	if q.Get("do") == "clear" {
-		l.enqueue(shares.Set{Limit: f.Name})
+		l.enqueue(limitshare.Set{Limit: f.Name})
 		return nil
 	}
 	size, err := strconv.ParseFloat(q.Get("size"), 64)
@@ -288,7 +288,7 @@
 	if err != nil || span < time.Second || span > 30*24*time.Hour {
 		return fmt.Errorf("for %q is not a time from 1s to 720h", q.Get("for"))
 	}
-	l.enqueue(shares.Set{Limit: f.Name, Size: size, Burst: burst, For: ms64(span)})
+	l.enqueue(limitshare.Set{Limit: f.Name, Size: size, Burst: burst, For: ms64(span)})
 	return nil
 }
 
@@ -300,22 +300,22 @@
 			if size == 0 {
 				size = f.OpenScans + f.WorkMS
 			}
-			l.enqueue(shares.Document{Limit: f.Name, Size: size, Burst: f.Burst})
+			l.enqueue(limitshare.Document{Limit: f.Name, Size: size, Burst: f.Burst})
 		}
 	}
 }
 
 // LimitsView is the state of the fleet's limits for the control socket.
 type LimitsView struct {
-	Limits   []shares.Seen `json:"limits"` // the busiest keys of each limit
-	Accounts int           `json:"accounts"`
-	Counts   shares.Counts `json:"counts"`
+	Limits   []limitshare.Seen `json:"limits"` // the busiest keys of each limit
+	Accounts int               `json:"accounts"`
+	Counts   limitshare.Counts `json:"counts"`
 }
 
 func (l *limiter) view() LimitsView {
 	l.mu.Lock()
 	s := LimitsView{Limits: l.core.Seen(l.now()), Accounts: l.core.Accounts(), Counts: l.core.Counts}
 	l.mu.Unlock()
-	s.Limits = shares.TopByDemand(s.Limits, maxShownKeys) // outside the lock, so that scans do not wait for it
+	s.Limits = limitshare.TopByDemand(s.Limits, maxShownKeys) // outside the lock, so that scans do not wait for it
 	return s
 }
--- a/internal/broker/verdicts.go
+++ b/internal/broker/verdicts.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"gullstair/internal/core"
-	"gullstair/internal/sharing"
+	"gullstair/internal/memberstate"
 	"gullstair/internal/verdicts"
 	"gullstair/logic"
 )
@@ -76,7 +76,7 @@
 // offerNote passes a note of the module to the sharing actor. The core's actor calls it; it never blocks.
 func (s *sharingState) offerNote(note []byte) {
 	if s != nil {
-		s.actor.TrySend(sharing.Note{Data: slices.Clone(note)})
+		s.actor.TrySend(memberstate.Note{Data: slices.Clone(note)})
 	}
 }
 
--- a/internal/standing/standing.go
+++ b/internal/brokerrole/brokerrole.go
@@ -1,8 +1,8 @@
-// Package standing defines what a broker may do for the control plane in each of its states: which actions need the
+// Package brokerrole defines what a broker may do for the control plane in each of its states: which actions need the
 // confirmation of a majority of the voters, which the broker may take on its own, and which it must not take.
 //
 // The package does no I/O, reads no clock and starts no goroutine.
-package standing
+package brokerrole
 
 // State is a broker's role with respect to the register.
 type State int
--- a/internal/standing/standing_test.go
+++ b/internal/brokerrole/brokerrole_test.go
@@ -1,4 +1,4 @@
-package standing
+package brokerrole
 
 import "testing"
 
--- a/internal/holders/holders.go
+++ b/internal/cachetable/cachetable.go
@@ -1,7 +1,7 @@
-// Package holders provides the table of which instance caches which parts of prompts. Its sources are the changes that
+// Package cachetable provides the table of which instance caches which parts of prompts. Its sources are the changes that
 // instances report, which arrive late, may have gaps and start over after a restart, and the prompts that instances have
 // read for requests of this broker. The package does no I/O and has no clock or goroutine; times are in ms.
-package holders
+package cachetable
 
 import (
 	"hash/fnv"
--- a/internal/holders/holders_test.go
+++ b/internal/cachetable/cachetable_test.go
@@ -1,4 +1,4 @@
-package holders
+package cachetable
 
 import "testing"
 
--- a/internal/cells/main_test.go
+++ b/internal/cells/main_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"gullstair/internal/drawn"
+	"gullstair/internal/rapidseed"
 )
 
 // TestMain runs the property tests with a fixed seed; -rapid.seed selects another.
-func TestMain(m *testing.M) { drawn.Main(m) }
+func TestMain(m *testing.M) { rapidseed.Main(m) }
--- a/internal/cluster/alive_test.go
+++ b/internal/cluster/alive_test.go
@@ -9,14 +9,14 @@
 	"time"
 
 	"gullstair/internal/dissemination"
-	"gullstair/internal/peers"
+	"gullstair/internal/peersampling"
 	"gullstair/internal/settings"
 )
 
 // newTestNode returns a node that stores records and makes no calls.
 func newTestNode() *Node {
 	self := Member{Name: "front-0", IP: "10.0.0.0", Zone: "a"}
-	return &Node{store: dissemination.New(), view: peers.New(self.IP, 1), self: self, lastUpdate: map[string]time.Time{}, pushScheduled: true}
+	return &Node{store: dissemination.New(), view: peersampling.New(self.IP, 1), self: self, lastUpdate: map[string]time.Time{}, pushScheduled: true}
 }
 
 // age moves all times of the last update into the past.
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,6 +1,6 @@
 // Package cluster connects a broker to the other brokers. It keeps the partial view of the fleet, disseminates
 // records, detects which brokers are alive, and runs the consensus rounds of the register. The algorithms are in the
-// packages peers, dissemination and register, which do no I/O; this package holds the connections, the clock and the
+// packages peersampling, dissemination and register, which do no I/O; this package holds the connections, the clock and the
 // goroutines.
 package cluster
 
@@ -20,7 +20,7 @@
 	"gullstair/internal/journalfile"
 	"gullstair/internal/netio"
 	"gullstair/internal/peerlink"
-	"gullstair/internal/peers"
+	"gullstair/internal/peersampling"
 	"gullstair/internal/register"
 	"gullstair/internal/settings"
 	"gullstair/internal/voters"
@@ -96,7 +96,7 @@
 
 	mu             sync.Mutex
 	store          *dissemination.Store
-	view           *peers.View
+	view           *peersampling.View
 	self           Member
 	epoch          uint64
 	sequence       uint64
@@ -136,7 +136,7 @@
 		pendingOffers: map[dissemination.ID]dissemination.Version{}, pacer: newPacer(s.LinkMbps), payloads: payloads{packing: packing}}
 	n.client = peerlink.NewClient(environment.Network, n.traffic)
 	n.random = rand.New(rand.NewPCG(n.proposerID, 1))
-	n.view = peers.New(s.IP, n.proposerID)
+	n.view = peersampling.New(s.IP, n.proposerID)
 	n.epoch = uint64(time.Now().UnixNano())
 	n.self = Member{Name: s.NodeName, IP: s.IP, Zone: s.Zone, Region: s.Region, Control: s.ListenControl, Protocol: protocolSections}
 	if s.CountsForQuorum && s.DataDir != "" {
--- a/internal/cluster/voting.go
+++ b/internal/cluster/voting.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
+	"gullstair/internal/brokerrole"
 	"gullstair/internal/peerlink"
 	"gullstair/internal/register"
-	"gullstair/internal/standing"
 	"gullstair/internal/voters"
 )
 
@@ -23,7 +23,7 @@
 	var dueSince time.Time
 	for ctx.Err() == nil {
 		wait := maintenanceInterval
-		if n.Votes() && n.Role().Allows(standing.ProposeVoters) {
+		if n.Votes() && n.Role().Allows(brokerrole.ProposeVoters) {
 			unanswered := n.probe(ctx)
 			dueSince = n.reviewVoters(ctx, dueSince)
 			if unanswered || !dueSince.IsZero() {
@@ -39,21 +39,21 @@
 }
 
 // Role returns this broker's role towards the register.
-func (n *Node) Role() standing.State {
+func (n *Node) Role() brokerrole.State {
 	n.mu.Lock()
 	leaving, started := n.self.Leaving, len(n.known.Value.Members.Sets) > 0
 	n.mu.Unlock()
 	switch {
 	case !started:
-		return standing.Starting
+		return brokerrole.Starting
 	case leaving:
-		return standing.Leaving
+		return brokerrole.Leaving
 	case n.replica == nil:
-		return standing.Diskless
+		return brokerrole.Diskless
 	case n.Votes():
-		return standing.Voter
+		return brokerrole.Voter
 	}
-	return standing.Learner
+	return brokerrole.Learner
 }
 
 // Votes reports whether this machine's replica is in one of the sets that the newest value was proposed to.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -13,7 +13,7 @@
 	"strconv"
 
 	"gullstair/internal/discovery"
-	"gullstair/internal/terms"
+	"gullstair/internal/startsettings"
 )
 
 // StartConfig is a broker's start configuration.
@@ -24,7 +24,7 @@
 	MemoryMB, Sockets       int
 	KnownList               discovery.Listing
 	Flat                    map[string]any // the settings, flattened to the decision module's keys
-	Site                    terms.Settings
+	Site                    startsettings.Settings
 
 	DisabledSettings []string // settings that this program does not support and has disabled, with the reasons
 
@@ -123,12 +123,12 @@
 		func() error { return object(tree, "known", false, &t.KnownList) },
 		func() error { return object(tree, "settings", true, &settings) },
 		func() (err error) {
-			t.Flat = terms.Flatten(settings)
+			t.Flat = startsettings.Flatten(settings)
 			if t.Flat["limit.peers"] == true { // unsupported: the module would rely on notes that are never delivered
 				t.Flat["limit.peers"] = false
 				t.DisabledSettings = append(t.DisabledSettings, "settings: ceilings.peers: this program does not exchange notes between brokers; they are disabled")
 			}
-			if t.Site, err = terms.ReadSettings(t.Flat); err != nil {
+			if t.Site, err = startsettings.ReadSettings(t.Flat); err != nil {
 				return fmt.Errorf("settings: %w", err)
 			}
 			return nil
--- a/internal/configuration/configuration.go
+++ b/internal/configuration/configuration.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 
 	"gullstair/internal/configuration/configpb"
-	"gullstair/internal/finding"
+	"gullstair/internal/inputerrors"
 )
 
 // Kind is the kind of a route. It determines how often a request may run.
@@ -172,7 +172,7 @@
 type builder struct {
 	message  *configpb.Configuration
 	place    func(list string, i int, name string) string
-	findings finding.List
+	findings inputerrors.List
 }
 
 func (b *builder) build() *Configuration {
--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/sebdah/goldie/v2"
 
-	"gullstair/internal/finding"
+	"gullstair/internal/inputerrors"
 )
 
 func read(t testing.TB, name string) []byte {
@@ -31,7 +31,7 @@
 		name := strings.TrimSuffix(filepath.Base(path), ".json")
 		t.Run(name, func(t *testing.T) {
 			_, err := Parse(read(t, name+".json"))
-			var found *finding.Error
+			var found *inputerrors.Error
 			switch {
 			case err == nil:
 				t.Fatal("the invalid configuration is accepted")
--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -10,7 +10,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 
 	"gullstair/internal/configuration/configpb"
-	"gullstair/internal/finding"
+	"gullstair/internal/inputerrors"
 )
 
 // Patch adds, replaces and removes items of a configuration by name. ParsePatch validates the patch itself; Apply validates the
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	p := &Patch{Version: message.Version, Raw: raw, version: fields["version"]}
-	var findings finding.List
+	var findings inputerrors.List
 	if p.Version <= 0 {
 		findings.Add("version", "%d is not above 0", p.Version)
 	}
@@ -83,7 +83,7 @@
 }
 
 // checkLists reports fields that are not lists of named items, which a patch would silently ignore.
-func checkLists(findings *finding.List, part string, lists map[string]json.RawMessage) {
+func checkLists(findings *inputerrors.List, part string, lists map[string]json.RawMessage) {
 	var unknown []string
 	for list := range lists {
 		if !slices.Contains(namedLists, list) {
@@ -97,7 +97,7 @@
 }
 
 // check reports items without a name, duplicate items, and items that are both upserted and removed.
-func (c *listPatch) check(findings *finding.List) {
+func (c *listPatch) check(findings *inputerrors.List) {
 	seen := map[string]bool{}
 	for i, changed := range c.upsert {
 		place := upsertPlace(c.list, i, changed.name)
--- a/internal/configuration/patch_test.go
+++ b/internal/configuration/patch_test.go
@@ -9,7 +9,7 @@
 	"slices"
 	"testing"
 
-	"gullstair/internal/finding"
+	"gullstair/internal/inputerrors"
 )
 
 // document is a configuration as an operator writes it, with a field that the program does not know.
@@ -133,7 +133,7 @@
 		if err == nil {
 			_, err = patch.Apply([]byte(patchBase))
 		}
-		var found *finding.Error
+		var found *inputerrors.Error
 		if !errors.As(err, &found) {
 			t.Errorf("%s: %v", text, err)
 			continue
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -11,7 +11,7 @@
 	"math"
 	"slices"
 
-	"gullstair/internal/terms"
+	"gullstair/internal/startsettings"
 	"gullstair/logic"
 )
 
@@ -74,7 +74,7 @@
 	limiter         Limiter
 	queued          []queuedScan // scans that wait for capacity of the shared limits
 
-	settings    terms.Settings
+	settings    startsettings.Settings
 	module      logic.Broker
 	now         float64
 	out         []Output
@@ -110,7 +110,7 @@
 }
 
 // New returns a core whose first Step passes the start event and the cached list to the module.
-func New(settings terms.Settings, flat map[string]any, seed uint64, known []Node) *Core {
+func New(settings startsettings.Settings, flat map[string]any, seed uint64, known []Node) *Core {
 	c := &Core{settings: settings, scans: map[int64]*scan{}, byClientID: map[string]*scan{}, parts: map[int64]*part{},
 		dispatches: map[int64]*dispatch{}, probes: map[int64]probe{},
 		numbers: map[string]int64{}, knownNodes: map[int64]*nodeState{}}
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
+	"gullstair/internal/admission"
 	"gullstair/internal/cells"
-	"gullstair/internal/confine"
 	"gullstair/internal/quota"
 	"gullstair/logic"
 )
@@ -19,7 +19,7 @@
 	sets        int
 	coldTime    float64 // how long, in ms, a node counts as cold after its start
 	nextCheckAt float64
-	confine     *confine.Admission // nil until a list has a store for every set, since no cell can be built before
+	confine     *admission.Admission // nil until a list has a store for every set, since no cell can be built before
 	moves       *cells.Moves
 }
 
@@ -64,7 +64,7 @@
 		return true
 	}
 	if c.guard.confine == nil {
-		r.verdict = confine.Verdict{Reason: "no cell can be laid out: some shards have no store"}
+		r.verdict = admission.Verdict{Reason: "no cell can be laid out: some shards have no store"}
 	} else {
 		r.verdict = c.guard.confine.Admit(c.now, r.Account, r.quotaRequest())
 	}
@@ -215,13 +215,13 @@
 	if g == nil {
 		return
 	}
-	var nodes []confine.Node
+	var nodes []admission.Node
 	for _, num := range slices.Sorted(maps.Keys(c.knownNodes)) {
 		at := c.knownNodes[num]
 		if at.gone {
 			continue
 		}
-		nodes = append(nodes, confine.Node{Number: num, Name: at.host, Zone: at.zone, Set: at.cell, Ready: at.ready,
+		nodes = append(nodes, admission.Node{Number: num, Name: at.host, Zone: at.zone, Set: at.cell, Ready: at.ready,
 			Cold: at.born > 0 && c.now-at.born < g.coldTime})
 	}
 	if g.confine == nil {
@@ -233,7 +233,7 @@
 		if err != nil {
 			return // retried with the next list
 		}
-		g.moves, g.confine = moves, confine.New(g.plan, g.sets, moves, g.limits)
+		g.moves, g.confine = moves, admission.New(g.plan, g.sets, moves, g.limits)
 	}
 	if len(nodes) > 0 {
 		g.step(c.now, g.confine.ApplyList(c.now, nodes)...)
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -10,7 +10,7 @@
 
 	"gullstair/internal/cells"
 	"gullstair/internal/quota"
-	"gullstair/internal/terms"
+	"gullstair/internal/startsettings"
 	"gullstair/logic"
 )
 
@@ -23,7 +23,7 @@
 		"tableType.0.name": "board", "tableType.0.target": 500.0, "tableType.0.timeout": 2000.0, "tableType.0.benefit": 1.0,
 		"tableType.0.effect": "replayable", "layout.need.0": 1.0, "layout.floor.0": 1.0, "areas.count": 1.0, "areas.0": "z", "kinds.count": 1.0,
 		"kinds.0": "std"}
-	site, err := terms.ReadSettings(flat)
+	site, err := startsettings.ReadSettings(flat)
 	require.NoError(t, err)
 	var nodes []Node
 	for i := range 8 {
--- a/internal/core/probe_test.go
+++ b/internal/core/probe_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"gullstair/internal/terms"
+	"gullstair/internal/startsettings"
 	"gullstair/logic"
 )
 
@@ -21,7 +21,7 @@
 		"silent":        {nil, 1250, logic.Overdue},
 	} {
 		list := []Node{{Host: "s-a", Addr: "127.0.0.1:2"}}
-		k := New(terms.Settings{ConnectTimeout: 250}, nil, 1, list)
+		k := New(startsettings.Settings{ConnectTimeout: 250}, nil, 1, list)
 		k.Step(1000, nil)
 		k.act([]logic.Action{{Kind: logic.Probe, Node: k.Number("s-a")}, {Kind: logic.Probe, Node: 5}})
 		p := k.out[len(k.out)-1].(Probe)
--- a/internal/core/shared_test.go
+++ b/internal/core/shared_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"gullstair/internal/terms"
+	"gullstair/internal/startsettings"
 	"gullstair/logic"
 )
 
@@ -24,7 +24,7 @@
 // brokers; the result of another broker goes to the module with its age.
 func TestSharedProbes(t *testing.T) {
 	list := []Node{{Host: "s-a", Addr: "127.0.0.1:2", Readiness: logic.Ready}, {Host: "s-b", Addr: "127.0.0.1:3", Readiness: logic.Draining}}
-	k := New(terms.Settings{ConnectTimeout: 250}, nil, 1, list)
+	k := New(startsettings.Settings{ConnectTimeout: 250}, nil, 1, list)
 	assert.Equal(t, NodeList{Hosts: []string{"s-a"}, Nodes: list}, k.ReportList())
 	step(k, 1000)
 	for _, host := range []string{"s-b", "s-x"} {
@@ -58,7 +58,7 @@
 // nodes, reach the module.
 func TestOperatorDrain(t *testing.T) {
 	list := []Node{{Host: "s-a", Addr: "127.0.0.1:2", Readiness: logic.Ready}}
-	k := New(terms.Settings{}, nil, 1, list)
+	k := New(startsettings.Settings{}, nil, 1, list)
 	k.ReportList()
 	step(k, 1000)
 	k.applyVerdict(NodeVerdict{Host: "s-a", Outcome: logic.Errored, Age: 30, Drained: true})
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -1,7 +1,7 @@
 package core
 
 import (
-	"gullstair/internal/confine"
+	"gullstair/internal/admission"
 	"gullstair/logic"
 )
 
@@ -24,7 +24,7 @@
 	num         int64 // the core's number; 0 before it is assigned
 	admittedAt  float64
 	work        float64 // work hint of all parts
-	verdict     confine.Verdict
+	verdict     admission.Verdict
 	holdsLimits bool // it holds capacity of the shared limits
 }
 
--- a/internal/lasting/lasting.go
+++ b/internal/durable/durable.go
@@ -1,8 +1,8 @@
-// Package lasting stores the promises that a process has made to others (votes on leases, loans of shares,
+// Package durable stores the promises that a process has made to others (votes on leases, loans of shares,
 // operators' orders) in a directory. At each start it reports whether the records are complete: a restored
 // copy, a log with a truncated tail or another process's directory must not pass for a complete memory. It does
 // file I/O.
-package lasting
+package durable
 
 import (
 	"cmp"
--- a/internal/lasting/queue.go
+++ b/internal/durable/queue.go
@@ -1,4 +1,4 @@
-package lasting
+package durable
 
 import "sync"
 
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"gullstair/internal/core"
-	"gullstair/internal/rig"
+	"gullstair/internal/fleettest"
 	"gullstair/logic"
 )
 
@@ -37,8 +37,8 @@
 	lastRef          int64                  // last dispatch reference in use
 	dispatchesByPart map[string][]*dispatch // dispatches in progress by part ID
 	wg               sync.WaitGroup
-	brokerNetwork    *rig.Switch   // forwards datagrams between brokers
-	members          []*rig.Member // the brokers as endpoints of that switch
+	brokerNetwork    *fleettest.Switch   // forwards datagrams between brokers
+	members          []*fleettest.Member // the brokers as endpoints of that switch
 }
 
 // storeServer is the TCP listener of a store and its open connections.
@@ -57,7 +57,7 @@
 	s             *emulatedBroker
 	addr          string
 	agentListener net.Listener
-	process       *rig.Process // nil while the broker is down
+	process       *fleettest.Process // nil while the broker is down
 	logFile       *os.File
 	mu            sync.Mutex // guards the agent's copy of the node list: the five fields below
 	listVersion   int64      // version of the list
@@ -130,13 +130,13 @@
 		if err := b.startAgent(); err != nil {
 			return figures, err
 		}
-		member := &rig.Member{Name: brokerName(s.number), Index: s.number}
-		if member.UDP, err = rig.FreeAddr("udp"); err != nil {
+		member := &fleettest.Member{Name: brokerName(s.number), Index: s.number}
+		if member.UDP, err = fleettest.FreeAddr("udp"); err != nil {
 			return figures, fmt.Errorf("rehearse: allocate a UDP address for a broker: %w", err)
 		}
 		l.members = append(l.members, member)
 	}
-	if l.brokerNetwork, err = rig.NewSwitch(l.members, w.seed); err != nil {
+	if l.brokerNetwork, err = fleettest.NewSwitch(l.members, w.seed); err != nil {
 		return figures, err
 	}
 	defer l.brokerNetwork.Close()
@@ -650,7 +650,7 @@
 		}
 		args = append(args, "--features", featuresPath)
 	}
-	if b.process, err = rig.Launch(append([]string{b.l.program[0]}, args...), []string{"GW_CONFIG=" + configPath}, b.logFile); err != nil {
+	if b.process, err = fleettest.Launch(append([]string{b.l.program[0]}, args...), []string{"GW_CONFIG=" + configPath}, b.logFile); err != nil {
 		return fmt.Errorf("rehearse: %w", err)
 	}
 	return nil
@@ -702,13 +702,13 @@
 // setBrokerLinksCut blocks or unblocks datagrams from the first broker of each pair to the second.
 func (l *loopback) setBrokerLinksCut(pairs [][2]int, cut bool) {
 	for _, pair := range pairs {
-		l.brokerNetwork.Set(pair[0], pair[1], func(direction *rig.Link) { direction.Cut = cut })
+		l.brokerNetwork.Set(pair[0], pair[1], func(direction *fleettest.Link) { direction.Cut = cut })
 	}
 }
 
 // setBrokerLoss sets the share of datagrams lost between brokers.
 func (l *loopback) setBrokerLoss(share float64) {
-	l.brokerNetwork.All(func(direction *rig.Link) { direction.Loss = share })
+	l.brokerNetwork.All(func(direction *fleettest.Link) { direction.Loss = share })
 }
 
 // waitReady polls the health check of the broker until it succeeds. After readyTimeout it returns an error with the
--- a/internal/emulator/shared.go
+++ b/internal/emulator/shared.go
@@ -8,8 +8,8 @@
 
 	"gullstair/internal/broker"
 	"gullstair/internal/core"
-	"gullstair/internal/rig"
-	"gullstair/internal/shares"
+	"gullstair/internal/fleettest"
+	"gullstair/internal/limitshare"
 	"gullstair/internal/verdicts"
 	"gullstair/logic"
 )
@@ -27,12 +27,12 @@
 	LoanTerm    float64 // ms that a loan between brokers is valid
 }
 
-// sharesLimit returns the limit in the form of package shares.
-func (l FleetLimit) sharesLimit() shares.Limit {
+// sharesLimit returns the limit in the form of package limitshare.
+func (l FleetLimit) sharesLimit() limitshare.Limit {
 	if l.MaxOpen > 0 {
-		return shares.Limit{Name: l.Name, Kind: shares.Stock, Size: float64(l.MaxOpen), Term: l.LoanTerm}
+		return limitshare.Limit{Name: l.Name, Kind: limitshare.Stock, Size: float64(l.MaxOpen), Term: l.LoanTerm}
 	}
-	return shares.Limit{Name: l.Name, Size: l.Rate, Burst: l.Burst, Term: l.LoanTerm}
+	return limitshare.Limit{Name: l.Name, Size: l.Rate, Burst: l.Burst, Term: l.LoanTerm}
 }
 
 // featuresBlock returns the limit's block of a features document.
@@ -51,9 +51,9 @@
 	world      *World
 	broker     *emulatedBroker
 	boot       int // of the process that it belongs to
-	core       *shares.Core
-	nextStepAt float64      // time of the next scheduled step; +Inf: none is scheduled
-	uses       []shares.Use // buffer of usesOf
+	core       *limitshare.Core
+	nextStepAt float64          // time of the next scheduled step; +Inf: none is scheduled
+	uses       []limitshare.Use // buffer of usesOf
 }
 
 // startLimiter creates the limiter of a broker that starts, if the fleet has shared limits and the broker is a real one.
@@ -62,15 +62,15 @@
 	if broker.limiter = nil; !ok || len(w.Fleet.Limits) == 0 {
 		return
 	}
-	rules := shares.Rules{Self: brokerName(broker.number), Boot: uint64(broker.incarnation), Drift: clockDrift, Most: 100000, After: w.Fleet.MaxRetryAfter, Loans: true}
+	rules := limitshare.Rules{Self: brokerName(broker.number), Boot: uint64(broker.incarnation), Drift: clockDrift, Most: 100000, After: w.Fleet.MaxRetryAfter, Loans: true}
 	for i := range w.Fleet.Brokers {
 		rules.Roster = append(rules.Roster, brokerName(i))
 	}
-	var limits []shares.Limit
+	var limits []limitshare.Limit
 	for _, l := range w.Fleet.Limits {
 		limits = append(limits, l.sharesLimit())
 	}
-	broker.limiter = &limiter{world: w, broker: broker, boot: broker.incarnation, nextStepAt: math.Inf(1), core: shares.New(rules, limits, rand.New(rand.NewPCG(seed, 0x11a17)).Float64)}
+	broker.limiter = &limiter{world: w, broker: broker, boot: broker.incarnation, nextStepAt: math.Inf(1), core: limitshare.New(rules, limits, rand.New(rand.NewPCG(seed, 0x11a17)).Float64)}
 	c.SetLimiter(broker.limiter)
 	broker.limiter.step()
 }
@@ -79,11 +79,11 @@
 func brokerName(i int) string { return fmt.Sprintf("broker-%03d", i) }
 
 // usesOf returns the use of each shared limit by one scan. The result is valid until the next call.
-func (l *limiter) usesOf(account, cell string) []shares.Use {
+func (l *limiter) usesOf(account, cell string) []limitshare.Use {
 	l.uses = l.uses[:0]
 	for i, limit := range l.world.Fleet.Limits {
 		key := map[string]string{"tenant": account, "cell": cell}[limit.Scope]
-		l.uses = append(l.uses, shares.Use{Limit: i, Key: key, Cost: 1})
+		l.uses = append(l.uses, limitshare.Use{Limit: i, Key: key, Cost: 1})
 	}
 	return l.uses
 }
@@ -99,7 +99,7 @@
 }
 
 // toDecision converts a verdict for the broker's core and schedules the next step.
-func (l *limiter) toDecision(verdict shares.Verdict) core.LimitDecision {
+func (l *limiter) toDecision(verdict limitshare.Verdict) core.LimitDecision {
 	l.scheduleStep()
 	if verdict.Taken {
 		return core.LimitDecision{Admitted: true}
@@ -136,7 +136,7 @@
 func (l *limiter) active() bool { return l.broker.up && l.broker.incarnation == l.boot }
 
 // step passes inputs to the member, sends its messages to other brokers and notifies the broker's core of new capacity.
-func (l *limiter) step(in ...shares.Input) {
+func (l *limiter) step(in ...limitshare.Input) {
 	l.nextStepAt = math.Inf(1)
 	for _, out := range l.core.Step(l.world.now, in) {
 		for _, recipient := range l.world.brokers {
@@ -144,7 +144,7 @@
 				l.world.sendDatagram(l.broker, recipient, func() {
 					if recipient.limiter != nil && recipient.limiter.active() {
 						for _, message := range out.Messages {
-							recipient.limiter.step(shares.Received{From: brokerName(l.broker.number), Message: message})
+							recipient.limiter.step(limitshare.Received{From: brokerName(l.broker.number), Message: message})
 						}
 					}
 				})
@@ -233,10 +233,10 @@
 // admissions; for limits on open scans, at most that many may be open at once.
 func (w *World) checkSharedLimits() {
 	for _, l := range w.Fleet.Limits {
-		spans := map[string][]rig.Span{}
+		spans := map[string][]fleettest.Span{}
 		for _, scan := range w.Checker.reachedScans {
 			key := map[string]string{"tenant": scan.tenant}[l.Scope]
-			spans[key] = append(spans[key], rig.Span{From: scan.sentAt, To: scan.reachedAt, Ended: scan.endedAt})
+			spans[key] = append(spans[key], fleettest.Span{From: scan.sentAt, To: scan.reachedAt, Ended: scan.endedAt})
 		}
 		if l.Scope == "cell" {
 			continue // the broker assigns the cell, so that it can't be checked from outside
@@ -247,9 +247,9 @@
 		}
 		slices.Sort(keys)
 		for _, key := range keys {
-			excess := rig.MaxOpen(spans[key]) - float64(l.MaxOpen)
+			excess := fleettest.MaxOpen(spans[key]) - float64(l.MaxOpen)
 			if l.MaxOpen == 0 {
-				excess = rig.Excess(spans[key], l.Rate/1000, l.Burst)
+				excess = fleettest.Excess(spans[key], l.Rate/1000, l.Burst)
 			}
 			if excess > 1e-6 {
 				w.Checker.report(w.now, RuleLimitExceeded, nil, "%s %s: %.1f scans more than it allows", l.Name, key, excess)
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -136,7 +136,7 @@
 	p         *Part
 	startedAt float64 // time of its start; of its arrival while it is queued
 	endsAt    float64
-	fate      PartResult
+	result    PartResult
 	coreTime  float64 // core time in ms
 }
 
@@ -208,21 +208,21 @@
 		return append(s.Crash(), Completion{Part: p, Result: ConnReset}), true
 	}
 	faults := &s.Faults
-	fate := Served
+	result := Served
 	switch {
 	case faults.NeverAnswers:
-		fate = NoAnswer
+		result = NoAnswer
 	case draw < faults.FailureRate:
 		return []Completion{{Part: p, Result: Failed, Executed: true, At: now + 0.2}}, false
 	case draw < faults.FailureRate+faults.ResetRate:
 		return []Completion{{Part: p, Result: ConnReset, Executed: true, At: now + 0.2}}, false
 	case draw < faults.FailureRate+faults.ResetRate+faults.MalformedRate:
-		fate = Malformed
+		result = Malformed
 	}
 	if ranAt, ran := s.executedKeys.lastRun[p.Key]; p.Key != "" && ran && now-ranAt <= s.Behavior.RepeatWindow {
-		return []Completion{{Part: p, Result: fate, At: now + 0.2}}, false // a known repeat is answered without being run
+		return []Completion{{Part: p, Result: result, At: now + 0.2}}, false // a known repeat is answered without being run
 	}
-	j := &job{p: p, startedAt: now, fate: fate}
+	j := &job{p: p, startedAt: now, result: result}
 	switch {
 	case len(s.running) < s.MachineKind.Cores:
 		s.startJob(now, j)
@@ -309,8 +309,8 @@
 		s.running = append(s.running[:first], s.running[first+1:]...)
 		s.CoreTimeUsed += j.coreTime
 		s.completedTime += j.coreTime
-		c := Completion{Part: j.p, Result: j.fate, Executed: true, At: j.endsAt, CoreTime: j.coreTime}
-		if j.p.abandoned || j.endsAt > j.p.Deadline || j.fate != Served {
+		c := Completion{Part: j.p, Result: j.result, Executed: true, At: j.endsAt, CoreTime: j.coreTime}
+		if j.p.abandoned || j.endsAt > j.p.Deadline || j.result != Served {
 			s.CoreTimeWasted, c.CoreTime = s.CoreTimeWasted+j.coreTime, 0
 		}
 		s.recordKey(j.p.Key, j.endsAt)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -14,7 +14,7 @@
 	"gullstair/internal/broker"
 	"gullstair/internal/cells"
 	"gullstair/internal/core"
-	"gullstair/internal/terms"
+	"gullstair/internal/startsettings"
 	"gullstair/internal/verdicts"
 	"gullstair/logic"
 )
@@ -34,7 +34,7 @@
 // Gullstair creates the production broker: the unmodified core and decision module.
 func Gullstair(f *Fleet, ordinal, zone int, seed uint64, known []core.Node) (BrokerCore, error) {
 	settings := f.settings(ordinal, zone)
-	site, err := terms.ReadSettings(settings)
+	site, err := startsettings.ReadSettings(settings)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/rig/rig.go
+++ b/internal/fleettest/fleettest.go
@@ -1,7 +1,7 @@
-// Package rig starts a fleet of processes of the program on loopback and injects faults: it kills, stops and restarts processes, degrades the network
+// Package fleettest starts a fleet of processes of the program on loopback and injects faults: it kills, stops and restarts processes, degrades the network
 // separately for each direction of each pair of members, cuts one broker's connections to stores, and skews clocks. It ends each process that it starts by
 // its process ID.
-package rig
+package fleettest
 
 import (
 	"encoding/json"
--- a/internal/rig/schedule.go
+++ b/internal/fleettest/schedule.go
@@ -1,4 +1,4 @@
-package rig
+package fleettest
 
 import (
 	"fmt"
--- a/internal/front/client_test.go
+++ b/internal/front/client_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"gullstair/internal/core"
-	"gullstair/internal/terms"
+	"gullstair/internal/startsettings"
 	"gullstair/logic"
 )
 
@@ -229,7 +229,7 @@
 // Two fronts in one process each use the table types of their own deployment.
 func TestDeploymentsKeepApart(t *testing.T) {
 	one, other := startFront(t, 10), startFront(t, 10)
-	other.front.Site = terms.Settings{Shards: 4, Types: []terms.TableType{{Name: "lookup", Keyed: true}}, TypeIndex: map[string]int{"lookup": 0}}
+	other.front.Site = startsettings.Settings{Shards: 4, Types: []startsettings.TableType{{Name: "lookup", Keyed: true}}, TypeIndex: map[string]int{"lookup": 0}}
 	small := `{"segments":[{"segment":3,"boost":1}],"text":"t"}`
 	status, _, _ := other.dial().send(scanRequest("/board", "", small)).response()
 	assert.Equal(t, 404, status)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -18,14 +18,14 @@
 	"github.com/stretchr/testify/require"
 
 	"gullstair/internal/core"
-	"gullstair/internal/ending"
-	"gullstair/internal/terms"
+	"gullstair/internal/shutdown"
+	"gullstair/internal/startsettings"
 	"gullstair/logic"
 )
 
 const testTimeout = 20 * time.Second // 5 s was too short on four loaded cores
 
-var testSite = terms.Settings{Shards: 12, Types: []terms.TableType{{Name: "board"}, {Name: "fix", Keyed: true}},
+var testSite = startsettings.Settings{Shards: 12, Types: []startsettings.TableType{{Name: "board"}, {Name: "fix", Keyed: true}},
 	TypeIndex: map[string]int{"board": 0, "fix": 1}}
 
 // harness is a Front whose scans go to the test instead of a core.
@@ -365,7 +365,7 @@
 	s := receiveScan(t, d.taken)
 	stopped := make(chan struct{})
 	go func() {
-		d.front.Stop(ending.New(0, float64(testTimeout)/1e6))
+		d.front.Stop(shutdown.New(0, float64(testTimeout)/1e6))
 		close(stopped)
 	}()
 	require.Eventually(t, d.front.stopping.Load, testTimeout, time.Millisecond)
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -14,8 +14,8 @@
 	"github.com/rs/zerolog"
 
 	"gullstair/internal/core"
-	"gullstair/internal/ending"
-	"gullstair/internal/terms"
+	"gullstair/internal/shutdown"
+	"gullstair/internal/startsettings"
 )
 
 const (
@@ -34,7 +34,7 @@
 // Front serves clients. It calls OnScan with each scan, and OnDisconnect with each scan whose client disconnected; both
 // may block.
 type Front struct {
-	Site         terms.Settings
+	Site         startsettings.Settings
 	Now          func() float64
 	OnScan       func(*core.Scan)
 	OnDisconnect func(*core.Scan)
@@ -222,7 +222,7 @@
 // Stop shuts the front down in the phases that end decides. /healthz reports it at once. Clients are first served on
 // their connections and on new ones, then their connections close after the next answer, then new scans are refused.
 // Stop returns true when all work is done, or false when end decides to abandon the open scans.
-func (f *Front) Stop(end *ending.Shutdown) bool {
+func (f *Front) Stop(end *shutdown.Shutdown) bool {
 	f.stopping.Store(true)
 	begun, st := time.Now(), &f.Stats
 	defer func(open int, byClient, atWork, byAnswer, byFront, requests int64) {
@@ -234,7 +234,7 @@
 	}(f.Conns(), st.ByClient.Load(), st.LeftWhileProcessing.Load(), st.ByAnswer.Load(), st.ByFront.Load(), st.Requests.Load())
 	for {
 		f.mu.Lock()
-		o := end.Step(ending.State{Elapsed: float64(time.Since(begun)) / 1e6, AnswerTime: f.slowestAnswer, Clients: len(f.conns)})
+		o := end.Step(shutdown.State{Elapsed: float64(time.Since(begun)) / 1e6, AnswerTime: f.slowestAnswer, Clients: len(f.conns)})
 		if o.Drain {
 			f.closeAfterAnswer.Store(true)
 			for f.requestCloseOfOldest(idle, minIdleAge, false) {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -13,8 +13,8 @@
 	"github.com/cockroachdb/errors"
 
 	"gullstair/internal/balance"
+	"gullstair/internal/cachetable"
 	"gullstair/internal/configuration"
-	"gullstair/internal/holders"
 	"gullstair/internal/instances"
 	"gullstair/internal/upstream"
 	"gullstair/logic"
@@ -357,7 +357,7 @@
 	if c.prompt == nil {
 		return
 	}
-	c.server.holders.with(func(t *holders.Table) { t.Read(id, c.prompt.keys(c.cacheSalt), c.prompt.tokenCounts()) })
+	c.server.holders.with(func(t *cachetable.Table) { t.Read(id, c.prompt.keys(c.cacheSalt), c.prompt.tokenCounts()) })
 }
 
 // learnVersion updates the instance's version of the weights from the headers of a response.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -12,8 +12,8 @@
 	"github.com/phuslu/log"
 
 	"gullstair/internal/balance"
+	"gullstair/internal/cachetable"
 	"gullstair/internal/configuration"
-	"gullstair/internal/holders"
 	"gullstair/internal/instances"
 	"gullstair/internal/netio"
 	"gullstair/internal/settings"
@@ -58,11 +58,11 @@
 // lockedTable is the holder table with a lock and a clock for concurrent use.
 type lockedTable struct {
 	mu    sync.Mutex
-	table *holders.Table
+	table *cachetable.Table
 	start time.Time
 }
 
-func (t *lockedTable) with(f func(*holders.Table)) {
+func (t *lockedTable) with(f func(*cachetable.Table)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.table.Advance(float64(time.Since(t.start)) / float64(time.Millisecond))
@@ -70,19 +70,19 @@
 }
 
 func (t *lockedTable) synced(instance string) (synced bool) {
-	t.with(func(table *holders.Table) { synced = table.Synced(instance) })
+	t.with(func(table *cachetable.Table) { synced = table.Synced(instance) })
 	return synced
 }
 
 // WithHolders calls f with the holder table under its lock.
-func (s *Server) WithHolders(f func(*holders.Table)) { s.holders.with(f) }
+func (s *Server) WithHolders(f func(*cachetable.Table)) { s.holders.with(f) }
 
 // New returns the data path of a broker. named holds the versions of the models' weights; onDisplaced is called with the id of
 // an instance at whose address another one answered.
 func New(s *settings.Settings, logger *log.Logger, network netio.Network, seed uint64, named *weights.Ledger, onDisplaced func(string)) *Server {
 	server := &Server{settings: s, logger: logger, pool: upstream.New(network), instances: map[string]instances.Instance{}, weights: named,
 		loggedOldest: map[string]int64{}, onDisplaced: onDisplaced}
-	server.holders = lockedTable{table: holders.New(), start: time.Now()}
+	server.holders = lockedTable{table: cachetable.New(), start: time.Now()}
 	server.dispatcher = newDispatcher(seed, server.fleet(1))
 	return server
 }
@@ -146,7 +146,7 @@
 	s.mu.Lock()
 	for id := range s.instances {
 		if _, still := known[id]; !still {
-			s.holders.with(func(t *holders.Table) { t.Forget(id) })
+			s.holders.with(func(t *cachetable.Table) { t.Forget(id) })
 		}
 	}
 	s.instances = known
--- a/internal/gateway/prompt.go
+++ b/internal/gateway/prompt.go
@@ -11,8 +11,8 @@
 	"strings"
 
 	"gullstair/internal/balance"
+	"gullstair/internal/cachetable"
 	"gullstair/internal/configuration"
-	"gullstair/internal/holders"
 	"gullstair/internal/instances"
 	"gullstair/internal/rendezvous"
 )
@@ -107,8 +107,8 @@
 	for _, c := range candidates {
 		out.WeightsVersions[c.ID] = c.VersionOf(p.model)
 	}
-	s.holders.with(func(t *holders.Table) {
-		keys := map[int64][]holders.Key{} // by version of the weights
+	s.holders.with(func(t *cachetable.Table) {
+		keys := map[int64][]cachetable.Key{} // by version of the weights
 		for _, c := range candidates {
 			version := out.WeightsVersions[c.ID]
 			if keys[version] == nil {
@@ -137,7 +137,7 @@
 func StoreName(service string) string { return "store/" + service }
 
 // addStore adds the store of cached parts, with the tokens that it holds for the newest version of the weights.
-func addStore(out *balance.Prompt, t *holders.Table, config *configuration.Configuration, keys map[int64][]holders.Key, counts []float64) {
+func addStore(out *balance.Prompt, t *cachetable.Table, config *configuration.Configuration, keys map[int64][]cachetable.Key, counts []float64) {
 	service, store := config.KVStore()
 	if store == nil || len(keys) == 0 {
 		return
@@ -152,10 +152,10 @@
 	out.StoreZones = map[string]string{name: store.Zone}
 }
 
-func (p *prompt) keys(salt string) []holders.Key {
-	keys := make([]holders.Key, len(p.parts))
+func (p *prompt) keys(salt string) []cachetable.Key {
+	keys := make([]cachetable.Key, len(p.parts))
 	for i, part := range p.parts {
-		keys[i] = holders.KeyOf(salt, part.id)
+		keys[i] = cachetable.KeyOf(salt, part.id)
 	}
 	return keys
 }
--- a/internal/gossip/carrier.go
+++ b/internal/gossip/carrier.go
@@ -8,7 +8,7 @@
 	"sync"
 	"sync/atomic"
 
-	"gullstair/internal/sharing"
+	"gullstair/internal/memberstate"
 )
 
 // Counts are a carrier's metrics. Dropped datagrams are only counted by cause and not logged, since anybody can send
@@ -64,7 +64,7 @@
 func (c *Carrier) Addr() string { return c.conn.LocalAddr().String() }
 
 // Run receives envelopes and passes them to take until the carrier is closed. take must not block.
-func (c *Carrier) Run(take func(addr string, e sharing.Envelope)) {
+func (c *Carrier) Run(take func(addr string, e memberstate.Envelope)) {
 	buf := make([]byte, MaxDatagram+1)
 	for {
 		n, from, err := c.conn.ReadFromUDPAddrPort(buf)
@@ -90,25 +90,25 @@
 }
 
 // Read opens and decodes one datagram.
-func (c *Carrier) Read(d []byte) (e sharing.Envelope, err error) {
+func (c *Carrier) Read(d []byte) (e memberstate.Envelope, err error) {
 	body, err := c.sealer.Open(d, c.wall())
 	if err != nil {
 		return e, err
 	}
-	if err := sharing.Unmarshal(body, &e); err != nil || e.From == "" {
-		return sharing.Envelope{}, ErrBody
+	if err := memberstate.Unmarshal(body, &e); err != nil || e.From == "" {
+		return memberstate.Envelope{}, ErrBody
 	}
 	return e, nil
 }
 
 // Send sends an envelope. It counts failures and returns none, since a datagram may be lost anyway.
-func (c *Carrier) Send(addr string, e sharing.Envelope) {
+func (c *Carrier) Send(addr string, e memberstate.Envelope) {
 	to, err := c.resolve(addr)
 	if err != nil {
 		c.sendFailed.Add(1)
 		return
 	}
-	body, err := sharing.Marshal(&e)
+	body, err := memberstate.Marshal(&e)
 	if err != nil {
 		c.sendFailed.Add(1)
 		return
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -12,7 +12,7 @@
 
 	"gullstair/internal/duties"
 	"gullstair/internal/membership"
-	"gullstair/internal/sharing"
+	"gullstair/internal/memberstate"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -111,15 +111,15 @@
 	long := string(bytes.Repeat([]byte{'n'}, 100))
 	m := membership.Member{Name: long, Addr: "[2001:db8:0000:0000:0000:ff00:0042:8329]:65535", Boot: 1<<64 - 1,
 		Incarnation: 1<<64 - 1, State: membership.Suspect, Weight: 1.1, By: long}
-	data, err := sharing.Marshal(&m)
+	data, err := memberstate.Marshal(&m)
 	require.NoError(t, err)
 	assert.LessOrEqual(t, len(data), membership.Size(m))
 	record := duties.Record{Duty: 1<<64 - 1, Item: 1<<64 - 1, Age: 1.1, By: 1<<64 - 1}
-	data, err = sharing.Marshal(&record)
+	data, err = memberstate.Marshal(&record)
 	require.NoError(t, err)
 	assert.LessOrEqual(t, len(data), 56)
-	e := sharing.Envelope{From: long, To: long, Member: &membership.Message{Seq: 1<<32 - 1, From: long, To: long}}
-	data, err = sharing.Marshal(&e)
+	e := memberstate.Envelope{From: long, To: long, Member: &membership.Message{Seq: 1<<32 - 1, From: long, To: long}}
+	data, err = memberstate.Marshal(&e)
 	require.NoError(t, err)
 	assert.LessOrEqual(t, len(data), 1400-membership.Standard().MaxMessageBytes+80+200, "message header")
 }
@@ -129,7 +129,7 @@
 	from, to := sealer(t, 7, key(1)), sealer(t, 8, key(1))
 	c := &Carrier{sealer: to, wall: func() float64 { return 5000 }}
 	r := rand.New(rand.NewPCG(3, 4))
-	good, err := sharing.Marshal(&sharing.Envelope{From: "a", Member: &membership.Message{Kind: membership.Ping,
+	good, err := memberstate.Marshal(&memberstate.Envelope{From: "a", Member: &membership.Message{Kind: membership.Ping,
 		News: []membership.Member{{Name: "x", Weight: 1}}}})
 	require.NoError(t, err)
 	var before, after runtime.MemStats
@@ -169,12 +169,12 @@
 	require.NoError(t, err)
 	got, ended := make(chan string, 1), make(chan struct{})
 	go func() {
-		b.Run(func(addr string, e sharing.Envelope) { got <- addr + " " + e.From + " " + e.To })
+		b.Run(func(addr string, e memberstate.Envelope) { got <- addr + " " + e.From + " " + e.To })
 		close(ended)
 	}()
-	a.Send(b.Addr(), sharing.Envelope{From: "a", To: "b", Page: &duties.Page{Want: true}})
+	a.Send(b.Addr(), memberstate.Envelope{From: "a", To: "b", Page: &duties.Page{Want: true}})
 	assert.Equal(t, a.Addr()+" a b", <-got)
-	a.Send("nowhere", sharing.Envelope{From: "a"})
+	a.Send("nowhere", memberstate.Envelope{From: "a"})
 	assert.Equal(t, int64(1), a.Counts().SendFailed)
 	assert.Equal(t, int64(1), b.Counts().Received)
 	_, err = Listen("name:1", sealer(t, 1, key(1)), wall)
--- a/internal/finding/finding.go
+++ b/internal/inputerrors/inputerrors.go
@@ -1,6 +1,6 @@
-// Package finding collects the errors in an operator's input, each with its place, so that they are reported together.
+// Package inputerrors collects the errors in an operator's input, each with its place, so that they are reported together.
 // It does no I/O.
-package finding
+package inputerrors
 
 import (
 	"fmt"
--- a/internal/journalfile/main_test.go
+++ b/internal/journalfile/main_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"gullstair/internal/drawn"
+	"gullstair/internal/rapidseed"
 )
 
 // TestMain draws all histories from one fixed seed; -rapid.seed selects another.
-func TestMain(m *testing.M) { drawn.Main(m) }
+func TestMain(m *testing.M) { rapidseed.Main(m) }
--- a/internal/kvindex/index.go
+++ b/internal/kvindex/index.go
@@ -7,7 +7,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"gullstair/internal/holders"
+	"gullstair/internal/cachetable"
 	"gullstair/internal/netio"
 	"gullstair/internal/upstream"
 )
@@ -28,7 +28,7 @@
 // Index polls targets and applies the changes that they report to the table.
 type Index struct {
 	client Client
-	table  func(func(*holders.Table))
+	table  func(func(*cachetable.Table))
 	// OnChanges is called with the changes that were applied to the table; complete means that they replaced it. It may be nil.
 	OnChanges func(name string, c Changes, complete bool)
 	// OnDisplaced is called with the id of an instance at whose address another one answered. It may be nil.
@@ -40,7 +40,7 @@
 
 // New returns an index that updates a table. The function table calls its argument with the table while it holds the
 // caller's lock.
-func New(network netio.Network, table func(func(*holders.Table))) *Index {
+func New(network netio.Network, table func(func(*cachetable.Table))) *Index {
 	return &Index{client: Client{pool: upstream.New(network)}, table: table, running: map[string]context.CancelFunc{}}
 }
 
@@ -83,20 +83,22 @@
 func (x *Index) pollOnce(ctx context.Context, t Target) time.Duration {
 	var epoch, token uint64
 	synced := false
-	x.table(func(table *holders.Table) { epoch, token, synced = table.Position(t.Name) })
+	x.table(func(table *cachetable.Table) { epoch, token, synced = table.Position(t.Name) })
 	if !synced {
 		return x.fetchList(ctx, t)
 	}
 	changes, err := x.client.Events(ctx, t.ID, t.Address, epoch, token)
 	switch {
 	case errors.Is(err, ErrChangesLost):
-		x.table(func(table *holders.Table) { table.MarkUnsynced(t.Name) })
+		x.table(func(table *cachetable.Table) { table.MarkUnsynced(t.Name) })
 		return 0
 	case err != nil:
 		return x.onError(t, err)
 	}
 	if len(changes.List) > 0 || changes.To != changes.From {
-		x.table(func(table *holders.Table) { table.Apply(t.Name, changes.Epoch, changes.From, changes.To, changes.List) })
+		x.table(func(table *cachetable.Table) {
+			table.Apply(t.Name, changes.Epoch, changes.From, changes.To, changes.List)
+		})
 		x.notifyChanges(t.Name, changes, false)
 	}
 	return pollSpacing
@@ -108,7 +110,7 @@
 	if err != nil {
 		return x.onError(t, err)
 	}
-	x.table(func(table *holders.Table) { table.Replace(t.Name, changes.Epoch, changes.To, changes.List) })
+	x.table(func(table *cachetable.Table) { table.Replace(t.Name, changes.Epoch, changes.To, changes.List) })
 	x.notifyChanges(t.Name, changes, true)
 	return pollSpacing
 }
--- a/internal/kvindex/poll.go
+++ b/internal/kvindex/poll.go
@@ -1,4 +1,4 @@
-// Package kvindex keeps the table of package holders current: it polls instances and stores over HTTP for the parts of
+// Package kvindex keeps the table of package cachetable current: it polls instances and stores over HTTP for the parts of
 // prompts that they cache, and encodes notes that share the results with other brokers.
 package kvindex
 
@@ -12,7 +12,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"gullstair/internal/holders"
+	"gullstair/internal/cachetable"
 	"gullstair/internal/upstream"
 )
 
@@ -36,7 +36,7 @@
 	Epoch uint64
 	From  uint64
 	To    uint64
-	List  []holders.Change
+	List  []cachetable.Change
 }
 
 // Client requests changes and lists from instances and stores.
@@ -110,7 +110,7 @@
 	}
 	out := Changes{Epoch: answer.Epoch, From: since, To: answer.Next}
 	for _, e := range answer.Events {
-		out.List = append(out.List, holders.Change{Key: holders.KeyOf(e.Salt, e.ID), Tokens: e.Tokens})
+		out.List = append(out.List, cachetable.Change{Key: cachetable.KeyOf(e.Salt, e.ID), Tokens: e.Tokens})
 	}
 	return out, nil
 }
@@ -127,7 +127,7 @@
 	}
 	out := Changes{Epoch: answer.Epoch, To: answer.Next}
 	for _, h := range answer.Held {
-		out.List = append(out.List, holders.Change{Key: holders.KeyOf(h.Salt, h.ID), Tokens: h.Tokens})
+		out.List = append(out.List, cachetable.Change{Key: cachetable.KeyOf(h.Salt, h.ID), Tokens: h.Tokens})
 	}
 	return out, nil
 }
--- a/internal/kvindex/sharing.go
+++ b/internal/kvindex/sharing.go
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"gullstair/internal/holders"
+	"gullstair/internal/cachetable"
 )
 
 const (
@@ -26,7 +26,7 @@
 // Notes are numbered; after a gap, notes about an instance are ignored until the next one that begins a complete list.
 type Sharing struct {
 	incarnation uint64
-	table       func(func(*holders.Table))
+	table       func(func(*cachetable.Table))
 
 	mu       sync.Mutex
 	reported map[string]*reported
@@ -37,20 +37,20 @@
 type reported struct {
 	lastNumber uint64
 	completeAt time.Time
-	parts      map[holders.Key]float64
+	parts      map[cachetable.Key]float64
 }
 
 // NewSharing returns a Sharing that has sent no notes. The incarnation identifies this run of the broker in its notes.
-func NewSharing(incarnation uint64, table func(func(*holders.Table))) *Sharing {
+func NewSharing(incarnation uint64, table func(func(*cachetable.Table))) *Sharing {
 	return &Sharing{incarnation: incarnation, table: table, reported: map[string]*reported{}, lastNote: map[string]time.Time{}}
 }
 
 // Notes returns the notes to send about an instance now: the changes since the last call, or a complete list after
 // completeEvery.
 func (s *Sharing) Notes(instance string, now time.Time) [][]byte {
-	var held map[holders.Key]float64
+	var held map[cachetable.Key]float64
 	synced := false
-	s.table(func(t *holders.Table) { held, synced = t.Reported(instance) })
+	s.table(func(t *cachetable.Table) { held, synced = t.Reported(instance) })
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.lastNote, instance) // this broker polls the instance itself
@@ -82,22 +82,22 @@
 }
 
 // difference returns the changes that turn before into after.
-func difference(before, after map[holders.Key]float64) []holders.Change {
-	var out []holders.Change
+func difference(before, after map[cachetable.Key]float64) []cachetable.Change {
+	var out []cachetable.Change
 	for key, tokens := range after {
 		if before[key] != tokens {
-			out = append(out, holders.Change{Key: key, Tokens: tokens})
+			out = append(out, cachetable.Change{Key: key, Tokens: tokens})
 		}
 	}
 	for key := range before {
 		if _, still := after[key]; !still {
-			out = append(out, holders.Change{Key: key})
+			out = append(out, cachetable.Change{Key: key})
 		}
 	}
 	return out
 }
 
-func (s *Sharing) encode(instance string, number uint64, complete bool, changes []holders.Change) []byte {
+func (s *Sharing) encode(instance string, number uint64, complete bool, changes []cachetable.Change) []byte {
 	note := make([]byte, 0, noteHeader+len(instance)+len(changes)*changeSize)
 	note = binary.LittleEndian.AppendUint64(note, s.incarnation)
 	note = binary.LittleEndian.AppendUint64(note, number)
@@ -127,15 +127,15 @@
 	if len(rest)%changeSize != 0 {
 		return ErrNote
 	}
-	var changes []holders.Change
+	var changes []cachetable.Change
 	for ; len(rest) > 0; rest = rest[changeSize:] {
-		changes = append(changes, holders.Change{Key: holders.Key(binary.LittleEndian.Uint64(rest)),
+		changes = append(changes, cachetable.Change{Key: cachetable.Key(binary.LittleEndian.Uint64(rest)),
 			Tokens: float64(binary.LittleEndian.Uint32(rest[8:]))})
 	}
 	s.mu.Lock()
 	s.lastNote[name] = now
 	s.mu.Unlock()
-	s.table(func(t *holders.Table) {
+	s.table(func(t *cachetable.Table) {
 		if complete {
 			t.Replace(name, incarnation, number, changes)
 		} else {
@@ -156,7 +156,7 @@
 		}
 	}
 	s.mu.Unlock()
-	s.table(func(t *holders.Table) {
+	s.table(func(t *cachetable.Table) {
 		for _, name := range stale {
 			t.MarkUnsynced(name)
 		}
--- a/internal/kvindex/sharing_test.go
+++ b/internal/kvindex/sharing_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"gullstair/internal/holders"
+	"gullstair/internal/cachetable"
 )
 
 // TestSharing sends notes about a changing instance from one broker to another, with notes lost and out of order. Once no
@@ -14,16 +14,16 @@
 func TestSharing(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		here, there := holders.New(), holders.New()
-		from := NewSharing(1, func(f func(*holders.Table)) { f(here) })
-		to := NewSharing(2, func(f func(*holders.Table)) { f(there) })
+		here, there := cachetable.New(), cachetable.New()
+		from := NewSharing(1, func(f func(*cachetable.Table)) { f(here) })
+		to := NewSharing(2, func(f func(*cachetable.Table)) { f(there) })
 		now := time.Unix(0, 0)
 		here.Replace("i", 1, 0, nil)
 		for step := range 400 {
 			now = now.Add(200 * time.Millisecond)
-			var changes []holders.Change
+			var changes []cachetable.Change
 			for range rng.IntN(300) {
-				changes = append(changes, holders.Change{Key: holders.Key(rng.IntN(500)), Tokens: float64(rng.IntN(3) * 16)})
+				changes = append(changes, cachetable.Change{Key: cachetable.Key(rng.IntN(500)), Tokens: float64(rng.IntN(3) * 16)})
 			}
 			if step < 360 {
 				here.Apply("i", 1, uint64(step), uint64(step+1), changes)
@@ -51,8 +51,8 @@
 }
 
 func TestExpire(t *testing.T) {
-	table := holders.New()
-	s := NewSharing(1, func(f func(*holders.Table)) { f(table) })
+	table := cachetable.New()
+	s := NewSharing(1, func(f func(*cachetable.Table)) { f(table) })
 	now := time.Unix(0, 0)
 	if err := s.ApplyNote(s.encode("i", 1, true, nil), now); err != nil || !table.Synced("i") {
 		t.Fatalf("%v", err)
@@ -64,12 +64,12 @@
 }
 
 func FuzzTake(f *testing.F) {
-	s := NewSharing(1, func(func(*holders.Table)) {})
-	f.Add(s.encode("i-1", 3, true, []holders.Change{{Key: 5, Tokens: 16}}))
+	s := NewSharing(1, func(func(*cachetable.Table)) {})
+	f.Add(s.encode("i-1", 3, true, []cachetable.Change{{Key: 5, Tokens: 16}}))
 	f.Add([]byte{1, 2, 3})
 	f.Fuzz(func(t *testing.T, note []byte) {
-		table := holders.New()
-		s := NewSharing(1, func(f func(*holders.Table)) { f(table) })
+		table := cachetable.New()
+		s := NewSharing(1, func(f func(*cachetable.Table)) { f(table) })
 		_ = s.ApplyNote(note, time.Unix(0, 0))
 	})
 }
--- a/internal/shares/homes.go
+++ b/internal/limitshare/homes.go
@@ -1,4 +1,4 @@
-package shares
+package limitshare
 
 import (
 	"cmp"
--- a/internal/shares/shares.go
+++ b/internal/limitshare/limitshare.go
@@ -1,4 +1,4 @@
-// Package shares divides each fleet-wide limit among the brokers. It does no I/O and reads no clock: scans, messages and the time go in, verdicts and
+// Package limitshare divides each fleet-wide limit among the brokers. It does no I/O and reads no clock: scans, messages and the time go in, verdicts and
 // messages come out. A scan is admitted or rejected locally, without waiting for a message.
 //
 // It uses escrow (O'Neil 1986): each owner has a permanent home share of a limit and lends the idle part of it for a term. The borrower counts the
@@ -6,7 +6,7 @@
 // a limit is ever used by two members, even if messages are lost, delayed or duplicated or members are paused, and there is no leader.
 //
 // Shares are whole billionths of a limit, so that rounding errors do not add up.
-package shares
+package limitshare
 
 import (
 	"math"
--- a/internal/sharer/sharer.go
+++ b/internal/memberactor/memberactor.go
@@ -1,6 +1,6 @@
-// Package sharer runs the state machine of package sharing in an actor: one goroutine that feeds it datagrams, the clock and the broker's inputs, and
+// Package memberactor runs the state machine of package memberstate in an actor: one goroutine that feeds it datagrams, the clock and the broker's inputs, and
 // carries out its outputs. It does network I/O by the carrier and stores records by its sinks.
-package sharer
+package memberactor
 
 import (
 	"math/rand/v2"
@@ -11,12 +11,12 @@
 
 	"github.com/rs/zerolog"
 
+	"gullstair/internal/durable"
 	"gullstair/internal/duties"
 	"gullstair/internal/gossip"
-	"gullstair/internal/lasting"
 	"gullstair/internal/lease"
 	"gullstair/internal/membership"
-	"gullstair/internal/sharing"
+	"gullstair/internal/memberstate"
 	"gullstair/internal/tasks"
 	"gullstair/internal/verdicts"
 )
@@ -41,9 +41,9 @@
 	Extend func(tasks.Extend)
 	Cancel func(tasks.Cancel)
 	// Votes stores votes on leases; a separate goroutine uses it. Nil: votes are not stored.
-	Votes lasting.Sink[lease.Record]
+	Votes durable.Sink[lease.Record]
 	// Orders stores operators' orders on stores; nil: they are not stored.
-	Orders lasting.Sink[verdicts.Stored]
+	Orders durable.Sink[verdicts.Stored]
 	// Verdict delivers a verdict on a store, Note a note of another broker's module.
 	Verdict func(verdicts.Verdict)
 	Note    func([]byte)
@@ -53,18 +53,18 @@
 
 // Actor runs one broker's member. It is safe for concurrent use.
 type Actor struct {
-	core    *sharing.Core
+	core    *memberstate.Core
 	carrier *gossip.Carrier
 	now     func() float64
 	work    Callbacks
 	log     zerolog.Logger
 
-	mail               chan sharing.Input
+	mail               chan memberstate.Input
 	stateRequests      chan chan State
 	stop               chan struct{}
 	wake               chan struct{}
-	votes              *lasting.Queue[lease.Record]
-	storeOrders        *lasting.Queue[verdicts.Stored]
+	votes              *durable.Queue[lease.Record]
+	storeOrders        *durable.Queue[verdicts.Stored]
 	ordersStored       uint64 // number of orders stored
 	votesSinceSnapshot int    // votes stored since the last snapshot
 	trusted            bool   // the stored votes are complete, and this fact is stored too
@@ -98,25 +98,25 @@
 }
 
 // Start starts the actor and serves the carrier's port.
-func Start(plan sharing.Plan, carrier *gossip.Carrier, now func() float64, work Callbacks, log zerolog.Logger) *Actor {
-	a := &Actor{core: sharing.New(plan), carrier: carrier, now: now, work: work, log: log,
-		wake: make(chan struct{}, 1), mail: make(chan sharing.Input, mailboxSize), stateRequests: make(chan chan State), stop: make(chan struct{}),
+func Start(plan memberstate.Plan, carrier *gossip.Carrier, now func() float64, work Callbacks, log zerolog.Logger) *Actor {
+	a := &Actor{core: memberstate.New(plan), carrier: carrier, now: now, work: work, log: log,
+		wake: make(chan struct{}, 1), mail: make(chan memberstate.Input, mailboxSize), stateRequests: make(chan chan State), stop: make(chan struct{}),
 		orders: map[uint64]chan tasks.Answer{}, holds: map[uint64]chan<- any{}}
 	if work.Votes != nil {
-		a.votes = lasting.NewQueue(work.Votes, func(upto uint64) { a.send(lease.Stored{Upto: upto}) }, func(err error) {
+		a.votes = durable.NewQueue(work.Votes, func(upto uint64) { a.send(lease.Stored{Upto: upto}) }, func(err error) {
 			a.log.Error().Err(err).Msg("votes on leases can't be stored: this broker grants no leases until it restarts")
 			a.send(lease.DiskLost{})
 		})
 	}
 	if work.Orders != nil {
-		a.storeOrders = lasting.NewQueue(work.Orders, func(uint64) {}, func(err error) {
+		a.storeOrders = durable.NewQueue(work.Orders, func(uint64) {}, func(err error) {
 			a.log.Error().Err(err).Msg("operators' orders on stores can't be stored: after a restart this broker learns of them only from other brokers")
 		})
 	}
 	a.goroutines.Go(func() {
-		carrier.Run(func(addr string, e sharing.Envelope) {
+		carrier.Run(func(addr string, e memberstate.Envelope) {
 			select {
-			case a.mail <- sharing.Received{Addr: addr, Envelope: e}:
+			case a.mail <- memberstate.Received{Addr: addr, Envelope: e}:
 			default: // dropped, as any datagram may be
 				a.dropped.Add(1)
 			}
@@ -126,7 +126,7 @@
 	return a
 }
 
-func (a *Actor) send(in sharing.Input) {
+func (a *Actor) send(in memberstate.Input) {
 	select {
 	case a.mail <- in:
 	case <-a.stop:
@@ -142,7 +142,7 @@
 }
 
 // TrySend passes an input to the actor, or drops it if the mailbox is full. It never blocks.
-func (a *Actor) TrySend(in sharing.Input) {
+func (a *Actor) TrySend(in memberstate.Input) {
 	select {
 	case a.mail <- in:
 	default:
@@ -151,7 +151,7 @@
 }
 
 // Send passes an input to the actor and blocks while the mailbox is full.
-func (a *Actor) Send(in sharing.Input) { a.send(in) }
+func (a *Actor) Send(in memberstate.Input) { a.send(in) }
 
 // Items sets all items of a duty.
 func (a *Actor) Items(duty string, items []string) {
@@ -226,7 +226,7 @@
 	for {
 		wait := a.core.Due() - a.now()
 		timer.Reset(time.Duration(min(max(wait, 0), 1000) * float64(time.Millisecond)))
-		var batch []sharing.Input
+		var batch []memberstate.Input
 		select {
 		case in := <-a.mail:
 			batch = append(batch, in)
@@ -252,19 +252,19 @@
 		}
 		if !a.trusted && a.now() >= a.core.Leases.GraceEndsAt() {
 			a.trusted = true
-			a.votes.Put(lasting.Job[lease.Record]{Trust: true})
+			a.votes.Put(durable.Job[lease.Record]{Trust: true})
 		}
 		if a.votesSinceSnapshot >= snapshotAfter {
 			a.votesSinceSnapshot = 0
-			a.votes.Put(lasting.Job[lease.Record]{All: a.core.Leases.Records()})
+			a.votes.Put(durable.Job[lease.Record]{All: a.core.Leases.Records()})
 		}
 	}
 }
 
-func (a *Actor) apply(out []sharing.Output) {
+func (a *Actor) apply(out []memberstate.Output) {
 	for _, o := range out {
 		switch v := o.(type) {
-		case sharing.Send:
+		case memberstate.Send:
 			a.carrier.Send(v.Addr, v.Envelope)
 		case duties.Turn:
 			a.work.Turn(v.Duty, v.Item)
@@ -277,12 +277,12 @@
 				break
 			}
 			a.ordersStored++
-			if o := (lasting.Job[verdicts.Stored]{Number: a.ordersStored, Record: v}); a.ordersStored%snapshotAfter == 0 {
-				a.storeOrders.Put(lasting.Job[verdicts.Stored]{All: a.core.Stores.Orders(a.work.Wall())})
+			if o := (durable.Job[verdicts.Stored]{Number: a.ordersStored, Record: v}); a.ordersStored%snapshotAfter == 0 {
+				a.storeOrders.Put(durable.Job[verdicts.Stored]{All: a.core.Stores.Orders(a.work.Wall())})
 			} else {
 				a.storeOrders.Put(o)
 			}
-		case sharing.Note:
+		case memberstate.Note:
 			a.work.Note(v.Data)
 		case tasks.Begin:
 			a.work.Begin(v)
@@ -304,7 +304,7 @@
 			}
 			a.mu.Unlock()
 		case lease.Store:
-			a.votes.Put(lasting.Job[lease.Record]{Number: v.Number, Record: v.Record})
+			a.votes.Put(durable.Job[lease.Record]{Number: v.Number, Record: v.Record})
 			a.votesSinceSnapshot++
 		case membership.Changed:
 			a.log.Info().Str("member", v.Member.Name).Str("addr", v.Member.Addr).Stringer("is", v.Member.State).
@@ -327,7 +327,7 @@
 
 // Stop announces to the others that this member leaves, and stops the actor.
 func (a *Actor) Stop() {
-	a.send(sharing.Leave{})
+	a.send(memberstate.Leave{})
 	for begun := time.Now(); time.Since(begun) < leaveTimeout; time.Sleep(10 * time.Millisecond) {
 		if s, running := a.State(); !running || s.Gone {
 			break
--- a/internal/sharing/codec_test.go
+++ b/internal/memberstate/codec_test.go
@@ -1,4 +1,4 @@
-package sharing
+package memberstate
 
 import (
 	"testing"
--- a/internal/sharing/sharing.go
+++ b/internal/memberstate/memberstate.go
@@ -1,7 +1,7 @@
-// Package sharing combines the state machines of one member: membership, duties (who does which item when), leases and their tasks (what only one member
+// Package memberstate combines the state machines of one member: membership, duties (who does which item when), leases and their tasks (what only one member
 // may do at a time), limits and verdicts on stores. Like them it does no I/O and reads no clock. It routes messages to them, passes the results of one to the
 // others, and resolves members' addresses.
-package sharing
+package memberstate
 
 import (
 	"cmp"
@@ -13,8 +13,8 @@
 
 	"gullstair/internal/duties"
 	"gullstair/internal/lease"
+	"gullstair/internal/limitshare"
 	"gullstair/internal/membership"
-	"gullstair/internal/shares"
 	"gullstair/internal/tasks"
 	"gullstair/internal/verdicts"
 )
@@ -44,7 +44,7 @@
 
 // Limits divides limits among the members. Unlike the other parts, it may be used by other goroutines at the same time.
 type Limits interface {
-	Step(now float64, in []shares.Input) []shares.Send
+	Step(now float64, in []limitshare.Input) []limitshare.Send
 	Due() float64
 }
 
@@ -62,7 +62,7 @@
 	Leases   []lease.Message
 	Order    *tasks.Order
 	Answer   *tasks.Answer
-	Limits   []shares.Message
+	Limits   []limitshare.Message
 	Verdicts *verdicts.Message
 	Note     []byte
 }
@@ -190,7 +190,7 @@
 	var members []membership.Input
 	var items []duties.Input
 	var l leaseInputs
-	var limits []shares.Input
+	var limits []limitshare.Input
 	var stores []verdicts.Input
 	if !c.started {
 		c.started = true
@@ -218,7 +218,7 @@
 				}
 			case e.Limits != nil && c.plan.Limits != nil && c.plan.Roster[e.From] != "":
 				for _, m := range e.Limits {
-					limits = append(limits, shares.Received{From: e.From, Message: m})
+					limits = append(limits, limitshare.Received{From: e.From, Message: m})
 				}
 			case e.Verdicts != nil && c.addrs[e.From] != "":
 				stores = append(stores, verdicts.Received{From: e.From, Message: *e.Verdicts})
@@ -383,7 +383,7 @@
 }
 
 // sendLimits packs limits' messages into as few envelopes as possible.
-func (c *Core) sendLimits(s shares.Send) {
+func (c *Core) sendLimits(s limitshare.Send) {
 	for begin, size, i := 0, 0, 0; i <= len(s.Messages); i++ {
 		n := 0
 		if i < len(s.Messages) {
@@ -417,7 +417,7 @@
 }
 
 // limitsView lists the members that are alive.
-func (c *Core) limitsView() (v shares.View) {
+func (c *Core) limitsView() (v limitshare.View) {
 	for _, w := range c.view {
 		v.Living = append(v.Living, w.Name)
 	}
--- a/internal/node/frame.go
+++ b/internal/node/frame.go
@@ -14,7 +14,7 @@
 
 	"gullstair/internal/buffers"
 	"gullstair/internal/core"
-	"gullstair/internal/terms"
+	"gullstair/internal/startsettings"
 )
 
 const (
@@ -132,7 +132,7 @@
 	for pair := range strings.SplitSeq(s, ",") {
 		name, val, _ := strings.Cut(pair, "=")
 		x, err := strconv.ParseFloat(val, 64)
-		if word, known := terms.Column(name); known && err == nil && x >= 0 && x <= 1e12 {
+		if word, known := startsettings.Column(name); known && err == nil && x >= 0 && x <= 1e12 {
 			load[word] = x
 		}
 	}
--- a/internal/operatorapi/operatorapi.go
+++ b/internal/operatorapi/operatorapi.go
@@ -17,7 +17,7 @@
 
 	"gullstair/internal/configuration"
 	"gullstair/internal/controlstate"
-	"gullstair/internal/finding"
+	"gullstair/internal/inputerrors"
 	"gullstair/internal/instances"
 )
 
@@ -74,7 +74,7 @@
 
 func (a *api) writeError(w http.ResponseWriter, status int, err error) {
 	body := errorBody{Error: err.Error()}
-	var found *finding.Error
+	var found *inputerrors.Error
 	if errors.As(err, &found) {
 		for _, f := range found.Findings {
 			body.Findings = append(body.Findings, f.Place+" "+f.Message)
@@ -147,7 +147,7 @@
 
 // answerChange answers the operator with the result of a change of the configuration to the given version.
 func (a *api) answerChange(w http.ResponseWriter, version int64, err error) {
-	var found *finding.Error
+	var found *inputerrors.Error
 	switch {
 	case err == nil:
 		writeJSON(w, http.StatusOK, struct {
--- a/internal/peers/peers.go
+++ b/internal/peersampling/peersampling.go
@@ -1,9 +1,9 @@
-// Package peers implements peer sampling: each broker keeps a partial view, a bounded random sample of the fleet's
+// Package peersampling implements peer sampling: each broker keeps a partial view, a bounded random sample of the fleet's
 // addresses. Brokers exchange samples of their views, so the views stay random, the fleet stays connected, and the
 // cost does not grow with the fleet.
 //
 // The package has no I/O, clock or goroutine.
-package peers
+package peersampling
 
 import (
 	"math/rand/v2"
--- a/internal/peers/peers_test.go
+++ b/internal/peersampling/peersampling_test.go
@@ -1,4 +1,4 @@
-package peers
+package peersampling
 
 import (
 	"fmt"
--- a/internal/planted/control.go
+++ b/internal/planted/control.go
@@ -12,7 +12,7 @@
 	poolFile      = "internal/upstream/pool.go"
 	slotsFile     = "internal/slots/slots.go"
 	attemptFile   = "internal/register/round.go"
-	lookFile      = "internal/register/look.go"
+	lookFile      = "internal/register/quorumread.go"
 	membersFile   = "internal/register/members.go"
 	weightsFile   = "internal/weights/weights.go"
 	rolesFile     = "internal/router/roles.go"
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -142,7 +142,7 @@
 	})
 }
 
-// BenchmarkTake measures a decision without shared limits, for comparison with BenchmarkTake of package shares.
+// BenchmarkTake measures a decision without shared limits, for comparison with BenchmarkTake of package limitshare.
 func BenchmarkTake(b *testing.B) {
 	c := New(1000, 1000, map[string]Limits{"c": {Rate: 1e9, Burst: 1e9, Open: 1e6}}, func() float64 { return 0.5 })
 	now := 10_000.0
--- a/internal/drawn/drawn.go
+++ b/internal/rapidseed/rapidseed.go
@@ -1,6 +1,6 @@
-// Package drawn makes pgregory.net/rapid use a fixed seed, so that property tests give the same result in every run. It is for
+// Package rapidseed makes pgregory.net/rapid use a fixed seed, so that property tests give the same result in every run. It is for
 // tests only.
-package drawn
+package rapidseed
 
 import (
 	"flag"
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -6,13 +6,13 @@
 
 	"github.com/cockroachdb/errors"
 
+	"gullstair/internal/brokerrole"
 	"gullstair/internal/cluster"
 	"gullstair/internal/configuration"
 	"gullstair/internal/controlstate"
 	"gullstair/internal/gateway"
 	"gullstair/internal/instances"
 	"gullstair/internal/peerlink"
-	"gullstair/internal/standing"
 )
 
 const (
@@ -24,7 +24,7 @@
 var errUnconfirmed = errors.New("it is not known widely enough yet")
 
 // permit returns an error if this broker's role does not allow an action for the fleet.
-func (b *Broker) permit(act standing.Action) error {
+func (b *Broker) permit(act brokerrole.Action) error {
 	if state := b.node.Role(); !state.Allows(act) {
 		return errors.Newf("this broker is %s", state)
 	}
@@ -57,7 +57,7 @@
 // change commits a change of the control state to the register. The function next returns the new state and whether it
 // differs from the given one.
 func (b *Broker) change(ctx context.Context, next func(controlstate.State) (controlstate.State, bool, error)) error {
-	if err := b.permit(standing.TakeOrder); err != nil {
+	if err := b.permit(brokerrole.TakeOrder); err != nil {
 		return err
 	}
 	_, err := b.node.Change(ctx, func(payload []byte) ([]byte, error) {
@@ -76,7 +76,7 @@
 
 // Configuration returns the newest configuration by a quorum read. It is at least as new as any that was acknowledged.
 func (b *Broker) Configuration(ctx context.Context) ([]byte, error) {
-	if err := b.permit(standing.ReadNewest); err != nil {
+	if err := b.permit(brokerrole.ReadNewest); err != nil {
 		return nil, err
 	}
 	value, err := b.node.Read(ctx)
@@ -163,7 +163,7 @@
 // majority of the register's voters must have confirmed it, and they must be the current voters: each connected broker
 // receives it from them within one exchange. It also waits for all live brokers, but only until drainQuorumAfter.
 func (b *Broker) confirmEnd(ctx context.Context, i instances.Instance) error {
-	if err := b.permit(standing.ConfirmEnd); err != nil {
+	if err := b.permit(brokerrole.ConfirmEnd); err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, drainPublishTimeout)
@@ -188,7 +188,7 @@
 type Status struct {
 	Node      string                `json:"node"`
 	Zone      string                `json:"zone"`
-	Standing  string                `json:"standing"` // role in the register, see package standing
+	Standing  string                `json:"standing"` // role in the register, see package brokerrole
 	Ready     bool                  `json:"ready"`
 	Version   int64                 `json:"configuration_version"`
 	Sequence  uint64                `json:"register_sequence"`
--- a/internal/router/roles.go
+++ b/internal/router/roles.go
@@ -10,12 +10,12 @@
 
 	"github.com/cockroachdb/errors"
 
+	"gullstair/internal/brokerrole"
 	"gullstair/internal/cluster"
 	"gullstair/internal/controlstate"
 	"gullstair/internal/instances"
 	"gullstair/internal/ownership"
 	"gullstair/internal/rollout"
-	"gullstair/internal/standing"
 	"gullstair/internal/upstream"
 	"gullstair/internal/weights"
 )
@@ -78,7 +78,7 @@
 		all = r.broker.effectiveInstances()
 	}
 	r.broker.mu.Unlock()
-	mayOrder := r.broker.node.Role().Allows(standing.OrderInstances)
+	mayOrder := r.broker.node.Role().Allows(brokerrole.OrderInstances)
 	for role, present := range state.Leases {
 		r.lease(role).Observe(time.Now(), present)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -14,7 +14,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/magiconair/properties"
 
-	"gullstair/internal/finding"
+	"gullstair/internal/inputerrors"
 )
 
 // EnvironmentVariable names the variable that holds the path of the settings file.
@@ -109,7 +109,7 @@
 // reader converts the values of a settings file and collects findings.
 type reader struct {
 	values   *properties.Properties
-	findings finding.List
+	findings inputerrors.List
 }
 
 func (r *reader) read() *Settings {
--- a/internal/ending/main_test.go
+++ b/internal/shutdown/main_test.go
@@ -1,10 +1,10 @@
-package ending
+package shutdown
 
 import (
 	"testing"
 
-	"gullstair/internal/drawn"
+	"gullstair/internal/rapidseed"
 )
 
 // Test cases are generated from one fixed seed; -rapid.seed selects another one.
-func TestMain(m *testing.M) { drawn.Main(m) }
+func TestMain(m *testing.M) { rapidseed.Main(m) }
--- a/internal/ending/ending.go
+++ b/internal/shutdown/shutdown.go
@@ -1,10 +1,10 @@
-// Package ending schedules the shutdown of a broker: how long it serves clients, when it starts to send them
+// Package shutdown schedules the shutdown of a broker: how long it serves clients, when it starts to send them
 // elsewhere, when it rejects new requests, when it gives up open ones, and when it may exit. It does no I/O and
 // reads no clock.
 //
 // During a rolling restart there may be no other broker to take over. So a broker serves for as long as it can,
 // and every request that it has accepted gets an answer before the platform kills it.
-package ending
+package shutdown
 
 // Times of the platform, in ms after the stop signal. A kill comes no sooner than the longest query timeout,
 // capped at maxQueryTimeout, plus killDelay.
--- a/internal/ending/ending_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -1,4 +1,4 @@
-package ending
+package shutdown
 
 import (
 	"fmt"
--- a/internal/trial/leases.go
+++ b/internal/simulation/leases.go
@@ -1,4 +1,4 @@
-package trial
+package simulation
 
 import (
 	"fmt"
@@ -48,7 +48,7 @@
 	until float64 // by the machine's clock
 }
 
-// perDatagram is the least number of messages without a note that package sharing puts into a full datagram.
+// perDatagram is the least number of messages without a note that package memberstate puts into a full datagram.
 const perDatagram = 11
 
 type leaseNode struct {
--- a/internal/trial/limits.go
+++ b/internal/simulation/limits.go
@@ -1,11 +1,11 @@
-package trial
+package simulation
 
 import (
 	"fmt"
 	"math"
 	"slices"
 
-	"gullstair/internal/shares"
+	"gullstair/internal/limitshare"
 	"gullstair/internal/virtual"
 )
 
@@ -13,7 +13,7 @@
 type LimitRules struct {
 	Members  int
 	Drift    float64 // bound on clock drift that the members assume; their clocks run at both ends of it
-	Limits   []shares.Limit
+	Limits   []limitshare.Limit
 	Strategy Strategy
 	Weather  virtual.Conditions
 	Most     int
@@ -35,9 +35,9 @@
 
 // strategyNode is the part of a strategy that runs at one member.
 type strategyNode interface {
-	Again(now float64, uses []shares.Use, lasts float64) shares.Verdict
-	Take(now float64, uses []shares.Use, lasts float64) shares.Verdict
-	Done(now float64, uses []shares.Use)
+	Again(now float64, uses []limitshare.Use, lasts float64) limitshare.Verdict
+	Take(now float64, uses []limitshare.Use, lasts float64) limitshare.Verdict
+	Done(now float64, uses []limitshare.Use)
 	Step(now float64, in []virtual.Packet) []virtual.Packet
 	Due() float64
 }
@@ -68,7 +68,7 @@
 
 // disk is the durable part of a member's loans.
 type disk struct {
-	records []shares.Record
+	records []limitshare.Record
 	trusted bool // no record that may still bind a member is missing
 }
 
@@ -90,7 +90,7 @@
 	waiting  []func() // scans that wait for tokens of the key's owner
 	arrivals []func() // arrivals during a pause, handled when the member resumes
 	boot     uint64
-	writes   []shares.Store // writes to its disk in progress
+	writes   []limitshare.Store // writes to its disk in progress
 }
 
 // NewLimitWorld creates a world without running members.
@@ -119,7 +119,7 @@
 	}
 	n := &limitNode{w: w, i: i, boot: w.boots}
 	chance := w.Net.Rand().Float64
-	rules := shares.Rules{Self: Name(i), Boot: w.boots, Roster: roster, Drift: w.Rules.Drift, Most: max(w.Rules.Most, 64), After: 1000, Loans: w.Rules.Strategy == Escrow}
+	rules := limitshare.Rules{Self: Name(i), Boot: w.boots, Roster: roster, Drift: w.Rules.Drift, Most: max(w.Rules.Most, 64), After: 1000, Loans: w.Rules.Strategy == Escrow}
 	limits := slices.Clone(w.Rules.Limits)
 	if f, other := w.SizeFactors[i]; other {
 		for k := range limits {
@@ -133,9 +133,9 @@
 		n.strategy = newGossip(w, rules, limits[0])
 	case Alone:
 		rules.Roster = roster[i : i+1]
-		n.strategy = &escrow{Core: shares.New(rules, limits, chance)}
+		n.strategy = &escrow{Core: limitshare.New(rules, limits, chance)}
 	default:
-		e := &escrow{Core: shares.New(rules, limits, chance)}
+		e := &escrow{Core: limitshare.New(rules, limits, chance)}
 		if n.strategy = e; w.Rules.Disk {
 			e.Restore(slices.Clone(w.disks[i].records), w.disks[i].trusted)
 		}
@@ -176,14 +176,14 @@
 }
 
 // store writes records to the disk one after the other, each with a delay, and notifies the process if it still runs.
-func (n *limitNode) store(all []shares.Store) {
+func (n *limitNode) store(all []limitshare.Store) {
 	for _, s := range all {
 		n.writes = append(n.writes, s)
 		n.w.Net.After(n.w.Rules.Fsync, func() {
 			if n.w.members[n.i] == n {
 				n.completeWrite()
 				e := n.strategy.(*escrow)
-				e.in = append(e.in, shares.Stored{Upto: s.Number})
+				e.in = append(e.in, limitshare.Stored{Upto: s.Number})
 				n.w.Net.Wake(Name(n.i))
 			}
 		})
@@ -223,7 +223,7 @@
 func (w *LimitWorld) Order(i int, size, burst, forMs float64) {
 	if n := w.members[i]; n != nil && !n.paused {
 		if e, is := n.strategy.(*escrow); is {
-			e.in = append(e.in, shares.Set{Limit: w.Rules.Limits[0].Name, Size: size, Burst: burst, For: forMs})
+			e.in = append(e.in, limitshare.Set{Limit: w.Rules.Limits[0].Name, Size: size, Burst: burst, For: forMs})
 			if size > w.Rules.Limits[0].Size || burst > w.Rules.Limits[0].Burst {
 				// By then the order has expired by every clock.
 				w.orders = append(w.orders, order{w.Net.Now(), w.Net.Now() + forMs, size, burst})
@@ -251,19 +251,19 @@
 func (w *LimitWorld) SetLiving(i int, living []string) {
 	if n := w.members[i]; n != nil {
 		if e, is := n.strategy.(*escrow); is {
-			e.in = append(e.in, shares.View{Living: living})
+			e.in = append(e.in, limitshare.View{Living: living})
 			w.Net.Wake(Name(i))
 		}
 	}
 }
 
 // Demand lets scans arrive at the i-th member at random, at the given rate per second, until the demand is set again. Each stays open for the given time.
-func (w *LimitWorld) Demand(i int, perSecond float64, uses []shares.Use, lasts float64) {
+func (w *LimitWorld) Demand(i int, perSecond float64, uses []limitshare.Use, lasts float64) {
 	w.demand[i] = perSecond
 	w.arrive(i, perSecond, uses, lasts)
 }
 
-func (w *LimitWorld) arrive(i int, perSecond float64, uses []shares.Use, lasts float64) {
+func (w *LimitWorld) arrive(i int, perSecond float64, uses []limitshare.Use, lasts float64) {
 	if perSecond <= 0 {
 		return
 	}
@@ -277,7 +277,7 @@
 }
 
 // Scan lets one scan arrive at the i-th member.
-func (w *LimitWorld) Scan(i int, uses []shares.Use, lasts float64) {
+func (w *LimitWorld) Scan(i int, uses []limitshare.Use, lasts float64) {
 	n := w.members[i]
 	if n == nil {
 		return
@@ -295,7 +295,7 @@
 }
 
 // decided handles the decision on a scan. A scan that may wait is retried when tokens arrive.
-func (w *LimitWorld) decided(n *limitNode, uses []shares.Use, lasts float64, v shares.Verdict, until float64) {
+func (w *LimitWorld) decided(n *limitNode, uses []limitshare.Use, lasts float64, v limitshare.Verdict, until float64) {
 	i := n.i
 	if !v.Taken && w.Net.Now() < until-1 {
 		n.waiting = append(n.waiting, func() {
@@ -323,7 +323,7 @@
 		if m := w.members[i]; m != nil && m.boot == boot {
 			m.strategy.Done(w.clock(i), uses)
 			for _, u := range uses {
-				if j := w.buckets[fmt.Sprint(u.Limit, " ", u.Key)]; w.Rules.Limits[u.Limit].Kind == shares.Stock {
+				if j := w.buckets[fmt.Sprint(u.Limit, " ", u.Key)]; w.Rules.Limits[u.Limit].Kind == limitshare.Stock {
 					j.open -= u.Cost
 					j.openBy[i] -= u.Cost
 				}
@@ -333,7 +333,7 @@
 }
 
 // check compares an admitted use with its limit.
-func (w *LimitWorld) check(i int, u shares.Use) {
+func (w *LimitWorld) check(i int, u limitshare.Use) {
 	l, name := w.Rules.Limits[u.Limit], fmt.Sprint(u.Limit, " ", u.Key)
 	j := w.buckets[name]
 	if j == nil {
@@ -341,7 +341,7 @@
 		w.buckets[name] = j
 	}
 	over := 0.0
-	if l.Kind == shares.Rate {
+	if l.Kind == limitshare.Rate {
 		size, burst := l.Size, l.Burst
 		if u.Limit == 0 {
 			size, burst = w.allowed(j.at, w.Net.Now())
@@ -383,18 +383,18 @@
 	return out
 }
 
-// escrow runs package shares, with loans or with fixed shares only.
+// escrow runs package limitshare, with loans or with fixed shares only.
 type escrow struct {
-	*shares.Core
-	in []shares.Input
+	*limitshare.Core
+	in []limitshare.Input
 }
 
 func (e *escrow) Step(now float64, in []virtual.Packet) (out []virtual.Packet) {
 	inputs := e.in
 	e.in = nil
 	for _, p := range in {
-		for _, m := range p.Data.([]shares.Message) {
-			inputs = append(inputs, shares.Received{From: p.From, Message: m})
+		for _, m := range p.Data.([]limitshare.Message) {
+			inputs = append(inputs, limitshare.Received{From: p.From, Message: m})
 		}
 	}
 	for _, s := range e.Core.Step(now, inputs) {
@@ -407,13 +407,13 @@
 	return out
 }
 
-func (b *bucket) Again(now float64, _ []shares.Use, _ float64) shares.Verdict {
-	return shares.Verdict{}
+func (b *bucket) Again(now float64, _ []limitshare.Use, _ float64) limitshare.Verdict {
+	return limitshare.Verdict{}
 }
 
 // bucket is the local token bucket of the strategies that the product does not use.
 type bucket struct {
-	limit      shares.Limit
+	limit      limitshare.Limit
 	drift      float64
 	share      float64
 	tokens, at float64
@@ -425,15 +425,15 @@
 	b.at = now
 }
 
-func (b *bucket) take(now float64) shares.Verdict {
+func (b *bucket) take(now float64) limitshare.Verdict {
 	b.fill(now)
 	b.rate = b.demand(now) + 1000.0/500
 	b.seen = now
 	if b.tokens < 1 {
-		return shares.Verdict{After: 1000 / b.limit.Size}
+		return limitshare.Verdict{After: 1000 / b.limit.Size}
 	}
 	b.tokens--
-	return shares.Verdict{Taken: true}
+	return limitshare.Verdict{Taken: true}
 }
 
 func (b *bucket) demand(now float64) float64 { return b.rate * math.Exp(-max(0, now-b.seen)/500) }
@@ -494,19 +494,19 @@
 	since        float64
 }
 
-func newLeader(w *LimitWorld, r shares.Rules, l shares.Limit) *leader {
+func newLeader(w *LimitWorld, r limitshare.Rules, l limitshare.Limit) *leader {
 	return &leader{bucket: bucket{limit: l, drift: r.Drift}, w: w, self: r.Self, roster: r.Roster, demands: map[string]float64{}, reportedAt: map[string]float64{},
 		granted: map[string]float64{}, grantedUntil: map[string]float64{}, since: math.Inf(1)}
 }
 
-func (l *leader) Take(now float64, _ []shares.Use, _ float64) shares.Verdict {
+func (l *leader) Take(now float64, _ []limitshare.Use, _ float64) limitshare.Verdict {
 	if now >= l.until {
 		l.set(now, 0)
 	}
 	return l.take(now)
 }
-func (l *leader) Done(float64, []shares.Use) {}
-func (l *leader) Due() float64               { return l.next }
+func (l *leader) Done(float64, []limitshare.Use) {}
+func (l *leader) Due() float64                   { return l.next }
 
 func (l *leader) Step(now float64, in []virtual.Packet) (out []virtual.Packet) {
 	longestTerm := l.limit.Term * (1 + l.drift) / (1 - l.drift)
@@ -580,14 +580,16 @@
 	reportedAt map[string]float64
 }
 
-func newGossip(_ *LimitWorld, r shares.Rules, l shares.Limit) *gossip {
+func newGossip(_ *LimitWorld, r limitshare.Rules, l limitshare.Limit) *gossip {
 	g := &gossip{bucket: bucket{limit: l, drift: r.Drift, share: 1 / float64(len(r.Roster))}, self: r.Self, roster: r.Roster, demands: map[string]float64{}, reportedAt: map[string]float64{}}
 	return g
 }
 
-func (g *gossip) Take(now float64, _ []shares.Use, _ float64) shares.Verdict { return g.take(now) }
-func (g *gossip) Done(float64, []shares.Use)                                 {}
-func (g *gossip) Due() float64                                               { return g.next }
+func (g *gossip) Take(now float64, _ []limitshare.Use, _ float64) limitshare.Verdict {
+	return g.take(now)
+}
+func (g *gossip) Done(float64, []limitshare.Use) {}
+func (g *gossip) Due() float64                   { return g.next }
 
 func (g *gossip) Step(now float64, in []virtual.Packet) (out []virtual.Packet) {
 	for _, p := range in {
--- a/internal/trial/limits_test.go
+++ b/internal/simulation/limits_test.go
@@ -1,4 +1,4 @@
-package trial
+package simulation
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 	"pgregory.net/rapid"
 
-	"gullstair/internal/shares"
+	"gullstair/internal/limitshare"
 	"gullstair/internal/virtual"
 )
 
@@ -18,10 +18,10 @@
 		plays++
 		r := LimitRules{Members: rapid.SampledFrom([]int{2, 3, 5}).Draw(t, "members"), Drift: rapid.SampledFrom([]float64{0, 0.05, 0.2}).Draw(t, "drift"), Strategy: Escrow, Most: 8,
 			Disk: rapid.Bool().Draw(t, "disk"), Fsync: rapid.SampledFrom([]float64{1, 60}).Draw(t, "fsync"),
-			Limits: []shares.Limit{
-				{Name: "rate", Kind: shares.Rate, Size: 100, Burst: rapid.SampledFrom([]float64{1, 3, 8}).Draw(t, "burst"), Term: 1000, Owners: rapid.SampledFrom([]int{0, 2}).Draw(t, "owners")},
-				{Name: "open", Kind: shares.Stock, Size: rapid.SampledFrom([]float64{1, 7, 20}).Draw(t, "open"), Term: 1000},
-				{Name: "slow", Kind: shares.Rate, Size: 2, Burst: 20, Term: 200}},
+			Limits: []limitshare.Limit{
+				{Name: "rate", Kind: limitshare.Rate, Size: 100, Burst: rapid.SampledFrom([]float64{1, 3, 8}).Draw(t, "burst"), Term: 1000, Owners: rapid.SampledFrom([]int{0, 2}).Draw(t, "owners")},
+				{Name: "open", Kind: limitshare.Stock, Size: rapid.SampledFrom([]float64{1, 7, 20}).Draw(t, "open"), Term: 1000},
+				{Name: "slow", Kind: limitshare.Rate, Size: 2, Burst: 20, Term: 200}},
 			Weather: virtual.Conditions{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.SampledFrom([]float64{0, 30, 700}).Draw(t, "jitter"),
 				Loss: rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss"), Duplicate: rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "twice")}}
 		w := NewLimitWorld(rapid.Uint64().Draw(t, "seed"), r)
@@ -35,8 +35,8 @@
 		levels := make([]float64, r.Members)
 		ask := func(i int, level float64, key string) {
 			levels[i] = level
-			uses := []shares.Use{{Limit: 0, Key: key, Cost: 1}, {Limit: 1, Key: key, Cost: float64(rapid.IntRange(1, 3).Draw(t, "units"))}}
-			w.Demand(i, level, [][]shares.Use{uses[:1], uses[1:], uses}[which], rapid.SampledFrom([]float64{5, 50, 300, 600}).Draw(t, "lasts"))
+			uses := []limitshare.Use{{Limit: 0, Key: key, Cost: 1}, {Limit: 1, Key: key, Cost: float64(rapid.IntRange(1, 3).Draw(t, "units"))}}
+			w.Demand(i, level, [][]limitshare.Use{uses[:1], uses[1:], uses}[which], rapid.SampledFrom([]float64{5, 50, 300, 600}).Draw(t, "lasts"))
 		}
 		demand := func(i int) {
 			ask(i, rapid.SampledFrom([]float64{300, 301, 0, 20}).Draw(t, "a second"), rapid.SampledFrom(keys).Draw(t, "key"))
@@ -65,7 +65,7 @@
 				}
 			case "slow":
 				for range 25 {
-					w.Scan(i, []shares.Use{{Limit: 2, Cost: 1}}, 10)
+					w.Scan(i, []limitshare.Use{{Limit: 2, Cost: 1}}, 10)
 				}
 			case "cut":
 				cutFor(w.Net, who(), i, span)
@@ -106,7 +106,7 @@
 				w.Order(i, rapid.SampledFrom([]float64{10, 400}).Draw(t, "size"), rapid.SampledFrom([]float64{1, 80}).Draw(t, "at once"), span)
 			case "burst":
 				for range 60 {
-					w.Scan(i, []shares.Use{{Limit: 0, Key: "", Cost: 1}}, 10)
+					w.Scan(i, []limitshare.Use{{Limit: 0, Key: "", Cost: 1}}, 10)
 				}
 			}
 			w.Net.Run(rapid.SampledFrom([]float64{900, 300, 1500, 20}).Draw(t, "wait")) // draws lean to what comes first
@@ -157,8 +157,8 @@
 	t.Parallel()
 	const size, burst, linger, alone = 200.0, 100.0, 3000.0, 0.6
 	w := NewLimitWorld(3, LimitRules{Members: 5, Drift: 0.01, Strategy: Escrow, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1},
-		Limits: []shares.Limit{{Name: "x", Size: size, Burst: burst, Term: 1000, Available: true, Linger: linger, Alone: alone}}})
-	uses := []shares.Use{{Cost: 1}}
+		Limits: []limitshare.Limit{{Name: "x", Size: size, Burst: burst, Term: 1000, Available: true, Linger: linger, Alone: alone}}})
+	uses := []limitshare.Use{{Cost: 1}}
 	for i := range 5 {
 		w.Start(i)
 		w.Demand(i, 2*size*float64(1-min(i, 1)), uses, 5) // all demand is at the first member, which borrows the others' shares
--- a/internal/trial/limitsplay.go
+++ b/internal/simulation/limitsplay.go
@@ -1,4 +1,4 @@
-package trial
+package simulation
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"runtime"
 
-	"gullstair/internal/shares"
+	"gullstair/internal/limitshare"
 	"gullstair/internal/virtual"
 )
 
@@ -108,7 +108,7 @@
 // Play simulates a day under a strategy.
 func Play(seed uint64, d Day, way Strategy) DayResult {
 	r := LimitRules{Members: d.Members, Drift: 0.01, Strategy: way, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1},
-		Limits: []shares.Limit{{Name: "x", Kind: shares.Rate, Size: d.Size, Burst: max(d.Size/2, 1), Term: 1000}}}
+		Limits: []limitshare.Limit{{Name: "x", Kind: limitshare.Rate, Size: d.Size, Burst: max(d.Size/2, 1), Term: 1000}}}
 	w := NewLimitWorld(seed, r)
 	for i := range d.Members {
 		w.living = append(w.living, Name(i))
@@ -119,7 +119,7 @@
 	if d.Faults != nil {
 		d.Faults(w)
 	}
-	uses := []shares.Use{{Limit: 0, Cost: 1}}
+	uses := []limitshare.Use{{Limit: 0, Cost: 1}}
 	p := DayResult{Strategy: way, WorstUtilization: math.Inf(1)}
 	var at500, before int
 	taken := make([]int, d.Members)
@@ -200,7 +200,7 @@
 func Tenants(seed uint64, members, keys int) TenantsResult {
 	const size, burst = 5.0, 5.0
 	w := NewLimitWorld(seed, LimitRules{Members: members, Drift: 0.01, Strategy: Escrow, Most: 4 * keys, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1},
-		Limits: []shares.Limit{{Name: "tenant", Size: size, Burst: burst, Term: 1000, Owners: 5}}})
+		Limits: []limitshare.Limit{{Name: "tenant", Size: size, Burst: burst, Term: 1000, Owners: 5}}})
 	x := TenantsResult{Members: members, Keys: keys, ReadmittedBound: int(burst)}
 	var before runtime.MemStats
 	runtime.GC()
@@ -218,7 +218,7 @@
 			n += keys
 		}
 		w.Net.After(at, func() {
-			w.Scan(w.Net.Rand().IntN(members), []shares.Use{{Key: fmt.Sprint("tenant-", n), Cost: 1}}, 10)
+			w.Scan(w.Net.Rand().IntN(members), []limitshare.Use{{Key: fmt.Sprint("tenant-", n), Cost: 1}}, 10)
 		})
 	}
 	w.Net.Run(span)
@@ -241,7 +241,7 @@
 	had := w.Admitted
 	for range 100 {
 		for i := range members {
-			w.Scan(i, []shares.Use{{Key: "tenant-0", Cost: 1}}, 10)
+			w.Scan(i, []limitshare.Use{{Key: "tenant-0", Cost: 1}}, 10)
 		}
 	}
 	x.Readmitted = w.Admitted - had
--- a/internal/trial/race_test.go
+++ b/internal/simulation/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package trial
+package simulation
 
 import "flag"
 
--- a/internal/trial/roster_test.go
+++ b/internal/simulation/roster_test.go
@@ -1,4 +1,4 @@
-package trial
+package simulation
 
 import (
 	"math/rand/v2"
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"gullstair/internal/lease"
-	"gullstair/internal/shares"
+	"gullstair/internal/limitshare"
 	"gullstair/internal/virtual"
 )
 
@@ -83,8 +83,8 @@
 func simulateLimitRosters(seed uint64, right bool) (faults []string, taken int) {
 	chance := rand.New(rand.NewPCG(seed, 29))
 	w := NewLimitWorld(seed, LimitRules{Members: 7, Drift: 0.05, Strategy: Escrow, Most: 64, Disk: seed%3 == 0, Fsync: 2, Weather: virtual.Conditions{Delay: 1, Jitter: 10, Loss: 0.02},
-		Limits: []shares.Limit{{Name: "rate", Size: 100, Burst: 8, Term: 500, Owners: int(seed%2) * 4}, {Name: "open", Kind: shares.Stock, Size: 9, Term: 500}}})
-	uses := []shares.Use{{Limit: 0, Cost: 1}, {Limit: 1, Cost: 1}}
+		Limits: []limitshare.Limit{{Name: "rate", Size: 100, Burst: 8, Term: 500, Owners: int(seed%2) * 4}, {Name: "open", Kind: limitshare.Stock, Size: 9, Term: 500}}})
+	uses := []limitshare.Use{{Limit: 0, Cost: 1}, {Limit: 1, Cost: 1}}
 	start := func(i, listed int) {
 		w.Rosters[i] = listed
 		w.Start(i)
--- a/internal/trial/trial_test.go
+++ b/internal/simulation/simulation_test.go
@@ -1,4 +1,4 @@
-package trial
+package simulation
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"gullstair/internal/drawn"
 	"gullstair/internal/duties"
 	"gullstair/internal/membership"
+	"gullstair/internal/rapidseed"
 	"gullstair/internal/virtual"
 )
 
@@ -19,7 +19,7 @@
 var largeFleet = 200
 
 // Histories derive from a fixed seed; -rapid.seed sets another.
-func TestMain(m *testing.M) { drawn.Main(m) }
+func TestMain(m *testing.M) { rapidseed.Main(m) }
 
 // defaultRules returns rules for four members and forty stores, with a probe of each store every ten seconds and a fenced task every fifteen.
 func defaultRules() Rules {
--- a/internal/trial/verdicts_test.go
+++ b/internal/simulation/verdicts_test.go
@@ -1,4 +1,4 @@
-package trial
+package simulation
 
 import (
 	"testing"
--- a/internal/trial/world.go
+++ b/internal/simulation/world.go
@@ -1,7 +1,7 @@
-// Package trial simulates the cores of duties, leases, limits and verdicts in virtual time, on a virtual network with faults, and checks their safety
+// Package simulation simulates the cores of duties, leases, limits and verdicts in virtual time, on a virtual network with faults, and checks their safety
 // rules from outside the members: at the stores, which count their probes, and at a resource that only the holder of a lease may change. It does no I/O.
 // Tests and cmd/measure use it.
-package trial
+package simulation
 
 import (
 	"cmp"
@@ -11,7 +11,7 @@
 
 	"gullstair/internal/duties"
 	"gullstair/internal/membership"
-	"gullstair/internal/sharing"
+	"gullstair/internal/memberstate"
 	"gullstair/internal/tasks"
 	"gullstair/internal/virtual"
 )
@@ -85,8 +85,8 @@
 type member struct {
 	w     *World
 	name  string
-	core  *sharing.Core
-	inbox []sharing.Input
+	core  *memberstate.Core
+	inbox []memberstate.Input
 }
 
 // New creates a world without running members.
@@ -123,7 +123,7 @@
 		w.offsets[name], w.rates[name] = 1e9+50*w.Net.Rand().Float64(), 1
 	}
 	wall := w.offsets[name] + w.Net.Now()*w.rates[name]
-	p := sharing.Plan{Name: name, Addr: name, Boot: w.boots, Incarnation: uint64(wall), Timing: w.Rules.Timing,
+	p := memberstate.Plan{Name: name, Addr: name, Boot: w.boots, Incarnation: uint64(wall), Timing: w.Rules.Timing,
 		Duties: []duties.Duty{{Name: Probing, Period: w.Rules.Period}}, Drift: w.Rules.Drift, Floor: uint64(wall),
 		Seed: w.Net.Rand().Uint64()}
 	if w.Rules.Open {
@@ -137,7 +137,7 @@
 	if w.Rules.TaskPeriod > 0 {
 		p.Tasks = []tasks.Task{{Name: Closing, Every: w.Rules.TaskPeriod, Term: w.Rules.Term, CatchUp: true}}
 	}
-	m := &member{w: w, name: name, core: sharing.New(p)}
+	m := &member{w: w, name: name, core: memberstate.New(p)}
 	w.members[name] = m
 	m.inbox = append(m.inbox, duties.Items{Duty: Probing, Items: w.stores})
 	w.Net.Start(name, m, wall, w.rates[name])
@@ -158,11 +158,11 @@
 
 // Leave has the i-th member leave gracefully.
 func (w *World) Leave(i int) {
-	w.input(w.members[Name(i)], sharing.Leave{})
+	w.input(w.members[Name(i)], memberstate.Leave{})
 }
 
 // Core returns the core of the i-th member, or nil when it does not run.
-func (w *World) Core(i int) *sharing.Core {
+func (w *World) Core(i int) *memberstate.Core {
 	if m := w.members[Name(i)]; m != nil {
 		return m.core
 	}
@@ -182,7 +182,7 @@
 // Stores returns the current list of stores.
 func (w *World) Stores() []string { return w.stores }
 
-func (w *World) input(m *member, in sharing.Input) {
+func (w *World) input(m *member, in memberstate.Input) {
 	if m == nil || w.members[m.name] != m {
 		return
 	}
@@ -196,15 +196,15 @@
 	inputs := m.inbox
 	m.inbox = nil
 	for _, p := range in {
-		inputs = append(inputs, sharing.Received{Addr: p.From, Envelope: copied(p.Data.(sharing.Envelope))})
+		inputs = append(inputs, memberstate.Received{Addr: p.From, Envelope: copied(p.Data.(memberstate.Envelope))})
 	}
 	var out []virtual.Packet
 	for _, o := range m.core.Step(now, now, inputs) {
 		switch v := o.(type) {
-		case sharing.Send:
+		case memberstate.Send:
 			p := virtual.Packet{To: v.Addr, Data: v.Envelope}
 			if m.w.Rules.Sizes {
-				data, err := sharing.Marshal(&v.Envelope)
+				data, err := memberstate.Marshal(&v.Envelope)
 				if err != nil {
 					m.w.fault("a message could not be written: %v", err)
 				}
@@ -232,7 +232,7 @@
 }
 
 // copied returns a copy of a message, so that duplicates share no memory, as if decoded from the wire.
-func copied(e sharing.Envelope) sharing.Envelope {
+func copied(e memberstate.Envelope) memberstate.Envelope {
 	if e.Member != nil {
 		m := *e.Member
 		e.Member = &m
--- a/internal/simwire/read.go
+++ b/internal/simwire/read.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"gullstair/internal/terms"
+	"gullstair/internal/startsettings"
 	"gullstair/logic"
 )
 
@@ -255,7 +255,7 @@
 			f.setError(fmt.Sprintf("load report %q is not a list of name:value pairs", pair))
 			return nil
 		}
-		if column, known := terms.Column(key); known {
+		if column, known := startsettings.Column(key); known {
 			load[column] = x
 		}
 	}
--- a/internal/simwire/values.go
+++ b/internal/simwire/values.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"gullstair/internal/terms"
+	"gullstair/internal/startsettings"
 	"gullstair/logic"
 )
 
@@ -32,7 +32,7 @@
 		f.setError(fmt.Sprintf("%s is not a JSON object: %v", name, err))
 		return nil
 	}
-	return terms.Flatten(tree)
+	return startsettings.Flatten(tree)
 }
 
 func parseNumber(s string) (float64, error) {
--- a/internal/terms/site.go
+++ b/internal/startsettings/sockets.go
@@ -1,4 +1,4 @@
-package terms
+package startsettings
 
 import (
 	"fmt"
--- a/internal/terms/terms.go
+++ b/internal/startsettings/startsettings.go
@@ -1,7 +1,7 @@
-// Package terms converts the start settings, as the simulator's adapter and the sockets state them, to the decision
+// Package startsettings converts the start settings, as the simulator's adapter and the sockets state them, to the decision
 // module's flat map of names to values, and names the columns of load reports for it. Both use this package, so that a
 // setting has one meaning. It does no I/O.
-package terms
+package startsettings
 
 import (
 	"strconv"
--- a/internal/weights/main_test.go
+++ b/internal/weights/main_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"gullstair/internal/drawn"
+	"gullstair/internal/rapidseed"
 )
 
 // TestMain runs the property tests with a fixed seed; -rapid.seed sets another one.
-func TestMain(m *testing.M) { drawn.Main(m) }
+func TestMain(m *testing.M) { rapidseed.Main(m) }
