--- a/cmd/gullstair/leases_test.go
+++ b/cmd/gullstair/leases_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"math"
@@ -71,14 +72,20 @@
 }
 
 func startLeases(t *testing.T, members int, span, how, dir string, bend func(*fleettest.Member)) *leaseFleet {
+	return startLeasesWith(t, fleettest.Config{Members: members}, span, how, dir, bend)
+}
+
+// startLeasesWith is startLeases with further settings of the fleet.
+func startLeasesWith(t *testing.T, config fleettest.Config, span, how, dir string, bend func(*fleettest.Member)) *leaseFleet {
 	w, err := fleettest.NewWitness()
 	require.NoError(t, err)
 	dir0, env := t.TempDir(), []string{"GULLSTAIR_TEST_CHILD=1"}
 	if how == "fenced" {
 		env = append(env, "RIG_FENCE="+filepath.Join(dir0, "fence"))
 	}
-	f, err := fleettest.New(fleettest.Config{Dir: dir0, Members: members, Program: []string{os.Args[0], "serve", "--log", "info"}, Env: env,
-		Start: startTree(t), Features: taskDocument(w.Addr, span, how, dir), Seed: 1})
+	config.Dir, config.Program, config.Env = dir0, []string{os.Args[0], "serve", "--log", "info"}, env
+	config.Start, config.Features, config.Seed = startTree(t), taskDocument(w.Addr, span, how, dir), 1
+	f, err := fleettest.New(config)
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		f.Close()
@@ -342,21 +349,26 @@
 // TestLeaseDiskFull fills disks (the kernel refuses further writes): a voter that can't store a vote grants nothing
 // more and logs why. One such voter of three has no effect; with two, no run may begin. After a restart with free
 // space they recover from what the last write left, and the task resumes.
+//
+// The logs go through pipes, since the limit applies to every file that a member writes: changes of member states once
+// filled a log up to the limit before a vote was due, and the message about the vote was lost.
 func TestLeaseDiskFull(t *testing.T) {
 	runParallel(t)
-	f := startLeases(t, 3, "300ms", "plain", "votes", nil)
+	f := startLeasesWith(t, fleettest.Config{Members: 3, PipeLogs: true}, "300ms", "plain", "votes", nil)
 	f.currentWork()
-	said := func(m *fleettest.Member, any ...string) {
+	logged := func(m *fleettest.Member) []byte {
+		log, _ := os.ReadFile(m.Path("log"))
+		return log
+	}
+	said := func(m *fleettest.Member, from int, any ...string) {
 		t.Helper()
 		require.NoError(t, fleettest.WaitUntil(takeoverTimeout, func() bool {
-			log, _ := os.ReadFile(m.Path("log"))
+			log := logged(m)[from:]
 			return slices.ContainsFunc(any, func(what string) bool { return bytes.Contains(log, []byte(what)) })
 		}), any)
 	}
 	fill := func(m *fleettest.Member) {
 		t.Helper()
-		// The log is longer than the file of votes and must stay writable, so it is truncated to stay below the size limit.
-		require.NoError(t, os.Truncate(m.Path("log"), 0))
 		size := int64(0)
 		names, _ := filepath.Glob(filepath.Join(m.Path("votes"), "log-*"))
 		for _, name := range names {
@@ -364,9 +376,16 @@
 			require.NoError(t, err)
 			size = max(size, info.Size())
 		}
-		require.NoError(t, unix.Prlimit(m.Pid(), unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: uint64(size) + 20, Max: unix.RLIM_INFINITY}, nil))
-		said(m, "votes on leases can't be stored")
-		said(m, "file too large")
+		limit := size + 20
+		// The log is longer than the limit from now on, whatever the member has logged.
+		log, err := os.OpenFile(m.Path("log"), os.O_APPEND|os.O_WRONLY, 0)
+		require.NoError(t, err)
+		_, err = log.Write(bytes.Repeat([]byte("\n"), int(limit)))
+		require.NoError(t, errors.Join(err, log.Close()))
+		from := len(logged(m))
+		require.NoError(t, unix.Prlimit(m.Pid(), unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: uint64(limit), Max: unix.RLIM_INFINITY}, nil))
+		said(m, from, "votes on leases can't be stored")
+		said(m, from, "file too large")
 	}
 	fill(f.Members[0])
 	f.currentWork() // two of three are a majority
@@ -375,9 +394,10 @@
 	all := f.witness.Observed()
 	for _, m := range f.Members[:2] {
 		m.Kill()
+		from := len(logged(m))
 		require.NoError(t, m.Launch())
 		// Whether the last write left a torn tail depends on the kernel.
-		said(m, "votes on leases may be missing", "votes on leases are as they were stored")
+		said(m, from, "votes on leases may be missing", "votes on leases are as they were stored")
 	}
 	f.newerWork(all[len(all)-1])
 }
--- a/internal/fleettest/fleettest.go
+++ b/internal/fleettest/fleettest.go
@@ -31,6 +31,7 @@
 	// members: text inside the sharing block, and text after it.
 	Features func(m *Member) (sharing, rest string)
 	Log      *os.File // receives the logs of all processes; nil gives each one a file
+	PipeLogs bool     // members write their logs to pipes, copied to the files here: a limit on a member's file sizes does not apply to its log
 	Seed     uint64   // for the network faults
 }
 
@@ -171,11 +172,32 @@
 		out = m.log
 	}
 	var err error
+	if m.fleet.PipeLogs {
+		if out, err = pipeTo(out); err != nil {
+			return fmt.Errorf("rig: %w", err)
+		}
+		defer out.Close()
+	}
 	m.Process, err = Launch(append(slices.Clone(m.fleet.Program), "--features", m.Path("hcl")),
 		append(slices.Clone(m.fleet.Env), "GW_CONFIG="+m.Path("json"), "RIG_CLOCK="+m.Path("clock")), out)
 	return err
 }
 
+// pipeTo returns the writing end of a pipe whose data are copied to a file. It keeps reading after an error of the file, so that no writer blocks or is
+// killed, until all writing ends are closed.
+func pipeTo(file *os.File) (*os.File, error) {
+	r, w, err := os.Pipe()
+	if err != nil {
+		return nil, err
+	}
+	go func() {
+		defer r.Close()
+		io.Copy(file, r)
+		io.Copy(io.Discard, r)
+	}()
+	return w, nil
+}
+
 // Terminate sends SIGTERM as an operator does, waits for the exit, and kills the process after the timeout.
 func (m *Member) Terminate(within time.Duration) {
 	m.Signal(syscall.SIGTERM)
