--- a/cmd/gullstair/control_test.go
+++ b/cmd/gullstair/control_test.go
@@ -193,6 +193,8 @@
 		require.Equal(t, configurationText(version), text)
 	}
 
+	// The wiped member is killed as a voter: one that is killed while it is still a learner returns as one.
+	awaitVoter(t, brokers[2], 4*time.Second)
 	brokers[2].process.Kill()
 	up := []*controlProcess{brokers[0], brokers[1], brokers[3]}
 	for range 600 {
@@ -203,7 +205,22 @@
 	awaitNewest(t, brokers[2], version, 3*time.Second)
 	status, text := brokers[2].call(2*time.Second, http.MethodGet, "/v1/status", "", "")
 	require.Equal(t, http.StatusOK, status)
-	require.True(t, bytes.Contains([]byte(text), []byte(`"standing":"voter"`)), text)
+	require.Contains(t, text, votingStatus)
+}
+
+// votingStatus is the field of the status page that says that a broker's replica votes.
+const votingStatus = `"standing":"voter"`
+
+// awaitVoter waits until a broker's replica votes.
+func awaitVoter(t *testing.T, c *controlProcess, within time.Duration) {
+	t.Helper()
+	var text string
+	for begun := time.Now(); time.Since(begun) < within; time.Sleep(20 * time.Millisecond) {
+		if _, text = c.call(2*time.Second, http.MethodGet, "/v1/status", "", ""); strings.Contains(text, votingStatus) {
+			return
+		}
+	}
+	t.Fatalf("%s is no voter within %v: %s", c.ip, within, text)
 }
 
 // awaitNewest reads from one broker until it returns the newest configuration and checks that it never returns an
