--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -14,7 +14,7 @@
 		{"empty batch", "BEGIN_BATCH time=1\nYOUR_TURN\n", "END\n", ""},
 		{"no input", "", "", ""},
 		{"invalid settings end the instance, not the process", "BEGIN_BATCH time=1\n" + launch + "YOUR_TURN\n",
-			"FATAL brokerId=1 bodyText=start setting turn is missing or impossible: <nil>\nEND\n", ""},
+			"FATAL brokerId=1 bodyText=start setting turn is missing or invalid: <nil>\nEND\n", ""},
 		{"a stopped instance does nothing", "BEGIN_BATCH time=1\n" + launch + "STOP brokerId=1\nYOUR_TURN\n", "END\n", ""},
 		{"malformed", "BEGIN_BATCH time=1\nYOUR_TURN\n\nBEGIN_BATCH time=x\n", "END\n", "line 4"},
 	} {
--- a/internal/startsettings/sockets.go
+++ b/internal/startsettings/sockets.go
@@ -37,7 +37,7 @@
 			return other
 		}
 		if (!ok || math.IsNaN(x) || x < least || x > most) && fault == nil {
-			fault = fmt.Errorf("start setting %s is missing or impossible: %v", name, flat[name])
+			fault = fmt.Errorf("start setting %s is missing or invalid: %v", name, flat[name])
 		}
 		return x
 	}
--- a/logic/cover.go
+++ b/logic/cover.go
@@ -101,14 +101,14 @@
 // predict returns the share of the target time within which enough of the scan should arrive: by node, the
 // recent latency scaled by its load now over its load then; with many brokers, their difference is added.
 func (b *Broker) predict(s *scan, parts []*part, node []int) (worst float64) {
-	added, lats, alike := map[int]float64{}, [][2]float64{}, min(1, fewBrokers/b.num("brokers"))
+	added, lats, scaling := map[int]float64{}, [][2]float64{}, min(1, fewBrokers/b.num("brokers"))
 	for i, n := range node {
 		added[n] += parts[i].work
 	}
 	for i, n := range node {
 		lat, under := b.recentLatency(n)
 		now := (b.load(n) + b.num("layout.callWork") + added[n]) / b.types[s.typ].target
-		lat += alike*lat*(now/under-1) + (1-alike)*(now-under)
+		lat += scaling*lat*(now/under-1) + (1-scaling)*(now-under)
 		lats = append(lats, [2]float64{lat, parts[i].weight})
 	}
 	slices.SortFunc(lats, func(x, y [2]float64) int { return cmp.Compare(x[0], y[0]) })
--- a/logic/gossip.go
+++ b/logic/gossip.go
@@ -6,14 +6,14 @@
 
 // sendNotes reports this turn's work, and nodes that failed or recovered, to the other brokers.
 func (b *Broker) sendNotes() {
-	wide := false
+	toAll := false
 	for _, c := range b.calls {
 		b.records = appendRecord(b.records, b.nodeID[c.node], workByte(c.work))
-		wide = wide || c.work > wideWork*b.meanTarget
+		toAll = toAll || c.work > wideWork*b.meanTarget
 	}
 	b.compareShadowNotes()
 	for i := 0; i < len(b.records) && b.flag("limit.peers"); i += noteMaxSize {
-		b.emit(Action{Kind: SendNote, Note: b.records[i:min(i+noteMaxSize, len(b.records))], ToAll: wide})
+		b.emit(Action{Kind: SendNote, Note: b.records[i:min(i+noteMaxSize, len(b.records))], ToAll: toAll})
 	}
 }
 
@@ -29,7 +29,7 @@
 		case r[2] <= noteMaxWork:
 			b.peerWork[n], b.peerWorkAt[n] = b.load(n)-b.openWork[n]+float64(r[2])*noteWorkUnit, b.now
 			b.answers, b.lastSignal = b.answers+1, b.now
-			if b.unhealthy(n) { // on trial elsewhere; latencyMaxAge after a failure, its recovery note was lost
+			if b.unhealthy(n) { // on trial elsewhere; limited, since its recovery note may be lost
 				b.ejectedUntil[n] = max(b.ejectedUntil[n], min(b.now+ejectionTime, b.failedAt[n]+latencyMaxAge))
 			}
 		case r[2] == noteLate:
--- a/logic/health.go
+++ b/logic/health.go
@@ -23,8 +23,8 @@
 }
 
 // recordOutcome adds an outcome of node n and reports it to the other brokers. Failures at one moment count
-// once, and it returns false for the rest: a broken connection takes all its parts along and proves no more
-// than with one part. A node that dies fails again at the next moment, or refuses connections.
+// once, and it returns false for the rest: a broken connection fails all its parts at once, which says no more
+// of the node than one failure. A node that has died fails again soon after, or refuses connections.
 func (b *Broker) recordOutcome(n int, success, late bool) bool {
 	if !success && b.failedAt[n] == b.now {
 		return false
@@ -58,8 +58,8 @@
 	return true
 }
 
-// unhealthy reports whether a node is ejected or on trial. Eight outcomes within ejectionTime describe a
-// moment, and the next eight come soon: ejection takes more failures then, since others must carry the load.
+// unhealthy reports whether a node is ejected or on trial. Eight outcomes within ejectionTime reflect a short
+// period and are soon replaced: ejection takes more failures then, since other nodes must take the load.
 func (b *Broker) unhealthy(n int) bool {
 	good := bits.OnesCount8(b.history[n])
 	return good < healthyMinFast || good < healthyMin && 8*b.answerInterval() > ejectionTime
@@ -69,8 +69,8 @@
 	return b.unhealthy(n) && (b.now < b.ejectedUntil[n] || b.openCalls[n] > 0)
 }
 
-// applyVerdict applies what several brokers, or an operator, say of a node. This broker's own observations
-// win if they are newer than the newest one behind the verdict.
+// applyVerdict applies a verdict of several brokers or an operator on a node. This broker's own observations
+// take precedence if they are newer than the newest one behind the verdict.
 func (b *Broker) applyVerdict(e *Event) {
 	n, known := b.index[e.Node]
 	if !known || max(b.lastAnswer[n], b.failedAt[n]) >= b.now-e.Age {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -5,7 +5,7 @@
 //
 // The cover of a scan is a smallest or near-smallest set of nodes that together hold all its shards, with
 // one call per node; of several covers it is the one with the least load. Beside it (docs/design.md):
-//  1. further dispatches: late or failed parts take the cover path again, through one gate (mayDispatch)
+//  1. further dispatches: late or failed parts are covered and sent again, if mayDispatch allows it
 //  2. outlier ejection: an unhealthy node gets no calls for a while, then one trial call
 //  3. slow start: this broker's share of the capacity of a node that has just started
 //  4. throttling: scans that would miss their target time are rejected at random, cheap ones more often
@@ -36,11 +36,11 @@
 	trimSlack           = 0.05     // weight kept above the minimum when parts are trimmed
 	partsPerExtraCall   = 16       // a cover may be one call above the smallest, plus one per this many parts
 	overCapCost         = 1e9      // cost of a call over its cap: taken only where no other node is left
-	tieNoise            = 0.02     // random spread of nearly equal loads, or all brokers choose the same node
+	tieNoise            = 0.02     // random spread of nearly equal loads, else all brokers choose the same node
 	throttleStart       = 0.8      // predicted latency, as a share of the target, at which throttling begins,
 	throttleFull        = 1.2      // and at which a scan of mean benefit is always rejected
 	refusalThreshold    = 0.25     // share of refused connections that points to the network, not to a node
-	predictionMaxAge    = 1500.0   // predictions decay after this long without a signal, or throttling stays on
+	predictionMaxAge    = 1500.0   // predictions decay after this long without a signal, else throttling stays on
 	saturationWeight    = 4.0      // weight of the share of saturated dispatches in the prediction
 	fewBrokers          = 4.0      // with no more brokers, a node's load seen by one is typical of all
 	recheckDelay        = 100.0    // delay before a part without an available holder is checked again
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -475,15 +475,15 @@
 	for _, brokers := range []int{2, 60, 170} {
 		list, sent := ringOfNodes(1), 0.0
 		list[0].Born = 49990
-		var rigs []*testBroker
+		var fleet []*testBroker
 		for i := 0; i < brokers; i++ {
-			rigs = append(rigs, &testBroker{now: 50000})
-			rigs[i].step(0, Event{Kind: Started, Seed: uint64(i), Settings: testSettings(map[string]any{"brokers": float64(brokers),
+			fleet = append(fleet, &testBroker{now: 50000})
+			fleet[i].step(0, Event{Kind: Started, Seed: uint64(i), Settings: testSettings(map[string]any{"brokers": float64(brokers),
 				"ordinal": float64(i), "layout.cells": 1.0, "layout.shards": 2.0, "layout.reach": 1.0})},
 				Event{Kind: ListArrived, List: ListCached, Entries: list})
 		}
 		for ms := 0; ms < 3000; ms += 100 {
-			for i, r := range rigs {
+			for i, r := range fleet {
 				sent += 100 * float64(len(filterActions(r.step(100, scanEvents(int64(ms+i%100+1), 0, 6000, 0)...), Dispatch)))
 			}
 		}
@@ -507,7 +507,7 @@
 	}
 }
 
-func TestLateTail(t *testing.T) { // past the target time
+func TestLateTail(t *testing.T) { // past the target time, only a small share of the weight is sent again
 	for _, c := range []struct{ in, again int }{{11, 1}, {10, 0}} {
 		r := startBroker(t, nil, ringOfNodes(4))
 		r.step(1, scanEvents(1, 0, 6000, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 2)...) // shard 2 is on other nodes
@@ -627,7 +627,7 @@
 	}
 }
 
-// Two successes of eight: where eight outcomes arrive within ejectionTime they describe one moment and the node stays in
+// Two successes of eight: where eight outcomes arrive within ejectionTime they reflect a short period and the node stays in
 // use; where they span seconds it is ejected (churn days on sockets, and rough-2 of the simulated deployment).
 func TestRestByPace(t *testing.T) {
 	for _, c := range []struct {
--- a/logic/move_test.go
+++ b/logic/move_test.go
@@ -17,8 +17,8 @@
 	return records
 }
 
-func encodeRecord(node int64, what byte) []byte {
-	return appendRecord(nil, node, what)
+func encodeRecord(node int64, value byte) []byte {
+	return appendRecord(nil, node, value)
 }
 
 var peerSettings = map[string]any{"limit.peers": true}
@@ -58,7 +58,7 @@
 	assert.Less(t, b.load(n), before/10)
 }
 
-// A node that failed at other brokers is ejected here too; a note of another broker's trial keeps it ejected meanwhile.
+// A node that failed at other brokers is ejected here too, and stays ejected while another broker tries it.
 func TestNotesOfOutcomes(t *testing.T) {
 	r := startBroker(t, peerSettings, ringOfNodes(4))
 	r.step(1000, Event{Kind: PeerNote, Note: encodeRecord(100, noteRefused)})
@@ -72,8 +72,8 @@
 	assert.False(t, r.b.unhealthy(n))
 }
 
-// The note of a recovery may be lost, or arrive while this broker is paused. Other brokers then use the node all the time, and
-// each of their notes put off the trial here, so that it never came. Without a failure for latencyMaxAge, this broker
+// The note of a recovery may be lost, or arrive while this broker is paused. The other brokers then use the node, and each of
+// their notes once postponed the trial here, so that it never took place. Without a failure for latencyMaxAge, this broker
 // tries the node itself.
 func TestLostRecoveryNote(t *testing.T) {
 	r := startBroker(t, peerSettings, ringOfNodes(4))
@@ -103,13 +103,13 @@
 		assert.Zero(t, r.b.answers)
 	}
 	r := startBroker(t, peerSettings, ringOfNodes(4))
-	var said []string
+	var logged []string
 	for range 9 {
 		for _, a := range filterActions(r.step(1, Event{Kind: PeerNote, Note: []byte{1}}), WriteLog) {
-			said = append(said, a.Text[len(a.Text)-2:])
+			logged = append(logged, a.Text[len(a.Text)-2:])
 		}
 	}
-	assert.Equal(t, []string{" 1", " 2", " 4", " 8"}, said, "all are counted, few are logged")
+	assert.Equal(t, []string{" 1", " 2", " 4", " 8"}, logged, "all are counted, few are logged")
 	assert.Empty(t, r.step(1, Event{Kind: PeerNote, Note: encodeRecord(7777, noteRefused)}), "a node that is not in the list")
 }
 
@@ -246,7 +246,7 @@
 // Where verdicts are shared, outcomes are marked as late. A verdict on a node's load counts while it is repeated, and no longer.
 func TestLoadByVerdict(t *testing.T) {
 	r := startBroker(t, map[string]any{"share.verdicts": true}, ringOfNodes(4))
-	judged := func(num int64, took float64) Action {
+	recordedOutcome := func(num int64, took float64) Action {
 		t.Helper()
 		r.step(1, scanEvents(num, 0, 6000, 0)...)
 		all := filterActions(r.step(took, r.dispatchEnded(1000*num+1, 0, Completed, took)), OutcomeRecorded)
@@ -254,10 +254,10 @@
 		return all[0]
 	}
 	for i := int64(1); i <= 40; i++ {
-		assert.False(t, judged(i, 300+float64(i%3)).Late)
+		assert.False(t, recordedOutcome(i, 300+float64(i%3)).Late)
 	}
-	assert.True(t, judged(41, 900).Late)
-	assert.True(t, judged(41+1, 900).Whole, "it still counts as a success")
+	assert.True(t, recordedOutcome(41, 900).Late)
+	assert.True(t, recordedOutcome(41+1, 900).Whole, "it still counts as a success")
 
 	n := r.b.index[100]
 	before := r.b.loadFactor(n)
--- a/logic/notes.go
+++ b/logic/notes.go
@@ -32,9 +32,9 @@
 func workByte(work float64) byte { return byte(min(noteMaxWork, max(0, work/noteWorkUnit+0.5))) }
 
 // appendRecord appends a record to a note.
-func appendRecord(note []byte, node int64, what byte) []byte {
+func appendRecord(note []byte, node int64, value byte) []byte {
 	c := nodeCode(node)
-	return append(note, byte(c>>8), byte(c), what)
+	return append(note, byte(c>>8), byte(c), value)
 }
 
 // validNote reports whether a note holds whole records and does not exceed the size limit.
--- a/logic/settings.go
+++ b/logic/settings.go
@@ -27,7 +27,7 @@
 func (t *settings) require(name string, least float64) float64 {
 	x, ok := t.values[name].(float64)
 	if (!ok || !(x >= least && x <= 1e9)) && t.fault == "" {
-		t.fault = fmt.Sprintf("start setting %s is missing or impossible: %v", name, t.values[name])
+		t.fault = fmt.Sprintf("start setting %s is missing or invalid: %v", name, t.values[name])
 	}
 	return x
 }
--- a/logic/shadow.go
+++ b/logic/shadow.go
@@ -5,20 +5,20 @@
 // Shadow evaluation: where a dispatch is sent or denied, the rules are evaluated again under a second set of settings, and
 // differing results are counted by kind. It affects no decision.
 
-// compareShadow counts it if p's further dispatch, sent or denied now, would be decided otherwise under the shadow settings.
+// compareShadow counts a difference if the shadow settings would deny a dispatch of p sent now, or allow one denied now.
 func (b *Broker) compareShadow(p *part, sent bool) {
 	if b.shadow.values == nil {
 		return
 	}
-	now, then := b.blockedBy(p, &b.settings), b.blockedBy(p, &b.shadow)
-	if sent && then != "" {
-		b.countDiff(p, then)
-	} else if !sent && now != "" && then == "" {
-		b.countDiff(p, now)
+	actual, shadow := b.blockedBy(p, &b.settings), b.blockedBy(p, &b.shadow)
+	if sent && shadow != "" {
+		b.countDiff(p, shadow)
+	} else if !sent && actual != "" && shadow == "" {
+		b.countDiff(p, actual)
 	}
 }
 
-// allows returns a boolean setting that a decision about p depends on now, and counts it if the shadow setting differs.
+// allows returns a boolean setting on which a decision about p depends, and counts it if the shadow setting differs.
 func (b *Broker) allows(p *part, name string) bool {
 	if b.shadow.values != nil && b.shadow.flag(name) != b.flag(name) {
 		b.countDiff(p, name)
--- a/logic/shadow_test.go
+++ b/logic/shadow_test.go
@@ -7,15 +7,16 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// startWithShadow is startBroker with shadow settings beside the present ones.
+// startWithShadow starts a broker whose shadow settings are its own settings with the changes in other. It also returns the
+// counts of the differences.
 func startWithShadow(changes, other map[string]any, list []Entry) (*testBroker, map[string]int) {
-	present, differs := testSettings(changes), map[string]int{}
-	then := maps.Clone(present)
-	maps.Copy(then, other)
+	current, diffs := testSettings(changes), map[string]int{}
+	shadow := maps.Clone(current)
+	maps.Copy(shadow, other)
 	r := &testBroker{now: 50000}
-	r.step(0, Event{Kind: Started, Seed: 7, Settings: present, ShadowSettings: then, ShadowDiffs: differs},
+	r.step(0, Event{Kind: Started, Seed: 7, Settings: current, ShadowSettings: shadow, ShadowDiffs: diffs},
 		Event{Kind: ListArrived, List: ListCached, Entries: list})
-	return r, differs
+	return r, diffs
 }
 
 // runFailureMix sends scans of all table types whose dispatches fail, are refused, stay unanswered or complete, at random.
@@ -46,18 +47,18 @@
 		{"rules.budgetWindow": 800.0, "rules.spareDispatches": 2.0, "rules.spareShare": 0.05}} {
 		plain := startBroker(t, changes, ringOfNodes(4))
 		runFailureMix(plain)
-		w, differs := startWithShadow(changes, map[string]any{"limit.secondCopies": changes["limit.secondCopies"] == false,
+		w, diffs := startWithShadow(changes, map[string]any{"limit.secondCopies": changes["limit.secondCopies"] == false,
 			"limit.peers": changes["limit.peers"] == nil, "limit.dispatches": 2.0, "tableType.0.effect": "non-replayable",
 			"rules.budgetWindow": 3000.0, "rules.spareDispatches": 1.0, "rules.spareShare": 0.0}, ringOfNodes(4))
 		runFailureMix(w)
 		assert.Equal(t, plain.actions, w.actions)
-		assert.NotEmpty(t, differs, "the settings lead to differences")
+		assert.NotEmpty(t, diffs, "the settings lead to differences")
 	}
 }
 
 // Each kind of difference is counted when it occurs, once per part.
 func TestShadowDifferences(t *testing.T) {
-	again := func(typ int, how Outcome, times int) func(*testBroker) { // ends a part's dispatches with an outcome, some times
+	endWith := func(typ int, how Outcome, times int) func(*testBroker) { // the first dispatches of a part end with an outcome
 		return func(r *testBroker) {
 			r.step(1, scanEvents(1, typ, 6000, 0)...)
 			for n := range times {
@@ -83,22 +84,22 @@
 	for _, c := range []struct {
 		name           string
 		present, other map[string]any
-		what           func(*testBroker)
+		events         func(*testBroker)
 		want           map[string]int
 	}{
-		{"nothing differs", nil, nil, again(0, Errored, 2), map[string]int{}},
+		{"nothing differs", nil, nil, endWith(0, Errored, 2), map[string]int{}},
 		{"no failures", nil, strict, succeed, map[string]int{}},
-		{"sent again although the shadow effect forbids it", nil, strict, again(0, Errored, 1), map[string]int{"effect": 1}},
-		{"once per part", nil, strict, again(0, Errored, 2), map[string]int{"effect": 1}},
-		{"it never ran: no effect forbids it", nil, strict, again(0, Saturated, 1), map[string]int{}},
-		{"another table type", nil, strict, again(3, Errored, 1), map[string]int{}},
+		{"sent again although the shadow effect forbids it", nil, strict, endWith(0, Errored, 1), map[string]int{"effect": 1}},
+		{"once per part", nil, strict, endWith(0, Errored, 2), map[string]int{"effect": 1}},
+		{"it never ran: no effect forbids it", nil, strict, endWith(0, Saturated, 1), map[string]int{}},
+		{"another table type", nil, strict, endWith(3, Errored, 1), map[string]int{}},
 		{"not sent again although the shadow effect allows it", nil, map[string]any{"tableType.2.effect": "replayable"},
-			again(2, Errored, 1), map[string]int{"effect": 1}},
-		{"one dispatch fewer", nil, map[string]any{"limit.dispatches": 2.0}, again(0, Errored, 2),
+			endWith(2, Errored, 1), map[string]int{"effect": 1}},
+		{"one dispatch fewer", nil, map[string]any{"limit.dispatches": 2.0}, endWith(0, Errored, 2),
 			map[string]int{"dispatches": 1}},
-		{"not yet at the limit", nil, map[string]any{"limit.dispatches": 2.0}, again(0, Errored, 1), map[string]int{}},
-		{"over the shadow budget", nil, tight, again(0, Errored, 1), map[string]int{"budget": 1}},
-		{"denied by the present budget", tight, map[string]any{"rules.spareDispatches": 9.0}, again(0, Errored, 1),
+		{"not yet at the limit", nil, map[string]any{"limit.dispatches": 2.0}, endWith(0, Errored, 1), map[string]int{}},
+		{"over the shadow budget", nil, tight, endWith(0, Errored, 1), map[string]int{"budget": 1}},
+		{"denied by the budget in force", tight, map[string]any{"rules.spareDispatches": 9.0}, endWith(0, Errored, 1),
 			map[string]int{"budget": 1}},
 		{"a copy that the shadow settings deny", nil, map[string]any{"limit.secondCopies": false}, silence,
 			map[string]int{"limit.secondCopies": 2}},
@@ -108,8 +109,8 @@
 			map[string]any{"limit.cancelling": false}, silence, map[string]int{"limit.cancelling": 2}},
 		{"a note that the shadow settings send", nil, map[string]any{"limit.peers": true}, succeed, map[string]int{"limit.peers": 1}},
 	} {
-		r, differs := startWithShadow(c.present, c.other, ringOfNodes(2))
-		c.what(r)
-		assert.Equal(t, c.want, differs, c.name)
+		r, diffs := startWithShadow(c.present, c.other, ringOfNodes(2))
+		c.events(r)
+		assert.Equal(t, c.want, diffs, c.name)
 	}
 }
--- a/logic/slowstart.go
+++ b/logic/slowstart.go
@@ -14,9 +14,9 @@
 }
 
 // slowStartAllows reports whether slow start lets node n take a part; docs/design.md derives it. Within
-// rules.fall a node can take a number of parts of all brokers, and some more by chance. The rates of the
-// brokers add up to the former at most, half in equal shares and half by the work that each completes at
-// nodes of this size; one core is assumed. Their unused allowances add up to the latter. Where that is less
+// rules.fall a node can take meanParts parts of all brokers, and a margin for random variation. The rates of
+// the brokers add up to meanParts at most, half in equal shares and half by the work that each completes at
+// nodes of this size; one core is assumed. Their unused allowances add up to the rest. Where that is less
 // than one part per broker, brokers take turns by their ordinal, and an unused turn lapses.
 func (b *Broker) slowStartAllows(n int) bool {
 	if b.capacityShare(n) == 1 {
@@ -24,9 +24,9 @@
 	}
 	all, brokers := b.num("rules.fallMultiple")*b.capacityShare(n), b.num("brokers")
 	meanParts := all * b.num("rules.fall") / b.meanWork
-	chance := 2*math.Sqrt(meanParts) + 2
-	paced := min(1, max(pacedMinShare, (meanParts+chance-brokers)/meanParts))
-	maxUnused := b.meanWork * min(1, (chance+(1-paced)*meanParts)/brokers)
+	margin := 2*math.Sqrt(meanParts) + 2
+	paced := min(1, max(pacedMinShare, (meanParts+margin-brokers)/meanParts))
+	maxUnused := b.meanWork * min(1, (margin+(1-paced)*meanParts)/brokers)
 	byWork := b.doneWork * math.Exp((b.doneAt-b.now)/latencyMaxAge) / latencyMaxAge * b.units[n] / b.totalUnits
 	b.allowance[n] += paced * all * (1/brokers + byWork) / 2 * (b.now - b.allowanceAt[n])
 	b.allowanceAt[n] = b.now
--- a/logic/throttle.go
+++ b/logic/throttle.go
@@ -8,7 +8,7 @@
 
 // throttled decides at random whether to reject s if its nodes are predicted to miss its target time.
 func (b *Broker) throttled(s *scan, predicted float64) bool {
-	value := b.types[s.typ].benefit // the value of a scan in every deployment
+	value := b.types[s.typ].benefit // of a complete answer in time
 	b.valueCount++
 	b.meanValue += (value - b.meanValue) / min(b.valueCount, 50)
 	predicted *= math.Exp(min(0, b.lastSignal+predictionMaxAge-b.now) / predictionMaxAge) // decays if stale
@@ -50,10 +50,10 @@
 // finish ends the scan at once: with a partial answer, a rejection if it may be repeated, or a failure.
 func (b *Broker) finish(s *scan) {
 	ran := slices.ContainsFunc(s.parts, func(p *part) bool { return p.firstRunAt() >= 0 })
-	harmless := s.step == 1 && len(s.parts) > 0 && (b.types[s.typ].effect == "replayable" || !ran)
+	repeatable := s.step == 1 && len(s.parts) > 0 && (b.types[s.typ].effect == "replayable" || !ran)
 	if b.enough(s) {
 		b.emit(Action{Kind: Answer, ID: s.id})
-	} else if harmless {
+	} else if repeatable {
 		b.emit(Action{Kind: Throttle, ID: s.id, After: b.num("limit.maxRetryAfter")}) // ignored where not allowed
 	} else {
 		b.emit(Action{Kind: Abandon, ID: s.id})
--- a/logic/types.go
+++ b/logic/types.go
@@ -14,7 +14,7 @@
 	ProbeEnded
 	StreamBegan
 	PeerNote
-	VerdictReceived    // several brokers, or an operator, judge a node: Node, Outcome, Age of the newest observation behind it
+	VerdictReceived    // a verdict of several brokers or an operator on a node: Node, Outcome, Age of its newest observation
 	SettingsChanged    // Settings: the new settings; table types keep their numbers, new ones follow
 	FleetBudgetChanged // Amount: further dispatches left for this broker in the fleet's budget
 )
@@ -161,13 +161,13 @@
 	node                                      int
 	call                                      *call
 	sentAt, lateAt, silentAt                  float64 // sent, late and silent from these times on
-	grace                                     float64 // longest time without an answer of its node
+	grace                                     float64 // a longer time without an answer of its node is silence
 	load, tokens                              float64 // open work at the node including it; tokens to prefill
 	open, mayHaveRun, newConn, streaming      bool    // newConn: on a new connection; streaming: its stream has begun
 	slowCounted, silenceCounted, lateReported bool    // counted as slow, as silent; late reported to peers
 }
 
-// call is what goes to one node in one turn: the number of its parts, and of those that are still open.
+// call is a call to a node with parts sent in one turn: the number of parts, and how many are still open.
 type call struct {
 	node, parts, open int
 	work              float64
