--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -65,7 +65,7 @@
 type Core struct {
 	Counts Counts
 
-	reportsList     bool            // emits the node list on each change: brokers share the probing of nodes or their verdicts on them
+	reportsList     bool            // emits the node list on each change, for brokers that share probes or verdicts
 	reportsOutcomes bool            // emits the outcomes of dispatches
 	failedNodes     []int64         // nodes whose failed dispatches are reported to the module in this step
 	drained         map[string]bool // nodes drained by an operator
@@ -191,18 +191,18 @@
 			}
 		}
 	}
-	var over []*dispatch
+	var expired []*dispatch
 	for len(c.timers) > 0 && c.timers[0].at <= c.now {
-		if d := heap.Pop(&c.timers).(timer); d.sent != nil {
-			over = append(over, d.sent)
+		if t := heap.Pop(&c.timers).(timer); t.sent != nil {
+			expired = append(expired, t.sent)
 		} else {
-			c.fire(d)
+			c.fire(t)
 		}
 	}
 	c.addFleetBudget()
 	events := c.events
 	c.events = nil
-	for _, d := range over {
+	for _, d := range expired {
 		if !d.finished {
 			c.emit(Cancel{Host: d.host, Ref: d.ref})
 			c.finish(d, Ended{Reason: TimedOut, At: c.now})
@@ -220,28 +220,28 @@
 	return out
 }
 
-func (c *Core) number() int64 {
+func (c *Core) nextNumber() int64 {
 	c.lastNumber++
 	return c.lastNumber
 }
 
-func (c *Core) schedule(d timer) {
-	d.seq = c.number()
-	heap.Push(&c.timers, d)
+func (c *Core) schedule(t timer) {
+	t.seq = c.nextNumber()
+	heap.Push(&c.timers, t)
 }
 
-func (c *Core) fire(d timer) {
-	if d.retryQueued {
+func (c *Core) fire(t timer) {
+	if t.retryQueued {
 		c.retryQueuedScans(false)
-	} else if d.event != nil {
-		c.events = append(c.events, *d.event)
-	} else if d.probe != 0 {
-		c.probeEnded(Ended{Ref: d.probe, Reason: TimedOut, At: c.now})
-	} else if d.admitted == nil {
-		c.events = append(c.events, logic.Event{Kind: logic.TimerDue, Timer: d.moduleTimer})
-	} else if c.scans[d.admitted.num] == d.admitted {
+	} else if t.event != nil {
+		c.events = append(c.events, *t.event)
+	} else if t.probe != 0 {
+		c.probeEnded(Ended{Ref: t.probe, Reason: TimedOut, At: c.now})
+	} else if t.admitted == nil {
+		c.events = append(c.events, logic.Event{Kind: logic.TimerDue, Timer: t.moduleTimer})
+	} else if c.scans[t.admitted.num] == t.admitted {
 		// The client's deadline has passed and the module has not ended the scan. Every scan must get a reply:
 		// this guards against a bug in the module or a stalled process. The scan is lost in any case.
-		c.abandon(d.admitted, "out of time")
+		c.abandon(t.admitted, "out of time")
 	}
 }
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -233,7 +233,7 @@
 // the next one uses another connection, could arrive first, and would be a second copy.
 func TestCancelBeforeRedispatch(t *testing.T) {
 	r := start(t, map[string]any{"limit.cancelling": false}) // only timeouts cancel dispatches
-	givenUp, sent := map[int64]float64{}, map[string]int64{}
+	cancelledAt, sent := map[int64]float64{}, map[string]int64{}
 	for _, p := range parts(r.step(0, r.scan(1, 3900, 0, 1))) {
 		sent[p.ID] = p.Ref
 	}
@@ -242,11 +242,11 @@
 		for _, o := range r.c.Step(r.now, nil) {
 			switch v := o.(type) {
 			case core.Cancel:
-				givenUp[v.Ref] = r.now
+				cancelledAt[v.Ref] = r.now
 			case core.Call:
 				for _, p := range v.Parts {
 					if last, again := sent[p.ID]; again {
-						at, cancelled := givenUp[last]
+						at, cancelled := cancelledAt[last]
 						assert.True(t, cancelled && at <= r.now-5, "%s again at %g, after %g", p.ID, r.now, at)
 					}
 					sent[p.ID] = p.Ref
@@ -254,7 +254,7 @@
 			}
 		}
 	}
-	assert.Greater(t, len(givenUp), 2, "parts were dispatched again")
+	assert.Greater(t, len(cancelledAt), 2, "parts were dispatched again")
 }
 
 // A scan that arrives after Shutdown is throttled at once and not dispatched.
@@ -442,14 +442,14 @@
 	r := start(t)
 	r.step(100, core.List{Kind: logic.ListFailed})
 	assert.Equal(t, []core.Output{core.SubscribeList{}}, r.until(r.now+5000), "the module asks for the list once more")
-	odd := core.Node{Host: "s-c", Addr: "127.0.0.1:4", Zone: "moon", Kind: "odd", Cell: 99, Readiness: logic.Ready}
-	assert.Len(t, pick[core.Log](r.step(0, core.List{Kind: logic.ListDelta, Nodes: []core.Node{odd}})), 2, "unknown zones and kinds are logged")
+	unknown := core.Node{Host: "s-c", Addr: "127.0.0.1:4", Zone: "moon", Kind: "odd", Cell: 99, Readiness: logic.Ready}
+	assert.Len(t, pick[core.Log](r.step(0, core.List{Kind: logic.ListDelta, Nodes: []core.Node{unknown}})), 2, "unknown zones and kinds are logged")
 	assert.Empty(t, pick[core.Call](r.step(0, core.List{Kind: logic.ListDelta, Nodes: []core.Node{
 		node("s-a", "127.0.0.1:2", logic.Draining), node("s-a", "127.0.0.1:2", logic.Draining)}}, r.scan(1, 3000, 0))),
 		"no new dispatch to a draining node")
 }
 
-// Nodes have the same number at every broker; otherwise the brokers' turns at cold nodes would coincide.
+// A node has the same number at every broker; otherwise the turns in which brokers use a cold node would coincide.
 func TestSameNumbers(t *testing.T) {
 	a, b := start(t), start(t)
 	list := core.List{Kind: logic.ListDelta, Nodes: []core.Node{{Host: "s-x", Addr: "127.0.0.1:7", Zone: "west",
@@ -461,8 +461,8 @@
 	assert.NotZero(t, a.c.Number("s-x"))
 }
 
-// Brokers of two deployments in one process do not share state: each behaves as it does alone, although the classes of
-// the other have different effects, times and limits and the steps of the two alternate.
+// Brokers of two deployments in one process do not share state: each behaves as it does alone, although the table types of
+// the other have different effects, times and limits, and their steps alternate.
 func TestDeploymentsAreIndependent(t *testing.T) {
 	others := map[string]any{"tableType.1.effect": "non-replayable", "tableType.2.effect": "replayable", "tableType.0.timeout": 900.0,
 		"tableType.1.target": 200.0, "limit.dispatches": 1.0, "limit.secondCopies": true, "rules.cold": 1000.0, "layout.callWork": 1.0}
@@ -520,9 +520,9 @@
 
 // Shadow settings do not change the outputs, and the decisions that they would change are counted.
 func TestShadowSettings(t *testing.T) {
-	run := func(watch bool) *harness {
+	run := func(shadow bool) *harness {
 		r := newHarness(t)
-		if watch {
+		if shadow {
 			other := maps.Clone(r.flat)
 			other["tableType.1.effect"], other["limit.dispatches"] = "non-replayable", 1.0
 			r.c.SetShadowSettings(other)
@@ -536,8 +536,8 @@
 		require.Len(t, parts(again), 1, "sent again")
 		return r
 	}
-	plain, watched := run(false), run(true)
-	assert.Equal(t, plain.all, watched.all)
+	plain, shadowed := run(false), run(true)
+	assert.Equal(t, plain.all, shadowed.all)
 	assert.Nil(t, plain.c.Counts.ShadowDiffs)
-	assert.Equal(t, map[string]int{"effect": 1}, watched.c.Counts.ShadowDiffs)
+	assert.Equal(t, map[string]int{"effect": 1}, shadowed.c.Counts.ShadowDiffs)
 }
--- a/internal/core/dispatches.go
+++ b/internal/core/dispatches.go
@@ -64,7 +64,7 @@
 		return // its scan has ended, so no end is reported either
 	}
 	s, at := p.scan, c.knownNodes[a.Node]
-	sent := &dispatch{ref: c.number(), part: p, attempt: p.attempts, node: a.Node, at: c.now, timeoutAt: s.deadline}
+	sent := &dispatch{ref: c.nextNumber(), part: p, attempt: p.attempts, node: a.Node, at: c.now, timeoutAt: s.deadline}
 	p.attempts++
 	p.outstanding = append(p.outstanding, sent)
 	c.dispatches[sent.ref] = sent
--- a/internal/core/endings.go
+++ b/internal/core/endings.go
@@ -41,18 +41,18 @@
 // beginSecondStep ends the first step. The second step queries the answered shards with the highest scores;
 // ties go to the lower shard.
 func (c *Core) beginSecondStep(s *scan, whole bool) {
-	var in []*part
+	var answered []*part
 	for _, p := range s.parts {
 		if p.answered {
-			in = append(in, p)
+			answered = append(answered, p)
 		}
 	}
-	slices.SortFunc(in, func(p, q *part) int { return p.shard - q.shard })
-	from := make([]string, len(in))
-	for i, p := range in {
-		from[i] = strconv.Itoa(p.shard)
+	slices.SortFunc(answered, func(p, q *part) int { return p.shard - q.shard })
+	shards := make([]string, len(answered))
+	for i, p := range answered {
+		shards[i] = strconv.Itoa(p.shard)
 	}
-	slices.SortStableFunc(in, func(p, q *part) int {
+	slices.SortStableFunc(answered, func(p, q *part) int {
 		if p.score != q.score && (p.score > q.score) {
 			return -1
 		} else if p.score != q.score {
@@ -61,8 +61,8 @@
 		return 0
 	})
 	c.dropParts(s)
-	s.step, s.answeredShards, s.firstStepComplete = 2, strings.Join(from, "+"), whole
-	chosen := in[:min(len(in), c.settings.Types[s.TableType].Fetch)]
+	s.step, s.answeredShards, s.firstStepComplete = 2, strings.Join(shards, "+"), whole
+	chosen := answered[:min(len(answered), c.settings.Types[s.TableType].Fetch)]
 	for _, p := range chosen {
 		s.parts = append(s.parts, c.part(s, p.shard, 1/float64(len(chosen)), 0))
 	}
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -19,7 +19,7 @@
 	sets        int
 	coldTime    float64 // how long, in ms, a node counts as cold after its start
 	nextCheckAt float64
-	confine     *admission.Admission // nil until a list has a store for every set, since no cell can be built before
+	admitter    *admission.Admission // nil until a list has a store for every set, since no cell can be built before
 	moves       *cells.Moves
 }
 
@@ -27,18 +27,18 @@
 const checkInterval = 1000.0
 
 // SetCells confines all further scans to the cells of a plan, with limits by cell. A node counts as cold for that
-// many ms after its start; chance returns random numbers between 0 and 1.
-func (c *Core) SetCells(plan cells.Plan, limits map[string]quota.Limits, coldTime, longestAfter float64, chance func() float64) {
-	c.guard = &guard{plan: plan, sets: c.settings.Cells, coldTime: coldTime, limits: quota.New(c.settings.OpenCap, longestAfter, limits, chance)}
+// many ms after its start; random returns numbers between 0 and 1.
+func (c *Core) SetCells(plan cells.Plan, limits map[string]quota.Limits, coldTime, maxRetryAfter float64, random func() float64) {
+	c.guard = &guard{plan: plan, sets: c.settings.Cells, coldTime: coldTime, limits: quota.New(c.settings.OpenCap, maxRetryAfter, limits, random)}
 	c.guard.applyNodes(c)
 }
 
 // Cells returns the state of the cells; nil without cells.
 func (c *Core) Cells() (all []CellView) {
-	if c.guard == nil || c.guard.confine == nil {
+	if c.guard == nil || c.guard.admitter == nil {
 		return nil
 	}
-	lost := c.guard.confine.LostCells()
+	lost := c.guard.admitter.LostCells()
 	for _, v := range c.guard.limits.Views() {
 		all = append(all, CellView{View: v, Lost: slices.Contains(lost, v.Name), Stores: len(c.guard.moves.Map.Stores(v.Name)),
 			Version: c.guard.moves.Map.Version})
@@ -63,10 +63,10 @@
 	if c.guard == nil {
 		return true
 	}
-	if c.guard.confine == nil {
-		r.verdict = admission.Verdict{Reason: "no cell can be laid out: some shards have no store"}
+	if c.guard.admitter == nil {
+		r.verdict = admission.Verdict{Reason: "no cell can be built: some shards have no store"}
 	} else {
-		r.verdict = c.guard.confine.Admit(c.now, r.Account, r.quotaRequest())
+		r.verdict = c.guard.admitter.Admit(c.now, r.Account, r.quotaRequest())
 	}
 	if r.verdict.Admitted {
 		c.guard.step(c.now, cells.ScanStarted{Version: r.verdict.Version})
@@ -139,12 +139,12 @@
 
 // retryQueuedScans retries the queued scans and throttles those whose wait is over.
 func (c *Core) retryQueuedScans(limitsChanged bool) {
-	waits := c.queued
+	queued := c.queued
 	c.queued = nil
-	for i, w := range waits {
+	for i, w := range queued {
 		over := c.now >= w.until
 		if !limitsChanged && !over {
-			c.queued = append(c.queued, waits[i])
+			c.queued = append(c.queued, queued[i])
 			continue
 		}
 		left := w.scan.TimeLeft - max(0, c.now-w.scan.ReceivedAt)
@@ -156,7 +156,7 @@
 		case over:
 			c.throttle(w.scan, w.LimitDecision)
 		default:
-			c.queued = append(c.queued, waits[i])
+			c.queued = append(c.queued, queued[i])
 		}
 	}
 }
@@ -206,7 +206,7 @@
 // scanEnded releases the capacity that a scan holds in its cell.
 func (g *guard) scanEnded(now float64, r *Scan) {
 	if g != nil && r.verdict.Admitted {
-		g.step(now, g.confine.ScanEnded(now, r.verdict, r.Account, r.quotaRequest(), now-r.admittedAt)...)
+		g.step(now, g.admitter.ScanEnded(now, r.verdict, r.Account, r.quotaRequest(), now-r.admittedAt)...)
 	}
 }
 
@@ -224,7 +224,7 @@
 		nodes = append(nodes, admission.Node{Number: num, Name: at.host, Zone: at.zone, Set: at.cell, Ready: at.ready,
 			Cold: at.born > 0 && c.now-at.born < g.coldTime})
 	}
-	if g.confine == nil {
+	if g.admitter == nil {
 		var stores []cells.Store
 		for _, n := range nodes {
 			stores = append(stores, cells.Store{Name: n.Name, Zone: n.Zone, Set: n.Set})
@@ -233,25 +233,25 @@
 		if err != nil {
 			return // retried with the next list
 		}
-		g.moves, g.confine = moves, admission.New(g.plan, g.sets, moves, g.limits)
+		g.moves, g.admitter = moves, admission.New(g.plan, g.sets, moves, g.limits)
 	}
 	if len(nodes) > 0 {
-		g.step(c.now, g.confine.ApplyList(c.now, nodes)...)
-		g.step(c.now, g.confine.Reevaluate()...)
+		g.step(c.now, g.admitter.ApplyList(c.now, nodes)...)
+		g.step(c.now, g.admitter.Reevaluate()...)
 	}
 }
 
 func (g *guard) checkCells(now float64) {
-	if g != nil && g.confine != nil && now >= g.nextCheckAt {
+	if g != nil && g.admitter != nil && now >= g.nextCheckAt {
 		g.nextCheckAt = now + checkInterval
-		g.step(now, g.confine.Reevaluate()...)
+		g.step(now, g.admitter.Reevaluate()...)
 	}
 }
 
 // step steps the moves of tenants. The broker has no durable log, so no move is ever started and writes are dropped.
 func (g *guard) step(now float64, in ...cells.Input) { g.moves.Step(now, in) }
 
-// reportRefusal emits the account of a scan that a limit refused, if brokers share outcomes.
+// reportRefusal reports the tenant of a scan that a limit refused, if brokers share outcomes.
 func (c *Core) reportRefusal(r *Scan, why string) {
 	if c.reportsOutcomes && r.Account != "" {
 		c.emit(ScanRefused{Account: r.Account, Why: why})
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -93,23 +93,23 @@
 		}
 	}
 	c.Step(1010, []Input{List{Kind: logic.ListFull, Nodes: nodes}})
-	var away []string
+	var replies []string
 	for _, o := range c.Step(1015, []Input{board("x", "bad"), board("y", "good")}) {
 		if r, is := o.(Reply); is {
-			away = append(away, r.Scan.ID+" "+r.Why)
+			replies = append(replies, r.Scan.ID+" "+r.Why)
 		}
 	}
 	want := []string{"x the cell has lost most of its stores"}
 	if c.guard.moves.Map.Stores("b")[gone] {
 		want = append(want, "y the cell has lost most of its stores")
 	}
-	assert.Equal(t, want, away)
+	assert.Equal(t, want, replies)
 	assert.True(t, c.Cells()[0].Lost)
 	empty := New(c.settings, nil, 1, nil)
 	empty.SetCells(cells.Plan{Cells: []cells.Cell{{Name: "a"}}}, map[string]quota.Limits{"a": {}}, 0, 0, func() float64 { return 0 })
 	out := step(empty, 1000, board("x", "t"))
 	require.Len(t, out, 1)
-	assert.Contains(t, out[0].(Reply).Why, "no cell can be laid out")
+	assert.Contains(t, out[0].(Reply).Why, "no cell can be built")
 }
 
 // openLimiter limits the number of open scans over all cells and tenants.
--- a/internal/core/probes.go
+++ b/internal/core/probes.go
@@ -6,7 +6,7 @@
 
 // probe queries the load of a node. Its timeout is the connect timeout.
 func (c *Core) probe(num int64, shared bool) {
-	ref, at := c.number(), c.knownNodes[num]
+	ref, at := c.nextNumber(), c.knownNodes[num]
 	c.probes[ref] = probe{node: num, at: c.now, shared: shared}
 	if at == nil || at.addr == "" {
 		c.probeEnded(Ended{Ref: ref, Reason: NoAddress, At: c.now})
--- a/internal/core/scans.go
+++ b/internal/core/scans.go
@@ -50,7 +50,7 @@
 
 // admit assigns numbers to an admitted scan and its parts and passes them to the module.
 func (c *Core) admit(r *Scan, left float64) {
-	admitted := &scan{Scan: r, num: c.number(), step: 1, deadline: c.now + left}
+	admitted := &scan{Scan: r, num: c.nextNumber(), step: 1, deadline: c.now + left}
 	r.num, r.admittedAt = admitted.num, c.now
 	c.scans[admitted.num], c.byClientID[r.ID] = admitted, admitted
 	work, flags := 0.0, int64(0)
@@ -76,7 +76,7 @@
 }
 
 func (c *Core) part(s *scan, shard int, weight, work float64) *part {
-	p := &part{id: c.number(), scan: s, shard: shard, weight: weight, work: work}
+	p := &part{id: c.nextNumber(), scan: s, shard: shard, weight: weight, work: work}
 	c.parts[p.id] = p
 	c.open++
 	return p
--- a/internal/core/shared_test.go
+++ b/internal/core/shared_test.go
@@ -13,7 +13,7 @@
 // step steps a core whose module has no settings, and omits the module's log lines.
 func step(k *Core, now float64, in ...Input) (out []Output) {
 	for _, o := range k.Step(now, in) {
-		if _, said := o.(Log); !said {
+		if _, isLog := o.(Log); !isLog {
 			out = append(out, o)
 		}
 	}
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -111,7 +111,7 @@
 	Shard               int
 	Deadline            float64 // clock time at which the dispatch times out
 	NotAfter            float64 // clock time after which it must not be written; 0 means no limit
-	Key, AnsweredShards string  // From: the shards that answered the first step, for a second step
+	Key, AnsweredShards string  // AnsweredShards: the shards that answered the first step, for a second step
 	FirstStepComplete   bool
 	Text                string
 }
@@ -122,7 +122,7 @@
 	Ref  int64
 }
 
-// Probe queries the load of a node. Like a dispatch, it is answered by Ended.
+// Probe queries the load of a node. Like a dispatch, it ends with Ended.
 type Probe struct {
 	Host, Addr string
 	Ref        int64
@@ -145,7 +145,7 @@
 // SendNote is a note to the modules of all other brokers.
 type SendNote struct{ Note []byte }
 
-// OutcomeReport is an outcome that the module counts for or against a node, or the fact that a node rejected a part.
+// OutcomeReport reports an outcome that the module counts for or against a node, or that a node rejected a part.
 type OutcomeReport struct {
 	Host    string
 	Outcome logic.Outcome
--- a/internal/simwire/read.go
+++ b/internal/simwire/read.go
@@ -132,7 +132,7 @@
 		return
 	case "LAUNCH":
 		turn.Stopped, turn.Events = true, nil
-		e.Kind, e.Seed, e.Settings = logic.Started, uint64(f.integer("prng", true)), f.terms("options")
+		e.Kind, e.Seed, e.Settings = logic.Started, uint64(f.integer("prng", true)), f.settings("options")
 	case "ANNOUNCE":
 		e.Kind, e.List = logic.ListArrived, enumValue(f, "kind", listKindNames)
 		if f.err == nil && e.List != logic.ListFailed {
@@ -192,7 +192,7 @@
 // textFields are the fields that extend to the end of the line, spaces included.
 var textFields = map[string]bool{"options": true, "bodyText": true}
 
-func (f *fields) get(name string, needed bool) (string, bool) {
+func (f *fields) get(name string, required bool) (string, bool) {
 	hasText := f.lineType == "LAUNCH"
 	for rest := f.rest; rest != ""; {
 		pair, tail, _ := strings.Cut(rest, " ")
@@ -210,14 +210,14 @@
 		}
 		rest = tail
 	}
-	if needed {
+	if required {
 		f.setError("missing field " + name)
 	}
 	return "", false
 }
 
-func (f *fields) integer(name string, needed bool) int64 {
-	s, ok := f.get(name, needed)
+func (f *fields) integer(name string, required bool) int64 {
+	s, ok := f.get(name, required)
 	if !ok {
 		return 0
 	}
@@ -228,8 +228,8 @@
 	return n
 }
 
-func (f *fields) number(name string, needed bool) float64 {
-	s, ok := f.get(name, needed)
+func (f *fields) number(name string, required bool) float64 {
+	s, ok := f.get(name, required)
 	if !ok {
 		return 0
 	}
@@ -240,7 +240,7 @@
 	return x
 }
 
-func (f *fields) ms(name string, needed bool) float64 { return f.number(name, needed) * 1000 }
+func (f *fields) ms(name string, required bool) float64 { return f.number(name, required) * 1000 }
 
 func (f *fields) load(name string) map[string]float64 {
 	s, ok := f.get(name, false)
--- a/internal/simwire/values.go
+++ b/internal/simwire/values.go
@@ -21,8 +21,8 @@
 		"severed": logic.Severed, "recalled": logic.Recalled, "superseded": logic.Superseded}
 )
 
-// terms parses the start settings, a JSON object, into the module's map.
-func (f *fields) terms(name string) map[string]any {
+// settings parses the start settings, a JSON object, into the module's map.
+func (f *fields) settings(name string) map[string]any {
 	text, ok := f.get(name, true)
 	if !ok {
 		return nil
