--- a/internal/admission/admission.go
+++ b/internal/admission/admission.go
@@ -64,7 +64,7 @@
 // each list.
 const lostRetryAfter = 1000.0
 
-// New returns an Admission over the moves of a map and the limits.
+// New returns an Admission for a plan, the moves of its map and the limits.
 func New(plan cells.Plan, sets int, moves *cells.Moves, limits *quota.Limiter) *Admission {
 	return &Admission{plan: plan, sets: sets, moves: moves, limits: limits, nodes: map[string]Node{}, slots: map[string]*slot{}, permittedByVersion: map[uint64]map[string]map[int64]bool{},
 		open: map[uint64]int{}, lost: map[string]bool{}, counts: map[string]*Counts{}}
@@ -175,24 +175,24 @@
 
 // permitted returns the nodes of a cell at the current version. The set is built once for all scans.
 func (c *Admission) permitted(version uint64, cell string) map[int64]bool {
-	of := c.permittedByVersion[version]
-	if of == nil {
+	byCell := c.permittedByVersion[version]
+	if byCell == nil {
 		for old := range c.permittedByVersion {
 			delete(c.permittedByVersion, old) // sets of older versions are kept by their scans
 		}
-		of = map[string]map[int64]bool{}
-		c.permittedByVersion[version] = of
+		byCell = map[string]map[int64]bool{}
+		c.permittedByVersion[version] = byCell
 	}
-	if of[cell] == nil {
+	if byCell[cell] == nil {
 		set := map[int64]bool{}
 		for s := range c.moves.Map.Stores(cell) {
 			if n, listed := c.nodes[s]; listed {
 				set[n.Number] = true
 			}
 		}
-		of[cell] = set
+		byCell[cell] = set
 	}
-	return of[cell]
+	return byCell[cell]
 }
 
 // ScanEnded records the end of an admitted scan and returns inputs for the moves.
--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -117,11 +117,11 @@
 	moves.Step(2, c.ApplyList(1000, left))
 	assert.Equal(t, before, fmt.Sprint(moves.Map.Holders("cell-2", 1)))
 	assert.Contains(t, c.LostCells(), "cell-2")
-	heir := old
-	heir.Name, heir.Number = "new", 500
-	moves.Step(3, c.ApplyList(2000, append(left, heir)))
+	replacement := old
+	replacement.Name, replacement.Number = "new", 500
+	moves.Step(3, c.ApplyList(2000, append(left, replacement)))
 	assert.NotContains(t, moves.Map.Holders("cell-2", 1), gone)
-	moves.Step(4, c.ApplyList(3000, append(left, heir)))
+	moves.Step(4, c.ApplyList(3000, append(left, replacement)))
 	assert.NotContains(t, c.LostCells(), "cell-2", "%v", moves.Map.Holders("cell-2", 1))
 	moves.Step(5, c.ApplyList(4000, left))
 	moves.Step(6, c.ApplyList(4000+SlotGrace+1, left))
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -30,7 +30,7 @@
 
 const (
 	mailboxSize         = 1024
-	maxBatch            = 4096
+	maxBatch            = 4096 // inputs of one step of the core
 	tallyInterval       = 10 * time.Second
 	readTimeout         = 2500 * time.Millisecond // clients must get an error or a close within 3 s, those with open connections within 2 s
 	finalFlushTimeout   = 200 * time.Millisecond  // for writing the replies to scans that are still open at the end of the shutdown
@@ -86,7 +86,7 @@
 
 	listed bool // set by the actor once the module has a list with nodes
 
-	clocks   Clocks // for what brokers share; scans use clock
+	clocks   Clocks // for the state that brokers share; scans use clock
 	features *features.Document
 	sharing  *sharingState   // nil if nothing is shared
 	control  *control.Server // nil without a control socket
@@ -101,8 +101,8 @@
 // ErrAbandoned reports that a start was aborted before the broker accepted anything.
 var ErrAbandoned = errors.New("stopped before the start")
 
-// StartBy is Start with other clocks for what brokers share. It fails with ErrAbandoned if abandon is closed while
-// the address is still in use by another process.
+// StartBy is Start with the given clocks for the state that brokers share. It fails with ErrAbandoned if abandon is
+// closed while the address is still in use by another process.
 func StartBy(clocks Clocks, abandon <-chan struct{}, t *config.StartConfig, f *features.Document, log zerolog.Logger) (*Broker, error) {
 	if f == nil {
 		f = &features.Document{}
@@ -125,7 +125,7 @@
 	logInvalid := func(host, why string) { log.Warn().Str("node", host).Msg(why) }
 	known := t.KnownList.Nodes(logInvalid)
 	flat := maps.Clone(t.Flat)
-	if s := f.Sharing; s != nil { // the module has to know what brokers share
+	if s := f.Sharing; s != nil { // the module reads what brokers share from its settings
 		flat["limit.peers"], flat["share.verdicts"] = s.Notes, s.Verdicts != nil
 	}
 	b.core = core.New(t.Site, flat, t.Seed, known)
@@ -138,8 +138,8 @@
 	b.actorDone.Go(b.run)
 	go func() {
 		defer close(b.frontDone)
-		// Scans are not served by a cached list that the discovery agent may know to be outdated. Until its first answer
-		// clients wait in the listen backlog.
+		// The cached list may be outdated: no scan is served before the discovery agent's first answer. Until then clients
+		// wait in the listen backlog.
 		select {
 		case <-b.watch.First():
 		case <-b.stopping:
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -246,14 +246,14 @@
 	status := make(chan int, 1)
 	var b *Broker
 	var err error
-	word := &logTrigger{text: "front stopped", action: func() {
+	trigger := &logTrigger{text: "front stopped", action: func() {
 		go func() { status <- board(b) }()
 		conn, err := silent.Accept() // its part has been dispatched
 		if err == nil {
 			t.Cleanup(func() { conn.Close() })
 		}
 	}}
-	b, err = Start(cfg, nil, zerolog.New(word))
+	b, err = Start(cfg, nil, zerolog.New(trigger))
 	require.NoError(t, err)
 	b.Stop(10 * time.Second)
 	assert.Equal(t, 504, <-status)
--- a/internal/broker/features.go
+++ b/internal/broker/features.go
@@ -34,7 +34,7 @@
 	sealer         *gossip.Sealer
 	probeResults   chan core.ProbeResult
 	nodeLists      chan core.NodeList
-	droppedResults atomic.Int64 // results dropped since the queue was full: those turns count as over after a period
+	droppedResults atomic.Int64 // results dropped because the queue was full; such a probe counts as done after one period
 	done           chan struct{}
 
 	now    func() float64                // the clock of leases
@@ -70,36 +70,36 @@
 		b.startCells(k)
 	}
 	if w := b.features.Shadow; w != nil {
-		watched, err := shadowSettings(b.startFile.Flat, b.startFile.Site.TypeIndex, w)
+		shadow, err := shadowSettings(b.startFile.Flat, b.startFile.Site.TypeIndex, w)
 		if err != nil {
 			return err
 		}
-		b.core.SetShadowSettings(watched)
+		b.core.SetShadowSettings(shadow)
 	}
 	if c := b.features.Control; c != nil {
-		served := control.Handlers{Pages: map[string]func() (any, bool){}}
+		handlers := control.Handlers{Pages: map[string]func() (any, bool){}}
 		if b.features.Cells != nil {
-			served.Pages["cells"] = b.cellViews
+			handlers.Pages["cells"] = b.cellViews
 		}
 		if b.sharing != nil {
-			served.Pages["sharing"] = func() (any, bool) {
+			handlers.Pages["sharing"] = func() (any, bool) {
 				v, running := b.sharing.actor.State()
 				return v, running
 			}
 			if l := b.sharing.limits; l != nil {
-				served.Orders = map[string]func(url.Values) error{"limits": l.orderSize}
-				served.Pages["limits"] = func() (any, bool) { return l.view(), true }
+				handlers.Orders = map[string]func(url.Values) error{"limits": l.orderSize}
+				handlers.Pages["limits"] = func() (any, bool) { return l.view(), true }
 			}
 			if b.features.Sharing.Verdicts != nil {
-				if served.Orders == nil {
-					served.Orders = map[string]func(url.Values) error{}
+				if handlers.Orders == nil {
+					handlers.Orders = map[string]func(url.Values) error{}
 				}
-				served.Orders["verdict"] = b.sharing.orderVerdict
+				handlers.Orders["verdict"] = b.sharing.orderVerdict
 			}
-			b.sharing.addHandlers(&served)
+			b.sharing.addHandlers(&handlers)
 		}
 		var err error
-		if b.control, err = control.Listen(c.Socket, served); err != nil {
+		if b.control, err = control.Listen(c.Socket, handlers); err != nil {
 			b.stopFeatures()
 			return err
 		}
@@ -121,11 +121,11 @@
 		x, _ := b.startFile.Flat[name].(float64)
 		return x
 	}
-	chance := rand.New(rand.NewPCG(b.startFile.Seed, 0xce11))
-	b.core.SetCells(plan, limits, num("rules.cold"), num("limit.maxRetryAfter"), chance.Float64)
+	random := rand.New(rand.NewPCG(b.startFile.Seed, 0xce11))
+	b.core.SetCells(plan, limits, num("rules.cold"), num("limit.maxRetryAfter"), random.Float64)
 }
 
-// shadowSettings returns the module's settings with those of the watch block in their place.
+// shadowSettings returns the module's settings, overridden by those of the watch block.
 func shadowSettings(flat map[string]any, types map[string]int, w *features.ShadowSettings) (map[string]any, error) {
 	shadow := maps.Clone(flat)
 	for name, on := range map[string]*bool{"limit.secondCopies": w.SecondCopies, "limit.cancelling": w.Cancelling, "limit.peers": w.Notes} {
@@ -163,7 +163,7 @@
 	}
 }
 
-// startSharing joins the other brokers.
+// startSharing starts the actor that shares state with the other brokers.
 func (b *Broker) startSharing(s *features.Sharing) error {
 	boot := rand.Uint64()
 	sealer, err := gossip.NewSealer(boot, sealerKeys(s.Keys), 0)
@@ -183,8 +183,8 @@
 	for _, d := range s.Duties {
 		plan.Duties = append(plan.Duties, duties.Duty{Name: d.Name, Period: float64(d.Period) / 1e6})
 	}
-	work := memberactor.Callbacks{Wall: wall}
-	dir, err := b.openLeases(&plan, &work)
+	callbacks := memberactor.Callbacks{Wall: wall}
+	dir, err := b.openLeases(&plan, &callbacks)
 	if err != nil {
 		carrier.Close()
 		return err
@@ -212,14 +212,14 @@
 				return fmt.Errorf("features: sharing: verdicts: %w", err)
 			}
 			// Missing orders are learned from the other brokers.
-			b.log.Info().Str("dir", path).Int("orders", len(found.Records)).Msg("operators' orders on stores are as they were stored")
-			plan.Orders, work.Orders, sh.orders = found.Records, orders, orders
+			b.log.Info().Str("dir", path).Int("orders", len(found.Records)).Msg("operators' orders on stores restored")
+			plan.Orders, callbacks.Orders, sh.orders = found.Records, orders, orders
 		}
 	}
 	plan.Notes = s.Notes
-	work.Verdict, work.Note = sh.applyVerdict, func(note []byte) { b.put(core.PeerNote{Note: note}) }
-	work.Turn, work.Heard, work.Begin, work.Extend, work.Cancel = sh.probe, sh.peerProbed, sh.begin, sh.extend, sh.cancel
-	sh.actor = memberactor.Start(plan, carrier, now, work, b.log)
+	callbacks.Verdict, callbacks.Note = sh.applyVerdict, func(note []byte) { b.put(core.PeerNote{Note: note}) }
+	callbacks.Turn, callbacks.Heard, callbacks.Begin, callbacks.Extend, callbacks.Cancel = sh.probe, sh.peerProbed, sh.begin, sh.extend, sh.cancel
+	sh.actor = memberactor.Start(plan, carrier, now, callbacks, b.log)
 	b.sharing = sh
 	if limits != nil {
 		limits.setWake(sh.actor.Wake)
--- a/internal/broker/leases.go
+++ b/internal/broker/leases.go
@@ -21,7 +21,7 @@
 	"gullstair/internal/tasks"
 )
 
-// run is an occurrence of a task that this broker has started.
+// run is an occurrence of a task that this broker runs.
 type run struct {
 	task   tasks.Begin
 	guard  *guard.Process
@@ -38,7 +38,7 @@
 }
 
 // openLeases adds the tasks to the plan and opens the directory of votes.
-func (b *Broker) openLeases(plan *memberstate.Plan, work *memberactor.Callbacks) (*durable.Dir[lease.Record], error) {
+func (b *Broker) openLeases(plan *memberstate.Plan, callbacks *memberactor.Callbacks) (*durable.Dir[lease.Record], error) {
 	for _, t := range b.features.Tasks {
 		plan.Tasks = append(plan.Tasks, tasks.Task{Name: t.Name, Every: ms64(t.Every), At: t.Schedule, Term: ms64(t.Term), Holders: t.Holders,
 			CatchUp: t.RunMissedOnce, Timeout: ms64(t.Timeout), Prefer: t.Prefer})
@@ -61,7 +61,7 @@
 		b.log.Warn().Str("dir", l.Dir).Str("because", found.Why).Msg("votes on leases may be missing: nothing is granted for a term")
 	}
 	plan.Votes = &memberstate.Votes{Records: found.Records, Sound: found.Complete}
-	work.Votes = dir
+	callbacks.Votes = dir
 	return dir, nil
 }
 
@@ -215,7 +215,7 @@
 	holders, err := strconv.Atoi(q.Get("holders"))
 	term, termErr := time.ParseDuration(q.Get("term"))
 	if name := q.Get("name"); err != nil || termErr != nil || name == "" || len(name) > 80 || holders < 1 || holders > 100 || term > s.b.features.Lease.MaxTerm {
-		out.Encode(HoldEvent{Revoked: fmt.Sprintf("a name of 1 to 80 bytes, from 1 to 100 holders and a term of at most %v are needed", s.b.features.Lease.MaxTerm)})
+		out.Encode(HoldEvent{Revoked: fmt.Sprintf("a lease needs a name of 1 to 80 bytes, 1 to 100 holders and a term of at most %v", s.b.features.Lease.MaxTerm)})
 		return
 	}
 	h := tasks.Hold{ID: rand.Uint64(), Name: q.Get("name"), Holders: holders, Term: ms64(term), By: q.Get("by")}
--- a/internal/broker/limits.go
+++ b/internal/broker/limits.go
@@ -90,13 +90,13 @@
 		return fmt.Errorf("features: limits: %w", err)
 	}
 	if l.core.Restore(found.Records, found.Complete) {
-		log.Info().Str("dir", path).Int("marks", len(found.Records)).Msg("what was lent of limits is as it was stored: the rest is used at once")
+		log.Info().Str("dir", path).Int("marks", len(found.Records)).Msg("loans of limits restored: the capacity that is not lent is used at once")
 	} else {
-		log.Warn().Str("dir", path).Str("because", cmp.Or(found.Why, "limits or members have changed")).Msg("what was lent of limits may be more than is known: home shares rest for a term")
+		log.Warn().Str("dir", path).Str("because", cmp.Or(found.Why, "limits or members have changed")).Msg("what was lent of limits may be more than is known: this broker's home shares are not used for a term")
 	}
 	l.dir = dir
 	l.queue = durable.NewQueue(dir, func(upto uint64) { l.enqueue(limitshare.Stored{Upto: upto}) }, func(err error) {
-		log.Error().Err(err).Msg("what is lent of limits can't be stored: this broker lends nothing any more, until it is started again")
+		log.Error().Err(err).Msg("what is lent of limits can't be stored: this broker lends nothing until it restarts")
 		l.enqueue(limitshare.DiskLost{})
 	})
 	return nil
@@ -148,9 +148,9 @@
 	return l.decide(l.core.Again, account, cell, work, lasts)
 }
 
-func (l *limiter) decide(ask func(float64, []limitshare.Use, float64) limitshare.Verdict, account, cell string, work, lasts float64) core.LimitDecision {
+func (l *limiter) decide(take func(float64, []limitshare.Use, float64) limitshare.Verdict, account, cell string, work, lasts float64) core.LimitDecision {
 	l.mu.Lock()
-	v := ask(l.now(), l.scanUses(account, cell, work), lasts+lateEndMs)
+	v := take(l.now(), l.scanUses(account, cell, work), lasts+lateEndMs)
 	dueEarlier := l.core.Due() < l.due
 	if dueEarlier {
 		l.due = l.core.Due()
@@ -248,15 +248,15 @@
 func (l *limiter) enqueue(in ...limitshare.Input) {
 	l.mu.Lock()
 	l.pending = append(l.pending, in...)
-	poke := l.wakeSharing
+	wake := l.wakeSharing
 	l.mu.Unlock()
-	poke()
+	wake()
 }
 
 // setWake sets the function that wakes the sharing actor. Disk events may arrive before it is set.
-func (l *limiter) setWake(poke func()) {
+func (l *limiter) setWake(wake func()) {
 	l.mu.Lock()
-	l.wakeSharing = poke
+	l.wakeSharing = wake
 	l.mu.Unlock()
 }
 
@@ -286,7 +286,7 @@
 	}
 	span, err := time.ParseDuration(q.Get("for"))
 	if err != nil || span < time.Second || span > 30*24*time.Hour {
-		return fmt.Errorf("for %q is not a time from 1s to 720h", q.Get("for"))
+		return fmt.Errorf("for %q is not a duration from 1s to 720h", q.Get("for"))
 	}
 	l.enqueue(limitshare.Set{Limit: f.Name, Size: size, Burst: burst, For: ms64(span)})
 	return nil
--- a/internal/broker/verdicts.go
+++ b/internal/broker/verdicts.go
@@ -89,17 +89,17 @@
 func (s *sharingState) orderVerdict(q url.Values) error {
 	v := verdicts.Set{Store: q.Get("store"), Reason: q.Get("reason"), Do: verdicts.Do(q.Get("do"))}
 	if v.Store == "" || len(v.Store) > 120 {
-		return fmt.Errorf("a store's name of 1 to 120 bytes is needed")
+		return fmt.Errorf("the store's name must have 1 to 120 bytes")
 	}
 	if !slices.Contains([]verdicts.Do{verdicts.Drain, verdicts.Rest, verdicts.Clear}, v.Do) {
 		return fmt.Errorf("%q is not drain, rest or clear", v.Do)
 	}
 	span, err := time.ParseDuration(q.Get("for"))
 	if err != nil || span < 0 || span > 30*24*time.Hour {
-		return fmt.Errorf("for %q is no time from 0s to 720h", q.Get("for"))
+		return fmt.Errorf("for %q is not a duration from 0s to 720h", q.Get("for"))
 	}
 	if len(v.Reason) > 200 {
-		return fmt.Errorf("a reason of 200 bytes at most, please")
+		return fmt.Errorf("the reason must not exceed 200 bytes")
 	}
 	v.For = ms64(span)
 	s.actor.Send(v)
--- a/internal/cells/moves.go
+++ b/internal/cells/moves.go
@@ -217,13 +217,13 @@
 	if r.Map > v.Map.Version {
 		v.switchTo(&m, r.Map)
 	}
-	over := 0
+	finished := 0
 	for _, id := range v.order {
 		if v.moves[id].State.Finished() {
-			over++
+			finished++
 		}
 	}
-	if over > maxFinishedMoves {
+	if finished > maxFinishedMoves {
 		i := slices.IndexFunc(v.order, func(id string) bool { return v.moves[id].State.Finished() })
 		delete(v.moves, v.order[i])
 		v.order = slices.Delete(v.order, i, i+1)
@@ -265,7 +265,7 @@
 			if v.logErr == nil {
 				v.logErr = errors.New("unknown")
 			}
-			clear(v.pending) // only the next start shows which of them are durable
+			clear(v.pending) // which of them are durable is known only after a restart
 			clear(v.writing)
 		case CellWarm:
 			v.warm[o.Cell] = o.OK
@@ -297,9 +297,9 @@
 func (v *Moves) begin(o BeginMove) (why string) {
 	switch open := v.unfinished(); {
 	case v.logErr != nil:
-		return fmt.Sprintf("moves need a log that outlives a restart: %v", v.logErr)
+		return fmt.Sprintf("moves need a durable log: %v", v.logErr)
 	case o.ID == "" || v.moves[o.ID] != nil || v.writing[o.ID]:
-		return "a move of this id is there already, or it has none"
+		return "the move has no id, or its id is in use"
 	case len(o.Tenants) == 0 || len(o.Tenants) > maxTenantsPerMove:
 		return fmt.Sprintf("%d tenants; from 1 to %d can be moved at once", len(o.Tenants), maxTenantsPerMove)
 	case v.Map.Stores(o.To) == nil:
@@ -345,16 +345,16 @@
 	return n
 }
 
-// change writes an order for an unfinished move.
+// change changes an unfinished move by an operator's order.
 func (v *Moves) change(id string, do func(*Move) string) {
 	old := v.moves[id]
 	switch {
 	case old == nil || old.State.Finished():
 		v.refuse(id, "there is no such move under way")
 	case v.logErr != nil:
-		v.refuse(id, fmt.Sprintf("the log is lost: %v", v.logErr))
+		v.refuse(id, fmt.Sprintf("moves need a durable log: %v", v.logErr))
 	case v.writing[id]:
-		v.refuse(id, "its last change is still being written: order it again")
+		v.refuse(id, "its last change is still being written: try again later")
 	default:
 		m := *old
 		if why := do(&m); why != "" {
@@ -368,7 +368,7 @@
 // revert reverts a move: a move that has not switched ends at once, one that has switches back.
 func (v *Moves) revert(m *Move) string {
 	if m.Back {
-		return "it is going back already"
+		return "it is already being reverted"
 	}
 	m.Back, m.Paused, m.Since = true, false, v.now
 	if m.State != Switched {
--- a/internal/cells/moves_test.go
+++ b/internal/cells/moves_test.go
@@ -40,7 +40,7 @@
 func (b *harness) step(in ...Input) {
 	b.now++
 	for _, x := range in {
-		if w, told := x.(CellWarm); told {
+		if w, ok := x.(CellWarm); ok {
 			b.warm[w.Cell] = w.OK
 		}
 	}
@@ -196,9 +196,9 @@
 			}
 			b.maps = b.maps[len(b.maps)-1:]
 		}
-		nth := 0
+		begun := 0
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			id := fmt.Sprint("m", rapid.IntRange(0, max(0, nth-1)).Draw(t, "id"))
+			id := fmt.Sprint("m", rapid.IntRange(0, max(0, begun-1)).Draw(t, "id"))
 			before := map[string]State{}
 			for _, m := range b.moves.List() {
 				before[m.ID] = m.State
@@ -209,8 +209,8 @@
 				for range rapid.IntRange(1, 3).Draw(t, "tenants") {
 					some = append(some, fmt.Sprint("t", rapid.IntRange(0, 9).Draw(t, "tenant")))
 				}
-				b.step(BeginMove{ID: fmt.Sprint("m", nth), To: fmt.Sprint("cell-", rapid.IntRange(0, 3).Draw(t, "to")), Tenants: some})
-				nth++
+				b.step(BeginMove{ID: fmt.Sprint("m", begun), To: fmt.Sprint("cell-", rapid.IntRange(0, 3).Draw(t, "to")), Tenants: some})
+				begun++
 			case "pause":
 				b.step(Pause{id})
 			case "resume":
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -42,7 +42,7 @@
 	TooMany // too many tenants, or an unknown cell
 )
 
-var reasonTexts = [...]string{"taken", "the cell's rate", "the tenant's rate", "the cell's open scans", "the cell's outstanding work",
+var reasonTexts = [...]string{"admitted", "the cell's rate", "the tenant's rate", "the cell's open scans", "the cell's outstanding work",
 	"the broker's open scans", "the tenant's share of the cell", "too many tenants"}
 
 func (w Reason) String() string { return reasonTexts[w] }
@@ -105,7 +105,7 @@
 	retries  float64
 	tenants  map[string]*tenant
 	counts   Counts
-	openTime float64 // ms that a scan is open, as seen: what a time to come back is made of
+	openTime float64 // moving average of the ms that a scan is open, on which retry times are based
 }
 
 // Limiter is the state of one broker. It is not safe for concurrent use.
@@ -124,8 +124,8 @@
 	maxTenants      = 100000 // maximum number of tracked tenants per cell
 	tenantIdle      = 60000  // ms after which a tenant without open scans is evicted
 	retryJitter     = 0.5    // random fraction added to a retry time, so that clients throttled together do not retry together
-	openTimeGain    = 0.05
-	initialOpenTime = 100.0 // ms, before any scan has ended
+	openTimeGain    = 0.05   // weight of the newest scan in openTime
+	initialOpenTime = 100.0  // ms, before any scan has ended
 )
 
 // New returns the limiter of a broker. Capacity is the maximum number of open scans and parts; 0 means no limit.
@@ -174,16 +174,16 @@
 	if c.capacity <= 0 || k.units+size <= c.reserve(k) {
 		return true
 	}
-	kept := 0
+	reserved := 0
 	for _, name := range c.names {
 		if o := c.cells[name]; o != k {
-			kept += max(0, c.reserve(o)-o.units)
+			reserved += max(0, c.reserve(o)-o.units)
 		}
 	}
 	if k.units+size > c.share(k) {
-		kept += max(1, c.capacity/lendMargin)
+		reserved += max(1, c.capacity/lendMargin)
 	}
-	return c.open+kept+size <= c.capacity
+	return c.open+reserved+size <= c.capacity
 }
 
 // reserve returns the part of a cell's share that is never lent.
