--- a/cmd/gullstair/fleet.go
+++ b/cmd/gullstair/fleet.go
@@ -29,7 +29,7 @@
 const checkConfig = "check-config"
 
 const (
-	memoryShare   = 0.7 // Share of the memory limit that the heap may reach before the garbage collector works harder.
+	memoryShare   = 0.7 // The Go runtime's soft memory limit as a share of the memory setting.
 	statusTimeout = 3 * time.Second
 	bytesPerMB    = 1 << 20
 )
--- a/cmd/gullstair/lease.go
+++ b/cmd/gullstair/lease.go
@@ -222,7 +222,7 @@
 	case !l.Ended && holder == l.By:
 		return fmt.Sprintf("begun %s by %s, under way", formatTime(l.Begun), l.By)
 	case !l.Ended:
-		return fmt.Sprintf("begun %s by %s, how it ended is not known", formatTime(l.Begun), l.By)
+		return fmt.Sprintf("begun %s by %s, outcome unknown", formatTime(l.Begun), l.By)
 	case l.Why != "":
 		return fmt.Sprintf("begun %s by %s, code %d after %s: %s", formatTime(l.Begun), l.By, l.Code, formatDuration(l.Took), l.Why)
 	}
--- a/cmd/gullstair/limits.go
+++ b/cmd/gullstair/limits.go
@@ -62,9 +62,9 @@
 		state := "connected"
 		switch {
 		case l.Quiet > 0:
-			state = fmt.Sprintf("home share rests for %s", formatDuration(l.Quiet))
+			state = fmt.Sprintf("home share not used for %s", formatDuration(l.Quiet))
 		case l.Cut:
-			state = "lenders are silent"
+			state = "no answer from a lender"
 		}
 		if l.Order != "" {
 			state += fmt.Sprintf("; set by %s for %s, known to %d others", l.Order, formatDuration(l.Left), l.Told)
@@ -76,7 +76,7 @@
 		return err
 	}
 	n := s.Counts
-	_, err := fmt.Fprintf(out, "%d keys; scans: %d taken, %d throttled, %d of no room; loans: %d given, %d taken up, %d called back, %d answers too late\n",
+	_, err := fmt.Fprintf(out, "%d keys; scans: %d admitted, %d throttled, %d rejected for too many keys; loans: %d lent, %d borrowed, %d recalled, %d late answers\n",
 		s.Accounts, n.Taken, n.Throttled, n.Crowded, n.Lent, n.Borrowed, n.Recalled, n.Late)
 	return err
 }
--- a/cmd/gullstair/main.go
+++ b/cmd/gullstair/main.go
@@ -61,7 +61,7 @@
 func run(args []string, out io.Writer) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			if _, asked := r.(helpRequested); !asked {
+			if _, isHelp := r.(helpRequested); !isHelp {
 				panic(r)
 			}
 			err = nil
@@ -137,7 +137,7 @@
 		fmt.Fprintf(out, "cells: %d, %d holders of each set, %d pins\n", len(f.Cells.Cells), f.Cells.Holders, len(f.Cells.Pins))
 	}
 	if f.Lease != nil {
-		fmt.Fprintf(out, "lease: by hand up to %v, votes stored in %q\n", f.Lease.MaxTerm, f.Lease.Dir)
+		fmt.Fprintf(out, "lease: terms up to %v, votes stored in %q\n", f.Lease.MaxTerm, f.Lease.Dir)
 	}
 	for _, t := range f.Tasks {
 		fmt.Fprintf(out, "task %s: %s\n", t.Name, strings.Join(t.Run, " "))
--- a/cmd/gullstair/rehearse.go
+++ b/cmd/gullstair/rehearse.go
@@ -49,7 +49,7 @@
 	if c.Loopback && c.Policy != "gullstair" {
 		return errors.New("rehearse: --policy requires virtual time, since loopback runs real brokers")
 	}
-	f, notes, err := c.play(s)
+	f, notes, err := c.runScenario(s)
 	if err != nil {
 		return err
 	}
@@ -75,15 +75,15 @@
 	return nil
 }
 
-// play plays a scenario; an interrupt ends it with a report of the part that was played.
-func (c *rehearseCmd) play(s *scenario.Scenario) (f emulator.Figures, notes []string, err error) {
-	makePolicy := emulator.Gullstair
+// runScenario runs a scenario; an interrupt ends it with a report of the part that was run.
+func (c *rehearseCmd) runScenario(s *scenario.Scenario) (f emulator.Figures, notes []string, err error) {
+	newPolicy := emulator.Gullstair
 	if c.Loopback {
-		makePolicy = nil
+		newPolicy = nil
 	} else if c.Policy != "gullstair" {
-		makePolicy = emulator.Baseline(c.Policy == "least")
+		newPolicy = emulator.Baseline(c.Policy == "least")
 	}
-	w := emulator.New(&s.Fleet, c.Seed, makePolicy)
+	w := emulator.New(&s.Fleet, c.Seed, newPolicy)
 	w.ProbePeriod = c.Share
 	for _, x := range s.Faults {
 		if err := w.ScheduleFault(x); err != nil {
@@ -173,7 +173,7 @@
 	if len(f.ByTenant) > 0 {
 		fmt.Fprintf(out, "tenants %d   worst %.4f", len(f.ByTenant), f.WorstTenant)
 		if f.Abuser != "" {
-			fmt.Fprintf(out, "   worst in other cells %.4f   %s, who asks for too much, %.4f", f.OtherCells, f.Abuser, f.ByTenant[f.Abuser])
+			fmt.Fprintf(out, "   worst in other cells %.4f   abuser %s %.4f", f.OtherCells, f.Abuser, f.ByTenant[f.Abuser])
 		}
 		fmt.Fprintln(out)
 	}
@@ -185,10 +185,10 @@
 		fmt.Fprintf(out, "brokers: %.2f CPU seconds each, %.0f MB at most; %d probes reached the stores\n", cpu/float64(len(f.Brokers)), rss, f.Probes)
 	}
 	if f.Interrupted {
-		fmt.Fprintln(out, "interrupted: the report is of what was played")
+		fmt.Fprintln(out, "interrupted: the report covers the part that was run")
 	}
 	if len(f.Violations) == 0 {
-		fmt.Fprintln(out, "rules kept")
+		fmt.Fprintln(out, "no rule broken")
 	}
 	for _, b := range f.Violations[:min(len(f.Violations), 5)] {
 		fmt.Fprintf(out, "RULE BROKEN at %.2f s: %s: scan %s: %s\n", b.At/1000, b.Rule, b.Scan, b.Detail)
--- a/cmd/gullstair/serve.go
+++ b/cmd/gullstair/serve.go
@@ -35,9 +35,9 @@
 		return err
 	}
 	signals := catchSignals(4, syscall.SIGTERM, os.Interrupt)
-	// Signals are caught before anything is read: a SIGHUP that nobody catches ends the process and all open requests with
-	// it. Several SIGHUPs in a row may merge into one, since each reads the file as it is at that time; during a shutdown
-	// they change nothing.
+	// Signals are caught before anything is read: an uncaught SIGHUP ends the process and all open requests with it. Several
+	// SIGHUPs in a row may merge into one, since each reads the file as it is at that time; during a shutdown they change
+	// nothing.
 	reloads := catchSignals(1, syscall.SIGHUP)
 	cfg, err := config.Read(os.Getenv)
 	if err != nil {
--- a/cmd/gullstair/sharing.go
+++ b/cmd/gullstair/sharing.go
@@ -42,7 +42,7 @@
 	for _, m := range s.Members {
 		since, heard := formatDuration(s.Now-m.Since), formatDuration(s.Now-m.Heard)
 		if m.Name == s.Self.Name {
-			since, heard = "this one", "this one"
+			since, heard = "self", "self"
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%g\t%s\t%s\t%s\n", m.Name, m.State, m.Addr, m.Incarnation, m.Weight, since, heard, m.By)
 	}
@@ -50,8 +50,8 @@
 		return err
 	}
 	d := s.Carrier
-	_, err = fmt.Fprintf(out, "own health %d of 8 (0 is well); datagrams %d out, %d in; dropped: %d forged, %d of an unknown key, %d stale, "+
-		"%d seen before, %d unreadable, %d of no room\n", s.Health, d.Sent, d.Received, d.Forged, d.Key, d.Stale, d.Replay,
+	_, err = fmt.Fprintf(out, "own health %d of 8 (0: healthy); datagrams: %d sent, %d received; dropped: %d forged, %d with an unknown key, %d stale, "+
+		"%d replayed, %d malformed, %d because the mailbox was full\n", s.Health, d.Sent, d.Received, d.Forged, d.Key, d.Stale, d.Replay,
 		d.Short+d.Version+d.Body, s.Crowded)
 	return err
 }
--- a/cmd/gullstair/verdict.go
+++ b/cmd/gullstair/verdict.go
@@ -29,7 +29,7 @@
 		return writeJSON(out, map[string]any{"verdicts": s.Verdicts, "counts": s.Judged})
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "STORE\tHELD FOR\tAGE\tOBSERVERS\tWHY\tORDER\tTOLD\tUNKNOWN")
+	fmt.Fprintln(w, "STORE\tVERDICT\tAGE\tOBSERVERS\tWHY\tORDER\tKNOWN TO\tUNKNOWN TO")
 	for _, v := range s.Verdicts {
 		order, known, unknown := "-", "-", "-"
 		if o := v.Order; o != nil {
@@ -42,8 +42,8 @@
 		return err
 	}
 	n := s.Judged
-	_, err = fmt.Fprintf(out, "words: %d said, %d heard, %d old or known, %d impossible, %d of no room; verdicts: %d used, not: %d of too few observers, %d that others deny, "+
-		"%d that would rest too many, %d words of who condemns too many\n", n.Said, n.Heard, n.Old, n.Odd, n.Dropped, n.Used, n.Few, n.Denied, n.Wide, n.Doubted)
+	_, err = fmt.Fprintf(out, "reports: %d sent, %d received, %d old or known, %d invalid, %d dropped for lack of capacity; verdicts: %d reached, not reached: %d with too few observers, %d overruled by other observers, "+
+		"%d that would exclude too many holders; %d reports ignored of observers that report too many stores\n", n.Said, n.Heard, n.Old, n.Odd, n.Dropped, n.Used, n.Few, n.Denied, n.Wide, n.Doubted)
 	return err
 }
 
@@ -58,7 +58,7 @@
 		return writeJSON(out, map[string]any{"tenants": s.Tenants})
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "TENANT\tHELD BACK AT\tTIMES IN THEIR LAST SECOND\tAGE\tWHY")
+	fmt.Fprintln(w, "TENANT\tTHROTTLED BY\tSCANS IN THEIR LAST SECOND\tAGE\tWHY")
 	for _, t := range s.Tenants {
 		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", t.Tenant, strings.Join(t.Observers, " "), t.Scans, formatDuration(t.Age), strings.Join(t.Why, ", "))
 	}
@@ -100,7 +100,7 @@
 		}
 		fmt.Fprintf(out, "%s is held for %s: %s\n", v.Store, v.Kind, v.Why)
 		if o := v.Order; o != nil {
-			fmt.Fprintf(out, "ordered: %s by %s for %s (version %d): %s; %d members are known to know it, of %d it is unknown\n", o.Do, o.By, formatDuration(o.Left), o.Version, o.Reason,
+			fmt.Fprintf(out, "ordered: %s by %s for %s (version %d): %s; known to %d members, not confirmed by %d\n", o.Do, o.By, formatDuration(o.Left), o.Version, o.Reason,
 				v.Told, v.Not)
 		}
 		w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
@@ -111,7 +111,7 @@
 		if err := w.Flush(); err != nil {
 			return err
 		}
-		_, err := fmt.Fprintf(out, "a verdict needs %d observers of %d zones; %d observers' words are too old to count\n", v.Wanted, v.Zones, v.Unseen)
+		_, err := fmt.Fprintf(out, "a verdict needs %d observers of %d zones; the reports of %d observers are too old to count\n", v.Wanted, v.Zones, v.Unseen)
 		return err
 	}
 	_, err = fmt.Fprintf(out, "%s: no broker reports anything on it, and no operator's order is in force\n", c.Store)
--- a/cmd/measure/capacity.go
+++ b/cmd/measure/capacity.go
@@ -35,7 +35,7 @@
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	fmt.Fprintln(w, "\nMEMBERS, 900 TENANTS\tDATAGRAMS /member/s\tBYTES /member/s\tACCOUNTS, MOST\tBYTES /account\tTAKEN\tOVER")
+	fmt.Fprintln(w, "\nMEMBERS, 900 TENANTS\tDATAGRAMS /member/s\tBYTES /member/s\tACCOUNTS, MAX\tBYTES /account\tTAKEN\tOVER")
 	for _, n := range c.Members {
 		x := simulation.Tenants(1, n, 900)
 		fmt.Fprintf(w, "%d\t%.0f\t%.0f\t%d\t%.0f\t%d of %d\t%.1f\n", n, x.Datagrams, x.Bytes, x.Most, x.BytesPerAccount, x.Taken, x.Asked, x.Over)
@@ -58,12 +58,12 @@
 
 const (
 	replicas      = 3 // replicas of a shard
-	partsOfQuery  = 4
-	openAtOnce    = 500
+	partsPerQuery = 4
+	openQueries   = 500
 	coreRepeats   = 20 // whole lists, and single changes
 	coreClock     = 1e12
-	queryEvery    = 2.0 // ms of virtual time
-	answeredAfter = 40.0
+	queryInterval = 2.0 // ms of virtual time
+	answerDelay   = 40.0
 	timeLeft      = 3000.0
 )
 
@@ -121,7 +121,7 @@
 	for _, o := range r.core.Step(r.now, in) {
 		if call, is := o.(core.Call); is {
 			for _, p := range call.Parts {
-				r.pending, r.dueAt = append(r.pending, p), append(r.dueAt, r.now+answeredAfter)
+				r.pending, r.dueAt = append(r.pending, p), append(r.dueAt, r.now+answerDelay)
 			}
 		}
 	}
@@ -129,13 +129,13 @@
 
 func query(n, shards int, at float64) *core.Scan {
 	s := &core.Scan{ID: fmt.Sprint("q", n), Text: "t", TimeLeft: timeLeft, ReceivedAt: at}
-	for i := range partsOfQuery {
-		s.Parts = append(s.Parts, core.ScanPart{Shard: (7*n + i) % shards, Weight: 1.0 / partsOfQuery, Work: 50})
+	for i := range partsPerQuery {
+		s.Parts = append(s.Parts, core.ScanPart{Shard: (7*n + i) % shards, Weight: 1.0 / partsPerQuery, Work: 50})
 	}
 	return s
 }
 
-// measureCore plays node lists and queries at one list size.
+// measureCore measures node lists and queries at one list size.
 func measureCore(nodes, queries int) (cost coreCost, err error) {
 	text, err := json.Marshal(startTree(nodes))
 	if err != nil {
@@ -154,13 +154,13 @@
 	cost.changeMs = nanosecondsPer(coreRepeats, func(i int) {
 		r.step(1, core.List{Kind: logic.ListDelta, Nodes: known[i : i+1]})
 	}) / 1e6
-	cost.queryUs = nanosecondsPer(queries, func(i int) { r.step(queryEvery, query(i, nodes, r.now)) }) / 1e3
-	r.step(answeredAfter)
+	cost.queryUs = nanosecondsPer(queries, func(i int) { r.step(queryInterval, query(i, nodes, r.now)) }) / 1e3
+	r.step(answerDelay)
 	before = heapInUse()
-	for i := range openAtOnce {
+	for i := range openQueries {
 		r.step(0, query(queries+i, nodes, r.now))
 	}
-	cost.openKB = (heapInUse() - before) / 1024 / openAtOnce
+	cost.openKB = (heapInUse() - before) / 1024 / openQueries
 	runtime.KeepAlive(r)
 	return cost, nil
 }
--- a/cmd/measure/fleet.go
+++ b/cmd/measure/fleet.go
@@ -40,7 +40,7 @@
 const (
 	hollowNodes  = 12
 	realMB       = 256
-	hollowMB     = 8192 // of the process, which all hollow brokers share
+	hollowMB     = 8192 // of the process in which all hollow brokers run
 	clockTicks   = 100  // per second, in /proc
 	pageKB       = 4
 	memoryFields = 24
@@ -48,7 +48,7 @@
 
 func (c *fleetCmd) Run(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "MEMBERS\tSEEN, LEAST\tDATAGRAMS OUT /s\tBYTES OUT /s\tBYTES IN /s\tCORE %\tMEMORY MB\tHOLLOW MB EACH")
+	fmt.Fprintln(w, "MEMBERS\tSEEN, MIN\tDATAGRAMS OUT /s\tBYTES OUT /s\tBYTES IN /s\tCORE %\tMEMORY MB\tHOLLOW MB EACH")
 	for _, n := range c.Members {
 		m, err := c.measure(n)
 		if err != nil {
@@ -213,10 +213,10 @@
 		return nil, err
 	}
 	go http.Serve(ln, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		if held, err := strconv.Atoi(req.URL.Query().Get("timeout_ms")); err == nil {
+		if timeout, err := strconv.Atoi(req.URL.Query().Get("timeout_ms")); err == nil {
 			select {
 			case <-req.Context().Done():
-			case <-time.After(time.Duration(held) * time.Millisecond):
+			case <-time.After(time.Duration(timeout) * time.Millisecond):
 			}
 		}
 		fmt.Fprint(w, `{"seq":1,"whole":false,"hosts":[]}`)
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -37,7 +37,7 @@
 
 func (c *membersCmd) Run(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "MEMBERS\tLOSS\tFIRST SEES s\tLAST SEES s\tAT MOST s\tMISSED\tFALSE SUSPICIONS /member/h\tFALSE DEATHS /member/h\tMESSAGES /member/s\tBYTES /member/s")
+	fmt.Fprintln(w, "MEMBERS\tLOSS\tFIRST DETECTS s\tLAST DETECTS s\tAT MOST s\tMISSED\tFALSE SUSPICIONS /member/h\tFALSE DEATHS /member/h\tMESSAGES /member/s\tBYTES /member/s")
 	for _, n := range []int{4, 32, 200} {
 		for _, loss := range []float64{0, 0.05, 0.3} {
 			m := simulation.Detect(c.Seed, n, loss, c.Kills)
@@ -86,11 +86,11 @@
 	Plot    string                `help:"Draw a partition with outstanding loans under each way into this SVG file instead." placeholder:"FILE"`
 }
 
-// mean plays a day with one way of sharing under all seeds and returns the means; Over and Follow are maxima.
-func (c *limitsCmd) mean(d simulation.Day, way simulation.Strategy) simulation.DayResult {
-	sum := simulation.DayResult{Strategy: way}
+// mean plays a day with one strategy for all seeds and returns the means; Over and Recovery are maxima.
+func (c *limitsCmd) mean(d simulation.Day, strategy simulation.Strategy) simulation.DayResult {
+	sum := simulation.DayResult{Strategy: strategy}
 	for seed := range c.Seeds {
-		p := simulation.Play(uint64(seed+1), d, way)
+		p := simulation.Play(uint64(seed+1), d, strategy)
 		k := float64(c.Seeds)
 		sum.Utilization, sum.WorstUtilization, sum.Messages = sum.Utilization+p.Utilization/k, sum.WorstUtilization+p.WorstUtilization/k, sum.Messages+p.Messages/k
 		sum.Over, sum.Recovery = max(sum.Over, p.Over), max(sum.Recovery, p.Recovery)
@@ -114,7 +114,7 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	if c.Tenants {
-		fmt.Fprintln(w, "MEMBERS\tKEYS\tTAKEN\tOVER scans\tACCOUNTS\tLEFT A MINUTE LATER\tDATAGRAMS /member/s\tBYTES /member/s\tMEMORY bytes/account\tAT ONCE WHEN BACK\tBURST")
+		fmt.Fprintln(w, "MEMBERS\tKEYS\tTAKEN\tOVER scans\tACCOUNTS\tLEFT A MINUTE LATER\tDATAGRAMS /member/s\tBYTES /member/s\tMEMORY bytes/account\tREADMITTED AT ONCE\tBURST")
 		for _, n := range c.Members {
 			for _, keys := range []int{1000, 10000} {
 				x := simulation.Tenants(1, n, keys)
@@ -124,20 +124,20 @@
 		}
 		return w.Flush()
 	}
-	fmt.Fprintln(w, "MEMBERS\tDAY\tWAY\tUSED\tWORST 500 ms\tOVER scans\tSIDES, OF THEIR MEMBERS' SHARE\tFOLLOWS AFTER ms\tMESSAGES /member/s")
+	fmt.Fprintln(w, "MEMBERS\tDAY\tSTRATEGY\tUSED\tWORST 500 ms\tOVER scans\tSIDES, OF THEIR MEMBERS' SHARE\tFOLLOWS AFTER ms\tMESSAGES /member/s")
 	for _, n := range c.Members {
 		var rows []simulation.DayResult
 		var names []string
 		for _, d := range simulation.Days(n, c.Size) {
-			for _, way := range c.Ways {
-				rows, names = append(rows, simulation.DayResult{Strategy: way}), append(names, d.Name)
+			for _, strategy := range c.Ways {
+				rows, names = append(rows, simulation.DayResult{Strategy: strategy}), append(names, d.Name)
 			}
 		}
 		var group errgroup // the days are independent of each other
 		for i, d := range simulation.Days(n, c.Size) {
-			for j, way := range c.Ways {
+			for j, strategy := range c.Ways {
 				group.run(func() error {
-					rows[i*len(c.Ways)+j] = c.mean(d, way)
+					rows[i*len(c.Ways)+j] = c.mean(d, strategy)
 					return nil
 				})
 			}
--- a/cmd/measure/page.go
+++ b/cmd/measure/page.go
@@ -17,7 +17,7 @@
 	"gullstair/internal/emulator"
 )
 
-// comparison holds the runs of a scenario with sharing off and on, with the same random draws.
+// comparison holds two runs of a scenario, with sharing off and on, that use the same random draws.
 type comparison struct {
 	Name, About string
 	Brokers     int
@@ -36,8 +36,8 @@
 var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><meta charset="utf-8"><title>Verdicts shared by the fleet</title>
 <style>body{font:15px sans-serif;margin:2em;max-width:76em}table{border-collapse:collapse}td,th{padding:.2em .8em;text-align:left;vertical-align:top}th{font-weight:600}svg{max-width:100%;height:auto}</style>
-<h1>A fault's day with sharing off and on</h1>
-<p>The same draws on both sides; service and parts by windows of five seconds. Written by <code>go run ./cmd/measure verdicts --page FILE</code>.</p>
+<h1>Scenarios of faults with sharing off and on</h1>
+<p>The same random draws in both runs of a scenario; service and parts by windows of five seconds. Written by <code>go run ./cmd/measure verdicts --page FILE</code>.</p>
 {{range .}}<h2>{{.Name}}</h2><p>{{.About}} ({{.Brokers}} brokers)</p>
 <table><tr>{{range .Sides}}<th>{{.Name}}</th>{{end}}</tr>
 <tr>{{range .Sides}}<td>service {{printf "%.4f" .F.Service}}, worst 10 s {{printf "%.4f" .F.Worst10s}}, p99 {{printf "%.0f" .F.P99}} ms, {{.F.Struck}} parts to failing stores, {{printf "%.3f" .F.Dispatches}} dispatches a part</td>{{end}}</tr>
@@ -111,9 +111,9 @@
 }
 
 // writePage writes all comparisons as one HTML page.
-func writePage(path string, days []comparison) error {
+func writePage(path string, comparisons []comparison) error {
 	var b bytes.Buffer
-	if err := pageTemplate.Execute(&b, days); err != nil {
+	if err := pageTemplate.Execute(&b, comparisons); err != nil {
 		return fmt.Errorf("render the page: %w", err)
 	}
 	return os.WriteFile(path, b.Bytes(), 0o644)
--- a/cmd/measure/plot.go
+++ b/cmd/measure/plot.go
@@ -32,14 +32,14 @@
 	return pts
 }
 
-// plotLimits draws a day under each way of sharing: what the fleet and each side of the partition used over time, next
-// to the limit.
-func plotLimits(path string, d simulation.Day, ways []simulation.Strategy) error {
-	all := make([]*plot.Plot, 0, len(ways))
-	for _, way := range ways {
-		played := simulation.Play(1, d, way)
+// plotLimits draws a day under each strategy: what the fleet and each side of the partition used over time, next to the
+// limit.
+func plotLimits(path string, d simulation.Day, strategies []simulation.Strategy) error {
+	all := make([]*plot.Plot, 0, len(strategies))
+	for _, strategy := range strategies {
+		played := simulation.Play(1, d, strategy)
 		p := plot.New()
-		p.Title.Text = fmt.Sprintf("%s: %s, %d members, 200 scans a second", d.Name, way, d.Members)
+		p.Title.Text = fmt.Sprintf("%s: %s, %d members, 200 scans a second", d.Name, strategy, d.Members)
 		p.X.Label.Text, p.Y.Label.Text = "s", "scans a second"
 		p.Y.Min, p.Y.Max = 0, 2.5*d.Size
 		p.Legend.Top = true
--- a/cmd/measure/verdicts.go
+++ b/cmd/measure/verdicts.go
@@ -39,8 +39,8 @@
 		return err
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	var days []comparison
-	fmt.Fprintln(w, "SCENARIO\tBROKERS TELL EACH OTHER\tSERVICE\tWORST 10 s\tP99 ms\tPARTS TO STRUCK STORES\tDISPATCHES A SCAN\tAGAINST ALONE: SERVICE, 95% INTERVAL")
+	var comparisons []comparison
+	fmt.Fprintln(w, "SCENARIO\tBROKERS SHARE\tSERVICE\tWORST 10 s\tP99 ms\tPARTS TO FAILING STORES\tDISPATCHES A SCAN\tGAIN OVER ALONE: SERVICE, 95% INTERVAL")
 	for _, e := range entries {
 		name := strings.TrimSuffix(e.Name(), ".hcl")
 		if !strings.HasPrefix(name, c.Prefix) {
@@ -105,17 +105,17 @@
 		if err != nil {
 			return err
 		}
-		days = append(days, d)
+		comparisons = append(comparisons, d)
 	}
 	if c.Page != "" {
-		return writePage(c.Page, days)
+		return writePage(c.Page, comparisons)
 	}
 	return nil
 }
 
 func (c *verdictsCmd) spread(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "MEMBERS\tLOSS\tVERDICT EVERYWHERE ms\tAT MOST\tMISSED\tORDER EVERYWHERE AT MOST ms\tAFTER A SPLIT AT MOST ms\tOLDEST GONE BY ms\tBYTES /member/s CALM\tONE STORE FAILS\tMESSAGES /member/s THEN")
+	fmt.Fprintln(w, "MEMBERS\tLOSS\tVERDICT EVERYWHERE ms\tAT MOST\tMISSED\tORDER EVERYWHERE AT MOST ms\tAFTER A SPLIT AT MOST ms\tOLDEST EVIDENCE ms\tBYTES /member/s, NO FAULT\tONE STORE IN 20 FAILS\tMESSAGES /member/s THEN")
 	sizes, losses := c.Sizes, []float64{0, 0.05, 0.3}
 	all := make([]simulation.SpreadResult, len(sizes)*len(losses))
 	var group errgroup
