--- a/cmd/gullstair/fleet.go
+++ b/cmd/gullstair/fleet.go
@@ -29,7 +29,7 @@
 const checkConfig = "check-config"
 
 const (
-	memoryShare   = 0.7 // The Go runtime's soft memory limit as a share of the memory setting.
+	memoryShare   = 0.7 // Soft memory limit as a share of the memory setting; above it the garbage collector runs more often.
 	statusTimeout = 3 * time.Second
 	bytesPerMB    = 1 << 20
 )
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// safeStep converts a panic of one instance to a Fatal action of it, so that the other brokers go on.
+// safeStep converts a panic of one instance to a Fatal action of that instance, so that the other brokers keep running.
 func safeStep(brk *logic.Broker, now float64, events []logic.Event) (acts []logic.Action) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/cells/moves.go
+++ b/internal/cells/moves.go
@@ -148,7 +148,7 @@
 	return v, nil
 }
 
-// storedSnapshot is a snapshot in JSON. It holds the cells of moved tenants, since finished moves are dropped in time.
+// storedSnapshot is a snapshot in JSON. It holds the cells of moved tenants, since finished moves are dropped eventually.
 type storedSnapshot struct {
 	Version uint64
 	Where   map[string]string
--- a/internal/core/dispatches.go
+++ b/internal/core/dispatches.go
@@ -9,7 +9,7 @@
 
 // act carries out the module's actions in order. Parts for the same node are batched into frames.
 func (c *Core) act(acts []logic.Action) {
-	calls := map[int64]int{} // index in out of the open frame of each node
+	calls := map[int64]int{} // index in c.out of each node's open frame
 	for _, a := range acts {
 		switch a.Kind {
 		case logic.Dispatch:
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -23,13 +23,13 @@
 		"tableType.0.name": "board", "tableType.0.target": 500.0, "tableType.0.timeout": 2000.0, "tableType.0.benefit": 1.0,
 		"tableType.0.effect": "replayable", "layout.need.0": 1.0, "layout.floor.0": 1.0, "areas.count": 1.0, "areas.0": "z", "kinds.count": 1.0,
 		"kinds.0": "std"}
-	site, err := startsettings.ReadSettings(flat)
+	settings, err := startsettings.ReadSettings(flat)
 	require.NoError(t, err)
 	var nodes []Node
 	for i := range 8 {
 		nodes = append(nodes, Node{Host: fmt.Sprint("s-", i), Addr: "127.0.0.1:1", Zone: "z", Kind: "std", Cell: i % 2, Readiness: logic.Ready, Units: 1})
 	}
-	c := New(site, flat, 1, nodes)
+	c := New(settings, flat, 1, nodes)
 	plan := cells.Plan{Cells: []cells.Cell{{Name: "a"}, {Name: "b"}}, Holders: 2, MinHolderShare: 0.6, Pins: map[string]string{"bad": "a", "good": "b"}}
 	c.SetCells(plan, map[string]quota.Limits{"a": {Open: 3}, "b": {Open: 3}}, 1000, 900, func() float64 { return 0 })
 	c.Step(1000, nil)
--- a/internal/simwire/notes_test.go
+++ b/internal/simwire/notes_test.go
@@ -12,7 +12,7 @@
 	"gullstair/logic"
 )
 
-// A peer's note reaches the module unchanged; a malformed one reaches it empty, and the batch goes on: a peer must not be
+// A peer's note reaches the module unchanged; a malformed one reaches it empty, and reading continues: a peer must not be
 // able to stop this broker.
 func TestNotesOnTheWire(t *testing.T) {
 	for contents, want := range map[string][]byte{" contents=68692037": []byte("hi 7"), " contents=6": nil,
--- a/logic/dispatch.go
+++ b/logic/dispatch.go
@@ -16,7 +16,7 @@
 		}
 	}
 	copyAt := s.lastAnswer + typ.mean*(1+copyDelayMeans/open)
-	if b.flag("limit.secondCopies") { // the last moment for a copy in time; a recall costs more
+	if b.flag("limit.secondCopies") { // the latest time at which a copy can meet the target; a recall costs more
 		copyAt = min(copyAt, s.targetAt-typ.mean-typ.dev)
 	}
 	for _, p := range s.parts {
@@ -68,23 +68,23 @@
 			continue
 		}
 		p.candidates = b.eligible(p)
-		again := p.open == 1 && silent && len(p.candidates) > 0 && (overtaken || b.hedgeBudget >= 1 &&
+		redispatch := p.open == 1 && silent && len(p.candidates) > 0 && (overtaken || b.hedgeBudget >= 1 &&
 			!b.ejected(p.candidates[0]) && p.candidates[0] != p.tries[len(p.tries)-1].node)
 		failed := len(p.candidates) > 0 && b.tried(p, p.candidates[0]) &&
 			b.now < p.tries[len(p.tries)-1].sentAt+recheckDelay
 		if p.open == 0 && (len(p.candidates) == 0 || failed) { // no holder, or the part has just failed there
 			waiting, next = waiting+p.weight, min(next, b.now+recheckDelay)
-		} else if p.open == 0 || again && b.allows(p, "limit.secondCopies") {
+		} else if p.open == 0 || redispatch && b.allows(p, "limit.secondCopies") {
 			toSend = append(toSend, p)
 			if p.open > 0 {
 				b.hedgeBudget -= 1 / open // several silent parts are stronger evidence
 			}
 			if len(p.tries) > 0 { // counted here: parts of one scan share the budget
 				b.compareShadow(p, true)
-				at := b.budgetKey(p)
-				b.retries[at], b.fleetBudget = append(b.retries[at], [2]float64{b.now}), b.fleetBudget-1
+				key := b.budgetKey(p)
+				b.retries[key], b.fleetBudget = append(b.retries[key], [2]float64{b.now}), b.fleetBudget-1
 			}
-		} else if again && b.due(p.tries[len(p.tries)-1].silentAt) && b.allows(p, "limit.cancelling") {
+		} else if redispatch && b.due(p.tries[len(p.tries)-1].silentAt) && b.allows(p, "limit.cancelling") {
 			b.recall(p)
 			b.hedgeBudget = max(0, b.hedgeBudget-1/open)
 		}
@@ -109,10 +109,10 @@
 
 // blockedBy returns the name of the rule that forbids p a further dispatch under settings t, or "".
 func (b *Broker) blockedBy(p *part, t *settings) string {
-	at := fmt.Sprintf("tableType.%d.", p.scan.typ)
+	prefix := fmt.Sprintf("tableType.%d.", p.scan.typ)
 	first, window := p.firstRunAt(), t.num("rules.budgetWindow")
-	keyed := t.values[at+"effect"] == "keyed" && b.now <= first+t.num(at+"repeatWindow")-4*b.num("turn")
-	if first >= 0 && t.values[at+"effect"] != "replayable" && !keyed {
+	keyed := t.values[prefix+"effect"] == "keyed" && b.now <= first+t.num(prefix+"repeatWindow")-4*b.num("turn")
+	if first >= 0 && t.values[prefix+"effect"] != "replayable" && !keyed {
 		return "effect"
 	} else if !b.attemptsLeft(p, t) {
 		return "dispatches"
@@ -122,8 +122,8 @@
 	longest, key := b.now-max(b.num("rules.budgetWindow"), b.shadow.num("rules.budgetWindow")), b.budgetKey(p)
 	b.retries[key], b.accepted[key] = dropUntil(b.retries[key], longest), dropUntil(b.accepted[key], longest)
 	retries, accepted := dropUntil(b.retries[key], b.now-window), dropUntil(b.accepted[key], b.now-window)
-	most := t.num("rules.spareDispatches") + t.num("rules.spareShare")*float64(len(accepted))
-	if window > 0 && float64(len(retries))+1 > most {
+	limit := t.num("rules.spareDispatches") + t.num("rules.spareShare")*float64(len(accepted))
+	if window > 0 && float64(len(retries))+1 > limit {
 		return "budget"
 	}
 	return ""
@@ -135,7 +135,7 @@
 	var untried, healthy, unhealthy []int
 	for j := 0; p.shard < int(b.num("layout.shards")) && j < int(b.num("layout.reach")); j++ {
 		for _, n := range b.readyInCell[(p.shard+j)%len(b.readyInCell)] {
-			if may := p.scan.permitted; may != nil && !may[b.nodeID[n]] || !b.slowStartAllows(n) {
+			if permitted := p.scan.permitted; permitted != nil && !permitted[b.nodeID[n]] || !b.slowStartAllows(n) {
 				continue
 			} else if b.ejected(n) {
 				unhealthy = append(unhealthy, n)
@@ -169,7 +169,7 @@
 	b.allowance[n] -= p.work // slow start counts parts, not calls
 	b.meanWork += meanAlpha * (p.work - b.meanWork)
 	limit, lateAt := s.endAt, b.now+max(typ.mean+lateDeviations*typ.dev, 4*b.num("turn"))
-	// At silentDeviations, or at the last moment for another dispatch to meet the target time.
+	// At silentDeviations, or at the latest time at which another dispatch can meet the target time.
 	silentAt := max(lateAt, min(lateAt+(silentDeviations-lateDeviations)*typ.dev, s.targetAt-typ.mean-typ.dev))
 	if !b.flag("limit.secondCopies") && !b.flag("limit.cancelling") {
 		limit = min(limit, silentAt) // only a timeout frees the part from a silent node
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -40,9 +40,9 @@
 	throttleStart       = 0.8      // predicted latency, as a share of the target, at which throttling begins,
 	throttleFull        = 1.2      // and at which a scan of mean benefit is always rejected
 	refusalThreshold    = 0.25     // share of refused connections that points to the network, not to a node
-	predictionMaxAge    = 1500.0   // predictions decay after this long without a signal, else throttling stays on
+	predictionMaxAge    = 1500.0   // predictions decay after this long without a signal, else throttling persists
 	saturationWeight    = 4.0      // weight of the share of saturated dispatches in the prediction
-	fewBrokers          = 4.0      // with no more brokers, a node's load seen by one is typical of all
+	fewBrokers          = 4.0      // up to this number of brokers, the load that one sees is typical of all
 	recheckDelay        = 100.0    // delay before a part without an available holder is checked again
 	pacedMinShare       = 0.5      // least paced share of a cold node's capacity; the rest may accumulate unused
 	goldenRatio         = 0.618034 // its multiples are spread evenly modulo 1
--- a/logic/logic_test.go
+++ b/logic/logic_test.go
@@ -646,7 +646,7 @@
 	}
 }
 
-// A scan's parts go to permitted nodes only, also in further dispatches and second steps; without one they are not sent.
+// A scan's parts go to permitted nodes only, also in further dispatches and second steps; a part without one is not sent.
 func TestPermitted(t *testing.T) {
 	r := startBroker(t, nil, ringOfNodes(4)) // shard 0 is on 100 and 101, shard 1 on 101 and 102
 	only := map[int64]bool{101: true, 103: true}
--- a/logic/move_test.go
+++ b/logic/move_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// Saturated nodes bring throttling forward (caruaru-precos overload): meanwhile the latencies of the few answers look good.
+// Saturated nodes cause throttling earlier (caruaru-precos overload): the latencies of the few answers still look good then.
 func TestFullNodesThrottle(t *testing.T) {
 	for _, c := range []struct {
 		saturation float64
@@ -180,7 +180,7 @@
 	assert.Less(t, r.now, 50000+1700.0)
 }
 
-// A node with a late call and no answer since is avoided at the first sign, also by all brokers that get the note
+// A node with a late call and no answer since is avoided at once, also by all brokers that get the note
 // (caruaru-precos big-1: before, each broker needed three silent dispatches of its own).
 func TestLateNote(t *testing.T) {
 	r := startBroker(t, peerSettings, ringOfNodes(4))
--- a/logic/prompt_test.go
+++ b/logic/prompt_test.go
@@ -28,8 +28,8 @@
 	return filterActions(r.step(1, events...), Dispatch)[0]
 }
 
-// TestPromptsGoToHomeNode checks that a prompt whose shared tokens nobody keeps goes to its home node, also past some work there,
-// and that its reported work is the prefill alone.
+// TestPromptsGoToHomeNode checks that a prompt whose shared tokens no node keeps goes to its home node, even if that has some
+// open work, and that its reported work is the prefill alone.
 func TestPromptsGoToHomeNode(t *testing.T) {
 	r := promptNodes(t)
 	for num := int64(1); num <= 4; num++ {
--- a/logic/slowstart_test.go
+++ b/logic/slowstart_test.go
@@ -97,7 +97,7 @@
 }
 
 // worstExcess compares the dispatches to the cold node in each window with its limit: N parts of mean work, and 2·sqrt(N)+2
-// more for chance. It returns the largest excess, and the share of N that was used over the whole time.
+// more for random variation. It returns the largest excess, and the share of N that was used over the whole time.
 func (f *fleetTest) worstExcess(began float64) (over, used float64) {
 	const window, multiple, from, warm = 3000.0, 2.0, 0.2, 10000.0 // as in testSettings
 	limit := func(at float64) float64 {
