--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -36,7 +36,7 @@
 	Tokens          float64            // length of the prompt
 	SharedTokens    float64            // tokens of the parts that other requests may share
 	CachedTokens    map[string]float64 // leading tokens of the prompt that are cached, by id
-	PlacementOrder  []string           // placement order of the instances for the shared parts
+	PlacementOrder  []string           // ids of the instances, the preferred place of the shared parts first
 	WeightsVersions map[string]int64   // version of the weights that the cached parts belong to, by id
 	StoreZones      map[string]string  // zones of the stores, by id
 	// The time in ms to fetch one token from a source in the zone of the running instance, and from another zone.
@@ -122,6 +122,7 @@
 	priority        int
 }
 
+// maxServices is the number of cells and shards that the module is set up with. Further services share their numbers.
 const maxServices = 256
 
 // New returns a balancer that ignores all events until its first configuration.
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -140,8 +140,8 @@
 		f.now += 10
 		f.b.Advance(f.now)
 	}
-	if most := 0.2*float64(requests) + 5; float64(retries) > most || retries == 0 {
-		t.Errorf("%d retries for %d requests, the budget is %.0f", retries, requests, most)
+	if budget := 0.2*float64(requests) + 5; float64(retries) > budget || retries == 0 {
+		t.Errorf("%d retries for %d requests, the budget is %.0f", retries, requests, budget)
 	}
 	f.now += 5000 // the rejections have expired, the budget window has not
 	number, _ := f.arrive("post", nil)
--- a/internal/balance/notes_test.go
+++ b/internal/balance/notes_test.go
@@ -22,10 +22,10 @@
 }
 
 // TestNotesOfLongPrompts passes one broker's notes to another. A prompt that occupies an instance for long is broadcast
-// to all brokers, and the estimated backlog at the other broker shrinks with the time that passes until the prompt is read.
+// to all brokers, and the estimated backlog at the other broker decreases over time until the prompt has been processed.
 func TestNotesOfLongPrompts(t *testing.T) {
 	sender, receiver := newFleet(t, limitsWithNotes()), newFleet(t, limitsWithNotes())
-	receiver.arrive("chat", promptOf(100)) // the broker has learned that these instances read prompts
+	receiver.arrive("chat", promptOf(100)) // so that the receiver knows that these instances process prompts
 	for at, tokens := range []float64{100, 20000} {
 		_, sent := sender.arrive("chat", promptOf(tokens))
 		notes := sender.b.Notes()
--- a/internal/instances/displaced_test.go
+++ b/internal/instances/displaced_test.go
@@ -16,10 +16,10 @@
 	r.Heartbeat(instance("a", 5), start)
 	displaced, changed := r.MarkDisplaced("a", start)
 	if !changed || displaced.State != Displaced || len(r.Active()) != 0 || len(r.Known()) != 1 {
-		t.Fatalf("displaced: %+v, changed %t, used %v", displaced, changed, r.Active())
+		t.Fatalf("displaced: %+v, changed %t, active %v", displaced, changed, r.Active())
 	}
 	if _, changed := r.MarkDisplaced("a", start); changed {
-		t.Error("a repeated Displace reports a change")
+		t.Error("a repeated MarkDisplaced reports a change")
 	}
 	other := New()
 	other.ApplyRecord(instance("a", 7), start) // a renewal that the first broker has not received
@@ -68,7 +68,7 @@
 // TestDisplacedConverges mixes random heartbeats, displacements and exchanges of records between some of the brokers. After
 // every instance has sent one more heartbeat and all records have been exchanged, all brokers list each instance as ready.
 func TestDisplacedConverges(t *testing.T) {
-	const brokers, known, steps = 5, 4, 400
+	const brokers, instanceCount, steps = 5, 4, 400
 	for seed := range uint64(300) {
 		random, now := rand.New(rand.NewPCG(seed, 3)), start
 		var registries [brokers]*Registry
@@ -84,21 +84,21 @@
 			}
 		}
 		sequences := map[string]uint64{}
-		beat := func(id string, at int) {
+		sendHeartbeat := func(id string, at int) {
 			sequences[id]++
 			i := instance(id, sequences[id])
 			i.Address = "10.0.0." + id + ":80"
 			if registries[at].Heartbeat(i, now).Publish {
-				taken, _ := registries[at].Get(id)
-				stores[at].Put(taken.Record())
+				stored, _ := registries[at].Get(id)
+				stores[at].Put(stored.Record())
 			}
 		}
 		for range steps {
 			now = now.Add(time.Duration(random.IntN(2000)) * time.Millisecond)
-			id, at := fmt.Sprint(random.IntN(known)), random.IntN(brokers)
+			id, at := fmt.Sprint(random.IntN(instanceCount)), random.IntN(brokers)
 			switch random.IntN(6) {
 			case 0, 1:
-				beat(id, at)
+				sendHeartbeat(id, at)
 			case 2:
 				if i, changed := registries[at].MarkDisplaced(id, now); changed {
 					stores[at].Put(i.Record())
@@ -107,7 +107,7 @@
 				exchange(at, random.IntN(brokers))
 			}
 		}
-		all := func() {
+		exchangeAll := func() {
 			for range brokers {
 				for from := range brokers {
 					for to := range brokers {
@@ -116,12 +116,12 @@
 				}
 			}
 		}
-		all()
+		exchangeAll()
 		for id := range sequences {
 			now = now.Add(PublishInterval)
-			beat(id, random.IntN(brokers))
+			sendHeartbeat(id, random.IntN(brokers))
 		}
-		all()
+		exchangeAll()
 		for id := range sequences {
 			for at, r := range registries {
 				if i, _ := r.Get(id); i.State != Ready || i.Epoch%2 == 0 && i.Epoch > 0 {
--- a/internal/instances/instances.go
+++ b/internal/instances/instances.go
@@ -174,8 +174,8 @@
 	return result
 }
 
-// ApplyRecord applies a record received from another broker. It reports whether anything but the time of the last sign of life
-// has changed.
+// ApplyRecord applies a record received from another broker. It reports whether the instance has changed in anything but the
+// time at which it was last seen.
 func (r *Registry) ApplyRecord(i Instance, now time.Time) (changed bool) {
 	e := r.entries[i.ID]
 	if e != nil && (e.State == Gone || !e.Record().Version.Less(i.Record().Version)) {
@@ -274,8 +274,8 @@
 	return displaced
 }
 
-// Expire removes instances without a recent sign of life, and those that have been gone or displaced for long. It returns
-// the ids of the removed instances and whether any of them could still get requests.
+// Expire removes instances that were last seen more than staleAfter ago, and those that have been gone or displaced for
+// longer than forgetAfter. It returns the ids of the removed instances and whether any of them could still get requests.
 func (r *Registry) Expire(now time.Time) (forgotten []string, changed bool) {
 	for id, e := range r.entries {
 		switch {
--- a/internal/instances/instances_test.go
+++ b/internal/instances/instances_test.go
@@ -28,7 +28,7 @@
 		t.Error("an unchanged instance is published again at once")
 	}
 	if !r.Heartbeat(instance("a", 7), start.Add(PublishInterval)).Publish {
-		t.Error("an unchanged instance is not published again after ReportEvery")
+		t.Error("an unchanged instance is not published again after PublishInterval")
 	}
 	draining := instance("a", 8)
 	draining.State = Draining
@@ -43,9 +43,9 @@
 func TestGoneIsFinal(t *testing.T) {
 	r := New()
 	r.Heartbeat(instance("a", 5), start)
-	i, was := r.MarkGone("a", start)
-	if !was || i.Record().Version.Epoch == 0 {
-		t.Fatalf("left: %t, %+v", was, i.Record())
+	i, changed := r.MarkGone("a", start)
+	if !changed || i.Record().Version.Epoch == 0 {
+		t.Fatalf("changed: %t, %+v", changed, i.Record())
 	}
 	if !r.Heartbeat(instance("a", 99), start).Stale || len(r.Active()) > 0 {
 		t.Error("a heartbeat brought back an instance that is gone")
@@ -88,7 +88,7 @@
 		t.Errorf("too early: %v", forgotten)
 	}
 	if forgotten, changed := r.Expire(start.Add(staleAfter + time.Second)); !slices.Equal(forgotten, []string{"a"}) || !changed {
-		t.Errorf("no sign of life for staleAfter: %v %t", forgotten, changed)
+		t.Errorf("not seen for staleAfter: %v %t", forgotten, changed)
 	}
 	if forgotten, _ := r.Expire(start.Add(forgetAfter + time.Second)); !slices.Equal(forgotten, []string{"b"}) {
 		t.Errorf("gone for forgetAfter: %v", forgotten)
@@ -140,7 +140,7 @@
 	}
 	r.Confirm(gone)
 	if again, changed := r.MarkGone("a", start); changed || !r.Confirmed("a") || again.State != Gone {
-		t.Error("a repeated Leave changes a confirmed gone state")
+		t.Error("a repeated MarkGone changes a confirmed gone state")
 	}
 	if unknown, changed := r.MarkGone("b", start); !changed || unknown.State != Gone || unknown.ID != "b" {
 		t.Errorf("an unknown instance leaves: %+v %t", unknown, changed)
@@ -156,13 +156,13 @@
 	random, now := rand.New(rand.NewPCG(7, 1)), time.Unix(0, 0)
 	r := New()
 	sequence := uint64(0)
-	drawn := func() Instance {
+	randomInstance := func() Instance {
 		sequence++
 		number := random.IntN(12)
 		return Instance{ID: fmt.Sprint("i-", number), Service: "llm", Address: fmt.Sprint("10.9.0.", number/2), Zone: []string{"a", "b"}[random.IntN(8)/7],
 			State: []State{Ready, Draining}[random.IntN(8)/7], Models: []Model{{Name: "m", Version: 1}}, Sequence: sequence, Cold: time.Duration(random.IntN(3))}
 	}
-	plain := func() []Instance {
+	snapshot := func() []Instance {
 		all := r.Known()
 		for at := range all {
 			all[at].Sequence, all[at].Epoch, all[at].Cold = 0, 0, min(all[at].Cold, 1)
@@ -170,7 +170,7 @@
 		}
 		return all
 	}
-	before, count, unchanged := plain(), r.Changes(), 0
+	before, count, unchanged := snapshot(), r.Changes(), 0
 	for step := range 20000 {
 		now = now.Add(time.Duration(random.IntN(100)) * time.Millisecond)
 		switch random.IntN(20) {
@@ -184,11 +184,11 @@
 			now = now.Add(time.Duration(random.IntN(int(staleAfter))))
 			r.Expire(now)
 		case 3, 4, 5:
-			r.ApplyRecord(drawn(), now)
+			r.ApplyRecord(randomInstance(), now)
 		default:
-			r.Heartbeat(drawn(), now)
+			r.Heartbeat(randomInstance(), now)
 		}
-		after := plain()
+		after := snapshot()
 		differs := !reflect.DeepEqual(before, after)
 		if counted := r.Changes() != count; counted != differs {
 			t.Fatalf("step %d: counter changed: %t, instances changed: %t\n%v\n%v", step, counted, differs, before, after)
--- a/internal/kvindex/poll.go
+++ b/internal/kvindex/poll.go
@@ -77,7 +77,7 @@
 }
 
 // UnmarshalJSON parses the array of a part.
-func (h *cachedPart) UnmarshalJSON(text []byte) error {
+func (p *cachedPart) UnmarshalJSON(text []byte) error {
 	var fields []json.RawMessage
 	if err := json.Unmarshal(text, &fields); err != nil {
 		return err
@@ -85,7 +85,7 @@
 	if len(fields) < 3 {
 		return errors.Newf("a cached part has %d fields", len(fields))
 	}
-	for at, to := range map[int]any{0: &h.Salt, 1: &h.ID, 2: &h.Tokens} {
+	for at, to := range map[int]any{0: &p.Salt, 1: &p.ID, 2: &p.Tokens} {
 		if err := json.Unmarshal(fields[at], to); err != nil {
 			return errors.Wrapf(err, "field %d of a cached part", at)
 		}
@@ -155,5 +155,5 @@
 	case response.Status != http.StatusOK:
 		return errors.Newf("the instance answered %d", response.Status)
 	}
-	return errors.Wrap(json.Unmarshal(text, into), "parse the list of cached parts")
+	return errors.Wrap(json.Unmarshal(text, into), "parse the answer")
 }
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -47,9 +47,9 @@
 		ordered := slices.Clone(members)
 		slices.SortFunc(ordered, func(a, b string) int { return cmp.Compare(Score(key, b), Score(key, a)) })
 		random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
-		for _, most := range []int{0, 1, 2, 7, len(members), len(members) + 3} {
-			if got, want := First(key, members, most), ordered[:min(most, len(ordered))]; !slices.Equal(got, want) {
-				t.Fatalf("the first %d of %d: %v, want %v", most, len(members), got, want)
+		for _, limit := range []int{0, 1, 2, 7, len(members), len(members) + 3} {
+			if got, want := First(key, members, limit), ordered[:min(limit, len(ordered))]; !slices.Equal(got, want) {
+				t.Fatalf("the first %d of %d: %v, want %v", limit, len(members), got, want)
 			}
 		}
 	}
