--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -32,13 +32,13 @@
 	resumable  bool   // from the route
 	begun      bool   // the head has been forwarded
 	lastSentID string // id of the last event that the client has received
-	named      bool   // the last forwarded event has an id
+	lastHasID  bool   // the last forwarded event has an id
 	length     int64  // of the body; negative if unknown
 	sentBytes  int64
 }
 
 // committed reports whether the response has begun and no other attempt may continue it.
-func (a *answer) committed() bool { return a.begun && !(a.stream && a.resumable && a.named) }
+func (a *answer) committed() bool { return a.begun && !(a.stream && a.resumable && a.lastHasID) }
 
 // hopHeaders are the hop-by-hop headers, which are not forwarded.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding",
@@ -120,7 +120,7 @@
 			pending = append(pending, buffer[:n]...)
 			if end := lastEventEnd(pending); end > 0 {
 				a.begin(r)
-				if !a.passEvents(pending[:end], resumed) {
+				if !a.forwardEvents(pending[:end], resumed) {
 					return errClientGone
 				}
 				pending = append(pending[:0], pending[end:]...)
@@ -160,8 +160,8 @@
 	return end + len("\n\n")
 }
 
-// passEvents forwards complete events. If the stream was resumed, it skips events that the client has received already.
-func (a *answer) passEvents(events []byte, resumed bool) bool {
+// forwardEvents forwards complete events. If the stream was resumed, it skips events that the client has received already.
+func (a *answer) forwardEvents(events []byte, resumed bool) bool {
 	for len(events) > 0 {
 		end := firstEventEnd(events)
 		event := events[:end]
@@ -170,8 +170,8 @@
 		if resumed && id != "" && !after(id, a.lastSentID) {
 			continue
 		}
-		a.named = id != ""
-		if a.named {
+		a.lastHasID = id != ""
+		if a.lastHasID {
 			a.lastSentID = id
 		}
 		if !a.write(event) {
--- a/internal/gateway/call.go
+++ b/internal/gateway/call.go
@@ -218,21 +218,21 @@
 	defer cancel()
 	ctx, stop := context.WithDeadline(ctx, c.deadline)
 	defer stop()
-	begun := time.Now()
+	sentAt := time.Now()
 	request, version := c.request(instance, command)
 	canceled := c.cancelWhenOutdated(cancel, instance, version)
 	response, progress, err := c.server.pool.Send(ctx, instance.Address, request)
 	if canceled() {
 		c.exchange.markRecalled()
 	}
-	outcome := c.processResponse(response, progress, err, instance, number, begun)
+	outcome := c.processResponse(response, progress, err, instance, number, sentAt)
 	if response != nil {
 		response.Close()
 	}
 	outcome = c.adjustOutcome(outcome)
 	c.server.logger.Debug().Str("request", c.id).Str("instance", instance.ID).Str("source", command.Source).Int("attempt", number).
-		Int64("version", version).Int("outcome", int(outcome)).Err(err).Dur("took", time.Since(begun)).Msg("attempt ended")
-	c.server.dispatcher.attemptEnded(c.exchange, number, outcome, time.Since(begun))
+		Int64("version", version).Int("outcome", int(outcome)).Err(err).Dur("took", time.Since(sentAt)).Msg("attempt ended")
+	c.server.dispatcher.attemptEnded(c.exchange, number, outcome, time.Since(sentAt))
 	if outcome != logic.Completed && c.answer != nil && c.answer.committed() {
 		c.fail() // regardless of the next command: no other attempt can continue this response
 	}
@@ -247,15 +247,15 @@
 // cancelWhenOutdated sets a timer that cancels the attempt at the time by which requests on the instance's weights must have
 // begun: one that begins later would run on weights that are too old. The caller stops the timer with the returned function
 // once the response begins or fails; the function reports whether the timer has fired.
-func (c *call) cancelWhenOutdated(cancel context.CancelFunc, instance instances.Instance, version int64) (stop func() (done bool)) {
+func (c *call) cancelWhenOutdated(cancel context.CancelFunc, instance instances.Instance, version int64) (stop func() (fired bool)) {
 	if c.prompt == nil {
 		return func() bool { return false }
 	}
-	by := c.server.weights.StartDeadline(c.prompt.model, version)
-	if by.IsZero() {
+	startDeadline := c.server.weights.StartDeadline(c.prompt.model, version)
+	if startDeadline.IsZero() {
 		return func() bool { return false }
 	}
-	timer := time.AfterFunc(time.Until(by), func() {
+	timer := time.AfterFunc(time.Until(startDeadline), func() {
 		c.server.logger.Info().Str("request", c.id).Str("instance", instance.ID).Int64("version", version).Msg("taken back: its weights' time is over")
 		cancel()
 	})
@@ -279,7 +279,7 @@
 
 // processResponse processes the result of sending the request and returns the outcome of the attempt.
 func (c *call) processResponse(response *upstream.Response, progress upstream.Progress, err error, instance instances.Instance, number int,
-	begun time.Time) logic.Outcome {
+	sentAt time.Time) logic.Outcome {
 	if err != nil {
 		if progress == upstream.NotSent {
 			return logic.ConnRefused
@@ -298,7 +298,7 @@
 	if response.Status >= http.StatusInternalServerError {
 		return c.keepErrorResponse(response)
 	}
-	return c.forward(response, instance, number, begun)
+	return c.forward(response, instance, number, sentAt)
 }
 
 // rejected reports whether an instance refused the request without running it, and with which outcome.
@@ -328,7 +328,7 @@
 }
 
 // forward forwards a response to the client.
-func (c *call) forward(response *upstream.Response, instance instances.Instance, number int, begun time.Time) logic.Outcome {
+func (c *call) forward(response *upstream.Response, instance instances.Instance, number int, sentAt time.Time) logic.Outcome {
 	if c.answer == nil {
 		c.answer = &answer{writer: c.writer, stream: c.route.Kind == configuration.Streaming, resumable: c.route.Resumable,
 			lastSentID: c.incoming.Header.Get(lastEventID)}
@@ -340,7 +340,7 @@
 			return
 		}
 		began = true
-		c.server.dispatcher.streamBegan(c.exchange, number, time.Since(begun))
+		c.server.dispatcher.streamBegan(c.exchange, number, time.Since(sentAt))
 		c.recordRead(instance.ID)
 	}
 	if err := c.answer.copy(response, onData); err != nil {
@@ -352,12 +352,12 @@
 	return logic.Completed
 }
 
-// recordRead records in the holder table that an instance has read the request's prompt.
+// recordRead records in the table of cached parts that an instance has read the request's prompt.
 func (c *call) recordRead(id string) {
 	if c.prompt == nil {
 		return
 	}
-	c.server.holders.with(func(t *cachetable.Table) { t.Read(id, c.prompt.keys(c.cacheSalt), c.prompt.tokenCounts()) })
+	c.server.cacheTable.with(func(t *cachetable.Table) { t.Read(id, c.prompt.keys(c.cacheSalt), c.prompt.tokenCounts()) })
 }
 
 // learnVersion updates the instance's version of the weights from the headers of a response.
@@ -428,8 +428,8 @@
 func (c *call) salt(version int64) string {
 	config, tenant := c.server.Configuration(), c.tenant
 	if tenant != nil {
-		if now := config.TenantByName(tenant.Name); now != nil {
-			tenant = now
+		if current := config.TenantByName(tenant.Name); current != nil {
+			tenant = current
 		}
 	}
 	return salt(c.prompt.model, version, config.IsolationHash(), tenant)
--- a/internal/gateway/dispatcher.go
+++ b/internal/gateway/dispatcher.go
@@ -20,8 +20,8 @@
 	exchanges map[int64]*exchange
 	timer     *time.Timer
 	timerAt   float64
-	sendNotes func(note []byte, wide bool) // sends a note to other brokers; to all of them if wide is true
-	unsent    map[bool][]byte              // notes that wait for noteDelay, by whether they go to all brokers
+	sendNotes func(note []byte, broadcast bool) // sends a note to other brokers; to all of them if broadcast is true
+	unsent    map[bool][]byte                   // notes that wait for noteDelay, by whether they go to all brokers
 	flushing  bool
 }
 
@@ -79,11 +79,11 @@
 	d.send(true)
 }
 
-func (d *dispatcher) send(wide bool) {
-	if unsent := d.unsent[wide]; len(unsent) > 0 && d.sendNotes != nil {
-		d.sendNotes(unsent, wide)
+func (d *dispatcher) send(broadcast bool) {
+	if unsent := d.unsent[broadcast]; len(unsent) > 0 && d.sendNotes != nil {
+		d.sendNotes(unsent, broadcast)
 	}
-	delete(d.unsent, wide)
+	delete(d.unsent, broadcast)
 }
 
 // receiveNote passes a note of another broker to the balancer.
--- a/internal/gateway/exchange_test.go
+++ b/internal/gateway/exchange_test.go
@@ -22,9 +22,9 @@
 	"gullstair/internal/weights"
 )
 
-// These tests walk the table in section "Calls" of docs/control.md on real connections: the behavior of the first instance
-// that gets a request, and the kind of the route. A script plays the instance's side of each connection, so the order of
-// events is the same in each run.
+// These tests check the table in section "Calls" of docs/control.md on real connections: the behavior of the first instance
+// that gets a request, and the kind of the route. A script determines what the instance sends and when it closes the
+// connection, so the order of events is the same in each run.
 
 const exchangeConfiguration = `{"version":1,"routes":[
 {"name":"safe","host":"h","path_prefix":"/safe/","kind":"safe","timeout_ms":4000,"target_latency_ms":300,"service":"s","max_attempts":3,"public":true},
@@ -38,7 +38,7 @@
 
 const eventCount = 4
 
-// script plays the instances: first handles the first attempt of the request, all others get a complete response.
+// script acts as the instances: first handles the first attempt of the request, later attempts get a complete response.
 type script struct {
 	first func(c net.Conn, r *http.Request) (open bool)
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -44,7 +44,7 @@
 
 	mu           sync.Mutex
 	instances    map[string]instances.Instance // instances that are not gone, by id
-	holders      lockedTable
+	cacheTable   lockedTable
 	weights      *weights.Ledger
 	loggedOldest map[string]int64 // by model: the version below which instances get no requests, as logged last
 	onDisplaced  func(id string)  // called when another instance answered at an instance's address
@@ -55,7 +55,7 @@
 	Served, Refused, Failed atomic.Int64
 }
 
-// lockedTable is the holder table with a lock and a clock for concurrent use.
+// lockedTable is a table of cached parts with a lock and a clock for concurrent use.
 type lockedTable struct {
 	mu    sync.Mutex
 	table *cachetable.Table
@@ -74,15 +74,15 @@
 	return synced
 }
 
-// WithHolders calls f with the holder table under its lock.
-func (s *Server) WithHolders(f func(*cachetable.Table)) { s.holders.with(f) }
+// WithHolders calls f with the table of cached parts under its lock.
+func (s *Server) WithHolders(f func(*cachetable.Table)) { s.cacheTable.with(f) }
 
-// New returns the data path of a broker. named holds the versions of the models' weights; onDisplaced is called with the id of
+// New returns the data path of a broker. ledger holds the versions of the models' weights; onDisplaced is called with the id of
 // an instance at whose address another one answered.
-func New(s *settings.Settings, logger *log.Logger, network netio.Network, seed uint64, named *weights.Ledger, onDisplaced func(string)) *Server {
-	server := &Server{settings: s, logger: logger, pool: upstream.New(network), instances: map[string]instances.Instance{}, weights: named,
+func New(s *settings.Settings, logger *log.Logger, network netio.Network, seed uint64, ledger *weights.Ledger, onDisplaced func(string)) *Server {
+	server := &Server{settings: s, logger: logger, pool: upstream.New(network), instances: map[string]instances.Instance{}, weights: ledger,
 		loggedOldest: map[string]int64{}, onDisplaced: onDisplaced}
-	server.holders = lockedTable{table: cachetable.New(), start: time.Now()}
+	server.cacheTable = lockedTable{table: cachetable.New(), start: time.Now()}
 	server.dispatcher = newDispatcher(seed, server.fleet(1))
 	return server
 }
@@ -100,8 +100,8 @@
 	}
 }
 
-// SetNoteSender sets the function that sends notes to other brokers; to all of them if wide is true.
-func (s *Server) SetNoteSender(f func(note []byte, wide bool)) { s.dispatcher.sendNotes = f }
+// SetNoteSender sets the function that sends notes to other brokers; to all of them if broadcast is true.
+func (s *Server) SetNoteSender(f func(note []byte, broadcast bool)) { s.dispatcher.sendNotes = f }
 
 // ReceiveNote processes a note received from another broker.
 func (s *Server) ReceiveNote(note []byte) { s.dispatcher.receiveNote(note) }
@@ -146,7 +146,7 @@
 	s.mu.Lock()
 	for id := range s.instances {
 		if _, still := known[id]; !still {
-			s.holders.with(func(t *cachetable.Table) { t.Forget(id) })
+			s.cacheTable.with(func(t *cachetable.Table) { t.Forget(id) })
 		}
 	}
 	s.instances = known
@@ -183,13 +183,13 @@
 func (s *Server) candidates(service, model string) (list []instances.Instance, limited bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	least := s.weights.MinVersion(time.Now(), model)
-	s.logOldest(model, least)
+	minVersion := s.weights.MinVersion(time.Now(), model)
+	s.logOldest(model, minVersion)
 	for _, i := range s.instances {
 		if i.Service != service || i.State != instances.Ready {
 			continue
 		}
-		if model != "" && i.VersionOf(model) < least {
+		if model != "" && i.VersionOf(model) < minVersion {
 			limited = true
 			continue
 		}
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -142,9 +142,9 @@
 func TestResumedEventsComeOnce(t *testing.T) {
 	writer := &sink{header: http.Header{}}
 	a := &answer{writer: writer, stream: true}
-	a.passEvents([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), false)
-	a.passEvents([]byte("id: 2\ndata: b\n\nid: 3\ndata: c\n\n"), true)
-	a.passEvents([]byte("id: 4\ndata: d\n\n"), true)
+	a.forwardEvents([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), false)
+	a.forwardEvents([]byte("id: 2\ndata: b\n\nid: 3\ndata: c\n\n"), true)
+	a.forwardEvents([]byte("id: 4\ndata: d\n\n"), true)
 	if got, want := writer.String(), "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\nid: 4\ndata: d\n\n"; got != want || a.lastSentID != "4" {
 		t.Errorf("forwarded: %q, last id %s", got, a.lastSentID)
 	}
--- a/internal/gateway/prompt.go
+++ b/internal/gateway/prompt.go
@@ -107,7 +107,7 @@
 	for _, c := range candidates {
 		out.WeightsVersions[c.ID] = c.VersionOf(p.model)
 	}
-	s.holders.with(func(t *cachetable.Table) {
+	s.cacheTable.with(func(t *cachetable.Table) {
 		keys := map[int64][]cachetable.Key{} // by version of the weights
 		for _, c := range candidates {
 			version := out.WeightsVersions[c.ID]
@@ -122,7 +122,7 @@
 	})
 	if len(p.shared()) > 0 && len(candidates) > 0 {
 		out.PlacementOrder = placementOrder(p, salt("", 0, isolation, tenant), candidates)
-		if home := out.PlacementOrder[0]; !s.holders.synced(home) { // not known completely: assume that it caches the parts placed there
+		if home := out.PlacementOrder[0]; !s.cacheTable.synced(home) { // not known completely: assume that it caches the parts placed there
 			out.CachedTokens[home] = max(out.CachedTokens[home], out.SharedTokens)
 		}
 	}
@@ -133,7 +133,7 @@
 	return out
 }
 
-// StoreName returns the key of a store in the holder table.
+// StoreName returns the key of a store in the table of cached parts.
 func StoreName(service string) string { return "store/" + service }
 
 // addStore adds the store of cached parts, with the tokens that it holds for the newest version of the weights.
--- a/internal/gateway/streams.go
+++ b/internal/gateway/streams.go
@@ -9,8 +9,6 @@
 	"gullstair/internal/configuration"
 )
 
-// Counters of how streams met the latency targets of their routes, as measured at this broker.
-
 // streamTiming records when the events of one stream arrived.
 type streamTiming struct {
 	firstEvent   time.Time
--- a/internal/planted/control.go
+++ b/internal/planted/control.go
@@ -41,7 +41,7 @@
 	{"control: closed under a request that has arrived", keepaliveFile, " || !netio.Quiet(c.Conn) {", " || !netio.Quiet(c.Conn) && false {", "", ""},
 	{"control: a request that meets the close is handed on", keepaliveFile, "	if c.ended {\n		return 0", "	if c.ended && false {\n		return 0", "", ""},
 	{"control: a digest forgotten", stateFile, "if slices.Contains(s.Taken, digest) {", "if slices.Contains(s.Taken[:0], digest) {", "", ""},
-	{"control: a begun answer gone on with", answerFile, "return a.begun && !(a.stream && a.resumable && a.named)", "return false", "", ""},
+	{"control: a begun answer gone on with", answerFile, "return a.begun && !(a.stream && a.resumable && a.lastHasID)", "return false", "", ""},
 	{"control: a retry on the same connection", poolFile, `if id == "" || !slices`, "if true || !slices", "", ""},
 	{"control: the folder of a new log not synced", slotsFile, "	if err := s.disk.Sync(); err != nil {\n		log.Close()", "	if err := error(nil); err != nil {\n		log.Close()", "", ""},
 	{"control: a slot rolled back", slotsFile, "newest > s.generation {", "newest > s.generation+1<<40 {", "", ""},
@@ -56,7 +56,7 @@
 	{"control: the ages of versions are not kept", rolesFile, "AgeWeights(model, r.broker.weights.Named(time.Now(), model),", "AgeWeights(model, nil,", "", ""},
 	{"control: nobody is told that the time of older weights is over", rolesFile, "&& r.broker.weights.Settled(time.Now(), model, state.Named[model])", "", "", ""},
 	{"control: weights are judged at a request's arrival alone", callFile, "instances.Gone || c.outdated(instance)", "instances.Gone", "", ""},
-	{"control: requests wait at older weights", callFile, "	if by.IsZero() {", "	if by.IsZero() || true {", "", ""},
+	{"control: requests wait at older weights", callFile, "	if startDeadline.IsZero() {", "	if startDeadline.IsZero() || true {", "", ""},
 	{"control: nobody is told that an address is another's", operatorFile, `	b.node.Publish(i.Record())
 }`, "}", "", ""},
 	{"control: renewals from before bring a displaced instance back", registryFile, "max(firstDisplaced, e.Epoch+1)", "e.Epoch", "", ""},
