--- a/internal/router/cost_test.go
+++ b/internal/router/cost_test.go
@@ -167,12 +167,12 @@
 // add records the cost of a change as the difference between the usage of a span with it and of an idle span.
 func (c *costs) add(idle, busy usage, core int) {
 	c.cpu += busy.cpu - idle.cpu
-	links, most, all, brokers := 0, 0, 0, len(busy.total)
+	links, busiest, all, brokers := 0, 0, 0, len(busy.total)
 	for number := core; number < brokers; number++ {
 		cost := max(0, busy.register[number]-idle.register[number])
-		links, most, all = links+cost, max(most, cost), all+busy.total[number]-idle.total[number]
+		links, busiest, all = links+cost, max(busiest, cost), all+busy.total[number]-idle.total[number]
 	}
-	c.links, c.busiest, c.total = append(c.links, links/(brokers-core)), append(c.busiest, most), append(c.total, all/(brokers-core))
+	c.links, c.busiest, c.total = append(c.links, links/(brokers-core)), append(c.busiest, busiest), append(c.total, all/(brokers-core))
 }
 
 // usage is the usage of links, by machine, and of the processor in a time span.
@@ -220,11 +220,11 @@
 func (w *simFleet) awaitEverywhere(at *machine, begun time.Time, patience time.Duration) time.Duration {
 	newest, _ := at.broker.node.Known()
 	for time.Since(begun) < patience {
-		lacking := slices.ContainsFunc(w.machines, func(m *machine) bool {
+		behind := slices.ContainsFunc(w.machines, func(m *machine) bool {
 			known, _ := m.broker.node.Known()
 			return known.Value.Sequence < newest.Value.Sequence
 		})
-		if !lacking {
+		if !behind {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -235,13 +235,13 @@
 // TestSmallChangesCostLittle bounds the mean bytes, sent and received, that a change costs the link of a broker without a
 // disk. Unchanged data is not sent, and no link carries a change more often than the dissemination tree has branches.
 func TestSmallChangesCostLittle(t *testing.T) {
-	for at, most := range []int{1000, 1000, 2000, 2000, 8000} {
+	for at, limit := range []int{1000, 1000, 2000, 2000, 8000} {
 		c := measuredChanges[at]
 		t.Run(c.name, func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
 				got := measureChange(t, c, 24, 0, 6)
 				t.Log(&got)
-				if bytes := mean(got.links); bytes > most || got.failures > 0 {
+				if bytes := mean(got.links); bytes > limit || got.failures > 0 {
 					t.Errorf("a change costs a link %d bytes on average, %d failed", bytes, got.failures)
 				}
 			})
--- a/internal/router/end_test.go
+++ b/internal/router/end_test.go
@@ -46,10 +46,10 @@
 		late, status := w.postOn(conn, reader)
 		time.Sleep(time.Second)
 		w.mu.Lock()
-		passed := w.delivered[late]
+		forwarded := w.delivered[late]
 		w.mu.Unlock()
-		if passed > 0 || status != http.StatusServiceUnavailable && status != 0 {
-			w.failf("%s, sent long after the shutdown began, was forwarded %d times and got %d", late, passed, status)
+		if forwarded > 0 || status != http.StatusServiceUnavailable && status != 0 {
+			w.failf("%s, sent long after the shutdown began, was forwarded %d times and got %d", late, forwarded, status)
 		}
 		w.shutdown()
 	})
--- a/internal/router/fleet_test.go
+++ b/internal/router/fleet_test.go
@@ -353,8 +353,8 @@
 			requests++
 			time.Sleep(5 * time.Millisecond)
 		}
-		most := 0.2*float64(requests) + 20
-		if extra := w.arrivals - requests; float64(extra) > most {
+		budget := 0.2*float64(requests) + 20
+		if extra := w.arrivals - requests; float64(extra) > budget {
 			t.Errorf("%d arrivals for %d requests", w.arrivals, requests)
 		}
 		t.Logf("%d arrivals for %d requests", w.arrivals, requests)
--- a/internal/router/idle_test.go
+++ b/internal/router/idle_test.go
@@ -93,20 +93,20 @@
 	if id, complete := w.answeredOn(conn, reader); !complete {
 		w.failf("%s, the first request on its connection, got no answer", id)
 	}
-	rested := time.Now()
-	time.Sleep(time.Until(closed(rested)) - early)
+	idleSince := time.Now()
+	time.Sleep(time.Until(closed(idleSince)) - early)
 	sent := time.Now()
 	id, complete := w.answeredOn(conn, reader)
-	took, rest := time.Since(sent), sent.Sub(rested)
+	took, idleTime := time.Since(sent), sent.Sub(idleSince)
 	time.Sleep(time.Second) // a forwarded request has arrived by then
 	w.mu.Lock()
-	passed := w.delivered[id]
+	forwarded := w.delivered[id]
 	w.mu.Unlock()
 	switch {
-	case passed > 0 && !complete:
-		w.failf("%s was sent after an idle time of %v, was forwarded and got no answer", id, rest)
+	case forwarded > 0 && !complete:
+		w.failf("%s was sent after an idle time of %v, was forwarded and got no answer", id, idleTime)
 	case !complete && took > inFlightTime && took < schedulingDelay && w.net.ProcessingDelay(m.ip).BeforeRead > 0:
-		w.failf("%s was sent after an idle time of %v, was pending at the broker when its connection was closed, and got no answer", id, rest)
+		w.failf("%s was sent after an idle time of %v, was pending at the broker when its connection was closed, and got no answer", id, idleTime)
 	}
 }
 
--- a/internal/router/index.go
+++ b/internal/router/index.go
@@ -40,7 +40,7 @@
 	return p.configuration == c && p.changes == changes && slices.Equal(p.members, members)
 }
 
-// updateIndex updates what this broker polls, and shares what is due.
+// updateIndex polls the instances of the current plan, and shares the cache contents that are due.
 func (b *Broker) updateIndex(ctx context.Context) {
 	c := b.gateway.Configuration()
 	if c == nil {
--- a/internal/router/index_test.go
+++ b/internal/router/index_test.go
@@ -30,8 +30,8 @@
 			table.reset(members)
 			for i := range 10 {
 				instance := instances.Instance{ID: fmt.Sprint("i-", i), Zone: zones[(i+n/10)%len(zones)]}
-				most := 1 + (i+n)%3
-				if got, want := table.of(instance, most), pollersOf(instance, members, most); !slices.Equal(got, want) {
+				limit := 1 + (i+n)%3
+				if got, want := table.of(instance, limit), pollersOf(instance, members, limit); !slices.Equal(got, want) {
 					t.Fatalf("%s with %d members: %v, want %v", instance.ID, len(members), got, want)
 				}
 			}
@@ -140,13 +140,13 @@
 	if !known {
 		t.Fatal("the first instance is not known")
 	}
-	made := testing.AllocsPerRun(100, func() {
+	allocations := testing.AllocsPerRun(100, func() {
 		renewed.Sequence = p.sequence + 1
 		p.sequence++
 		p.registry.Heartbeat(renewed, p.now)
 		p.replan(p.configuration, p.members)
 	})
-	if made > 0 {
-		t.Errorf("a step after a renewal allocates %v times", made)
+	if allocations > 0 {
+		t.Errorf("a step after a renewal allocates %v times", allocations)
 	}
 }
--- a/internal/router/readdressed_test.go
+++ b/internal/router/readdressed_test.go
@@ -19,9 +19,9 @@
 // Under the race detector the fleet has a third of the size; CI runs the full size without it.
 func TestAddressesUsedAgain(t *testing.T) {
 	const core, slack = 5, 190
-	brokers, models, moved, pace := 75, 90, 27, time.Millisecond
+	brokers, models, moved, interval := 75, 90, 27, time.Millisecond
 	if raceDetector {
-		brokers, models, moved, pace = brokers/3, models/3, moved/3, 3*pace
+		brokers, models, moved, interval = brokers/3, models/3, moved/3, 3*interval
 	}
 	inBubble(t, func(t *testing.T) {
 		w := newSimFleetWithBudget(t, 61, brokers, core, slack)
@@ -35,7 +35,7 @@
 			w.failf("the first configuration got %d", status)
 		}
 		time.Sleep(4 * time.Second)
-		load := w.constantLoad(pace)
+		load := w.constantLoad(interval)
 		time.Sleep(5 * time.Second)
 		crashed := w.models()[:moved]
 		for _, s := range crashed {
@@ -62,21 +62,21 @@
 func (w *simFleet) constantLoad(every time.Duration) *traffic {
 	tr := &traffic{counts: map[int]int{}, stop: make(chan struct{})}
 	client := w.client("10.7.0.1")
-	ask := func(n int) {
+	send := func(n int) {
 		a := w.sendRequest(client, w.machineAt(n), []string{"chat", "chat", "once", "post"}[n%4], []string{"open", "walled"}[n/3%2], n*7919%2003)
 		tr.mu.Lock()
 		defer tr.mu.Unlock()
 		tr.counts[a.status]++
 	}
 	tr.clients.Go(func() {
-		var asked sync.WaitGroup
-		defer asked.Wait()
+		var sending sync.WaitGroup
+		defer sending.Wait()
 		for n := 0; ; n++ {
 			select {
 			case <-tr.stop:
 				return
 			case <-time.After(every):
-				asked.Go(func() { ask(n) })
+				sending.Go(func() { send(n) })
 			}
 		}
 	})
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -117,19 +117,19 @@
 func (b *Broker) tick(ctx context.Context, servers *servers) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	last, at := 0, time.Now()
+	lastCount, lastTick := 0, time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		if late := time.Since(at) - tickInterval; late > lateTick {
+		if late := time.Since(lastTick) - tickInterval; late > lateTick {
 			b.logger.Warn().Dur("late", late).Msg("this broker was held up")
 		}
-		at = time.Now()
-		if members := len(b.node.Members()); members != last {
-			last = members
+		lastTick = time.Now()
+		if members := len(b.node.Members()); members != lastCount {
+			lastCount = members
 			b.gateway.SetBrokers(members)
 		}
 		b.expire()
--- a/internal/router/servers.go
+++ b/internal/router/servers.go
@@ -60,9 +60,9 @@
 // newServer returns a server that does not serve yet. It sets no IdleTimeout, since net/http then closes connections on
 // which a request has already arrived.
 func newServer(listener net.Listener, handler http.Handler, logger *log.Logger) *server {
-	resting := keepalive.NewListener(listener)
-	return &server{listener: resting, http: &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ConnState: resting.ConnState, ErrorLog: logger.Std("", 0)}}
+	tracked := keepalive.NewListener(listener)
+	return &server{listener: tracked, http: &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ConnState: tracked.ConnState, ErrorLog: logger.Std("", 0)}}
 }
 
 func (s *servers) serve(logger *log.Logger) {
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -272,12 +272,12 @@
 	m.bootstrap = false
 }
 
-// kill ends a broker's process at once. With dark set, the machine loses power and its peers get no connection resets.
-func (w *simFleet) kill(m *machine, dark bool) {
+// kill ends a broker's process at once. With powerLoss set, its machine stops too and its peers get no connection resets.
+func (w *simFleet) kill(m *machine, powerLoss bool) {
 	m.disk.mu.Lock()
 	*m.ended = true
 	m.disk.mu.Unlock()
-	w.net.Kill(m.ip, dark)
+	w.net.Kill(m.ip, powerLoss)
 	m.cancel()
 }
 
@@ -327,16 +327,16 @@
 	server  *http.Server
 	stopped chan struct{}
 
-	mu            sync.Mutex
-	version       int64
-	busy          bool
-	rejectsAll    bool          // rejects all requests
-	ignoresOrders bool          // does not answer orders
-	queueTime     time.Duration // how long a request is queued before it is executed
-	minPrefill    time.Duration // minimum time from the start of a request to its first event
-	eventInterval time.Duration // interval between events, if longer than the default
-	beatsAtOnce   bool          // sends its first heartbeat immediately
-	noHeartbeats  bool          // sends no heartbeats
+	mu              sync.Mutex
+	version         int64
+	busy            bool
+	rejectsAll      bool          // rejects all requests
+	ignoresOrders   bool          // does not answer orders
+	queueTime       time.Duration // how long a request is queued before it is executed
+	minPrefill      time.Duration // minimum time from the start of a request to its first event
+	eventInterval   time.Duration // interval between events, if longer than the default
+	heartbeatAtOnce bool          // sends its first heartbeat immediately
+	noHeartbeats    bool          // sends no heartbeats
 
 	misdirected int // number of orders received for the previous instance at this address
 	state       string
@@ -376,7 +376,7 @@
 	w.mu.Unlock()
 	if change != nil {
 		change(s)
-		s.beatsAtOnce = true
+		s.heartbeatAtOnce = true
 	}
 	network := w.net.Host(s.ip)
 	listener, err := network.Listen(s.ip + ":80")
@@ -411,7 +411,7 @@
 
 // sendHeartbeats sends heartbeats, and switches to another broker after each failure.
 func (s *modelServer) sendHeartbeats(client *http.Client, at int) {
-	for first := s.beatsAtOnce; ; first = false {
+	for first := s.heartbeatAtOnce; ; first = false {
 		pause := 1200 * time.Millisecond / 4 * time.Duration(3+at%3)
 		if first {
 			pause = 0
@@ -696,16 +696,16 @@
 func (w *simFleet) checkRun(id, body string) {
 	w.mu.Lock()
 	w.executions[id]++
-	again, promised, asked := w.executeOnce[id] && w.executions[id] > 1, w.rejected[id], w.sent[id]
+	again, rejected, sent := w.executeOnce[id] && w.executions[id] > 1, w.rejected[id], w.sent[id]
 	w.mu.Unlock()
 	if again {
 		w.failf("%s may not be repeated and was executed %d times", id, w.executions[id])
 	}
-	if promised {
+	if rejected {
 		w.failf("%s was executed after its client was told that it would not be", id)
 	}
-	if !asked || body != "body of "+id {
-		w.failf("%s was executed with the body %q; sent by a client: %t", id, body, asked)
+	if !sent || body != "body of "+id {
+		w.failf("%s was executed with the body %q; sent by a client: %t", id, body, sent)
 	}
 }
 
@@ -771,10 +771,10 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	s.mu.Lock()
-	breakAt, pace := s.cutAfter, max(s.eventInterval, defaultEventInterval)
+	cutAfter, interval := s.cutAfter, max(s.eventInterval, defaultEventInterval)
 	s.mu.Unlock()
 	for n := last + 1; n <= streamEvents; n++ {
-		if breakAt > 0 && n > breakAt {
+		if cutAfter > 0 && n > cutAfter {
 			_, _ = fmt.Fprintf(w, "id: %d\nda", n) // cut in the middle of an event
 			panic(http.ErrAbortHandler)
 		}
@@ -785,7 +785,7 @@
 		s.w.mu.Lock()
 		s.w.streamStarted[r.Header.Get("X-Request-Id")] = true
 		s.w.mu.Unlock()
-		time.Sleep(pace)
+		time.Sleep(interval)
 	}
 }
 
