--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -74,8 +74,8 @@
 	return synced
 }
 
-// WithHolders calls f with the table of cached parts under its lock.
-func (s *Server) WithHolders(f func(*cachetable.Table)) { s.cacheTable.with(f) }
+// WithCacheTable calls f with the table of cached parts under its lock.
+func (s *Server) WithCacheTable(f func(*cachetable.Table)) { s.cacheTable.with(f) }
 
 // New returns the data path of a broker. ledger holds the versions of the models' weights; onDisplaced is called with the id of
 // an instance at whose address another one answered.
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -75,13 +75,13 @@
 	b.weights = weights.New(s.Bounds.Version)
 	b.gateway = gateway.New(s, logger, environment.Network, seedOf(s.NodeName), b.weights, b.displace)
 	b.roles = newRoles(b)
-	b.index = kvindex.New(environment.Network, b.gateway.WithHolders)
+	b.index = kvindex.New(environment.Network, b.gateway.WithCacheTable)
 	b.index.OnDisplaced = b.displace
 	node.OnRecord(b.receiveRecord)
 	node.OnNote(cluster.WorkNote, b.gateway.ReceiveNote)
 	node.OnNote(cluster.CacheNote, b.receiveCacheNote)
 	b.gateway.SetNoteSender(node.SendWorkNote)
-	b.sharing = kvindex.NewSharing(node.Incarnation(), b.gateway.WithHolders)
+	b.sharing = kvindex.NewSharing(node.Incarnation(), b.gateway.WithCacheTable)
 	return b, nil
 }
 
