--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -52,7 +52,7 @@
 	}
 	if info, err := os.Lstat(path); err == nil {
 		if info.Mode()&os.ModeSocket == 0 {
-			return nil, fmt.Errorf("control socket %s: something else is there", path)
+			return nil, fmt.Errorf("control socket %s: the path exists and is not a socket", path)
 		}
 		os.Remove(path)
 	}
@@ -90,7 +90,7 @@
 			case open <- struct{}{}:
 				defer func() { <-open }()
 			default:
-				http.Error(w, "too many are open", http.StatusConflict)
+				http.Error(w, "too many streams are open", http.StatusConflict)
 				return
 			}
 			conn, buffered, err := http.NewResponseController(w).Hijack()
@@ -100,8 +100,8 @@
 			}
 			defer conn.Close()
 			conn.SetDeadline(time.Time{})
-			if o, is := conn.(*limitedConn); is {
-				o.release() // a stream does not count toward the connection limit
+			if limited, ok := conn.(*limitedConn); ok {
+				limited.release() // a stream does not count toward the connection limit
 			}
 			io.WriteString(conn, "HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: json\r\n\r\n")
 			stream(r.URL.Query(), readWriter{buffered, conn})
@@ -123,14 +123,14 @@
 	slots chan struct{}
 }
 
-func (f *limitListener) Accept() (net.Conn, error) {
-	f.slots <- struct{}{}
-	conn, err := f.Listener.Accept()
+func (l *limitListener) Accept() (net.Conn, error) {
+	l.slots <- struct{}{}
+	conn, err := l.Listener.Accept()
 	if err != nil {
-		<-f.slots
+		<-l.slots
 		return nil, err
 	}
-	return &limitedConn{Conn: conn, slots: f.slots}, nil
+	return &limitedConn{Conn: conn, slots: l.slots}, nil
 }
 
 // readWriter is a connection whose Read first returns the bytes that are already buffered.
@@ -142,10 +142,10 @@
 func (r readWriter) Read(p []byte) (int, error) { return r.in.Read(p) }
 
 // release frees the slot of a connection that stays open.
-func (o *limitedConn) release() {
-	if !o.released {
-		o.released = true
-		<-o.slots
+func (c *limitedConn) release() {
+	if !c.released {
+		c.released = true
+		<-c.slots
 	}
 }
 
@@ -156,11 +156,11 @@
 	released bool
 }
 
-func (o *limitedConn) Close() error {
-	err := o.Conn.Close()
-	if !errors.Is(err, net.ErrClosed) && !o.released {
-		o.released = true
-		<-o.slots
+func (c *limitedConn) Close() error {
+	err := c.Conn.Close()
+	if !errors.Is(err, net.ErrClosed) && !c.released {
+		c.released = true
+		<-c.slots
 	}
 	return err
 }
@@ -196,7 +196,7 @@
 	case err != nil:
 		return nil, fmt.Errorf("control socket %s: %w", path, err)
 	case res.StatusCode == http.StatusNotFound:
-		return nil, fmt.Errorf("control socket %s: this broker does not tell of %s: the feature is off", path, name)
+		return nil, fmt.Errorf("control socket %s: this broker does not serve %s: the feature is off", path, name)
 	case res.StatusCode == http.StatusConflict:
 		return nil, errors.New(strings.TrimSpace(string(body)))
 	case res.StatusCode != http.StatusOK:
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -49,7 +49,7 @@
 	assert.ErrorContains(t, Get(path, "page", &v), "control socket")
 	require.NoError(t, os.WriteFile(path, nil, 0o600))
 	_, err = Listen(path, Handlers{})
-	assert.ErrorContains(t, err, "something else is there")
+	assert.ErrorContains(t, err, "the path exists and is not a socket")
 	os.Remove(path)
 	stale, err := net.Listen("unix", path)
 	require.NoError(t, err)
@@ -84,7 +84,7 @@
 		open = append(open, c)
 	}
 	_, err = Open(path, "echo", nil)
-	assert.EqualError(t, err, "too many are open")
+	assert.EqualError(t, err, "too many streams are open")
 	assert.NoError(t, Post(path, "order", url.Values{"do": {"it"}}), "open streams do not count toward the connection limit")
 	buf := make([]byte, 5)
 	for _, c := range open {
--- a/internal/gateway/streams.go
+++ b/internal/gateway/streams.go
@@ -17,13 +17,13 @@
 }
 
 // record notes that bytes of the stream have arrived.
-func (p *streamTiming) record(now time.Time) {
-	if p.firstEvent.IsZero() {
-		p.firstEvent = now
+func (t *streamTiming) record(now time.Time) {
+	if t.firstEvent.IsZero() {
+		t.firstEvent = now
 	} else {
-		p.longestPause = max(p.longestPause, now.Sub(p.lastEvent))
+		t.longestPause = max(t.longestPause, now.Sub(t.lastEvent))
 	}
-	p.lastEvent = now
+	t.lastEvent = now
 }
 
 // StreamStats counts how the completely forwarded responses of one streaming route met its latency targets at this broker.
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -187,7 +187,7 @@
 	return Parse(text, path)
 }
 
-// Parse reads and validates a scenario's text; path is used in error messages and to find the base scenario.
+// Parse parses and validates a scenario's text; path is used in error messages and to find the base scenario.
 func Parse(text []byte, path string) (*Scenario, error) {
 	raw, c, err := decode(text, path)
 	if err != nil {
@@ -239,7 +239,7 @@
 		return err
 	}
 	if base.Base != "" {
-		c.reportError("", 0, "base", "%s has a base itself; a base may not have one", raw.Base)
+		c.reportError("", 0, "base", "%s has a base of its own, which a base may not have", raw.Base)
 		return c.err
 	}
 	if baseCheck.scenario(base); baseCheck.err != nil {
@@ -319,7 +319,7 @@
 func (c *checker) duration(block string, nth int, key, text string, least, most time.Duration) float64 {
 	d, err := time.ParseDuration(text)
 	if err != nil || d < least || d > most {
-		c.reportError(block, nth, key, "%q is no time from %v to %v", text, least, most)
+		c.reportError(block, nth, key, "%q is not a duration from %v to %v", text, least, most)
 	}
 	return float64(d) / 1e6
 }
@@ -327,11 +327,11 @@
 func (c *checker) scenario(raw *document) *Scenario {
 	s := &Scenario{About: raw.About, Length: c.duration("", 0, "length", raw.Length, time.Second, 2*time.Hour)}
 	if raw.Fleet == nil {
-		c.reportError("", 0, "fleet", "a fleet block is needed")
+		c.reportError("", 0, "fleet", "a fleet block is required")
 		return s
 	}
 	if raw.Traffic == nil {
-		c.reportError("", 0, "traffic", "a traffic block is needed")
+		c.reportError("", 0, "traffic", "a traffic block is required")
 		return s
 	}
 	c.fleet(raw, &s.Fleet)
@@ -339,7 +339,7 @@
 		c.tableType(i, y, &s.Fleet)
 	}
 	if len(raw.Types) == 0 {
-		c.reportError("", 0, "table_type", "a table_type block is needed")
+		c.reportError("", 0, "table_type", "a table_type block is required")
 	}
 	t := raw.Traffic
 	s.Fleet.Traffic = emulator.Traffic{Rate: c.number("traffic", 0, "scans_per_s", &t.Rate, 0.1, 100000, 0),
@@ -365,10 +365,10 @@
 	for i, e := range raw.Expect {
 		x := Expectation{Figure: e.Figure, Least: c.number("expect", i, "least", e.Least, 0, 1e9, -1), Most: c.number("expect", i, "most", e.Most, 0, 1e9, -1)}
 		if figureByName[e.Figure] == nil {
-			c.reportError("expect", i, "", "there is no such figure")
+			c.reportError("expect", i, "", "unknown figure")
 		}
 		if e.Least == nil && e.Most == nil {
-			c.reportError("expect", i, "", "least or most is needed")
+			c.reportError("expect", i, "", "least or most is required")
 		}
 		s.Expect = append(s.Expect, x)
 	}
@@ -384,7 +384,7 @@
 		c.reportError("limit", i, "for", "%q is not fleet, cell or tenant", l.For)
 	}
 	if (l.Rate == nil) == (l.Open == nil) {
-		c.reportError("limit", i, "", "scans_per_s or open_scans is needed, and not both")
+		c.reportError("limit", i, "", "exactly one of scans_per_s and open_scans is required")
 	}
 	return x
 }
@@ -412,10 +412,10 @@
 	f.BudgetSpare = c.count("fleet", 0, "budget_spare", r.BudgetSpare, 0, 1000000, 0)
 	f.BudgetShare = c.number("fleet", 0, "budget_share", r.BudgetShare, 0, 10, 0)
 	if f.BudgetWindow == 0 && (r.BudgetSpare != nil || r.BudgetShare != nil) {
-		c.reportError("fleet", 0, "budget_spare", "a budget needs budget_window_s")
+		c.reportError("fleet", 0, "budget_spare", "a budget requires budget_window_s")
 	}
 	if len(r.Zones) == 0 {
-		c.reportError("fleet", 0, "zones", "at least one zone is needed")
+		c.reportError("fleet", 0, "zones", "at least one zone is required")
 	}
 	if r.Cells > r.Stores {
 		c.reportError("fleet", 0, "cells", "%d cells and %d stores: each shard needs a store", r.Cells, r.Stores)
@@ -429,7 +429,7 @@
 		}
 	}
 	if f.StoreModel.PauseInterval > 0 && f.StoreModel.PauseDuration >= f.StoreModel.PauseInterval {
-		c.reportError("fleet", 0, "pause_ms", "a pause of %v ms each %v ms leaves no time to work", f.StoreModel.PauseDuration, f.StoreModel.PauseInterval)
+		c.reportError("fleet", 0, "pause_ms", "a pause of %v ms every %v ms leaves no time to work", f.StoreModel.PauseDuration, f.StoreModel.PauseInterval)
 	}
 	for _, k := range r.Kinds {
 		share, queue := 1.0, 40
@@ -440,7 +440,7 @@
 			queue = *k.Queue
 		}
 		if k.Cores < 1 || k.Cores > 1024 || !(k.Speed > 0.001 && k.Speed < 1000) || !(share > 0) || queue < 0 {
-			c.reportError("fleet", 0, "", "kind %s: its cores, speed, share or queue is impossible", k.Name)
+			c.reportError("fleet", 0, "", "kind %s: its cores, speed, share or queue is out of range", k.Name)
 		}
 		f.Kinds = append(f.Kinds, emulator.KindShare{MachineKind: emulator.MachineKind{Name: k.Name, Cores: k.Cores, Speed: k.Speed, QueueSize: queue}, Share: share})
 	}
@@ -450,24 +450,24 @@
 }
 
 func (c *checker) tableType(i int, y tableType, f *emulator.Fleet) {
-	at := "table_type"
-	t := emulator.TableType{Name: y.Name, Share: c.number(at, i, "share", &y.Share, 0.0001, 1e6, 0), Parts: c.count(at, i, "parts", &y.Parts, 1, 1000, 0),
-		Work: c.number(at, i, "work_ms", &y.Work, 0.001, 1e6, 0), Spread: c.number(at, i, "work_spread", y.Spread, 0, 0.99, 0.3),
-		Target: c.number(at, i, "target_ms", &y.Target, 1, 1e6, 0), Timeout: c.number(at, i, "timeout_ms", &y.Timeout, 1, 1e6, 0),
-		Benefit: c.number(at, i, "benefit", &y.Benefit, 0.0001, 1e6, 0), LateBenefit: c.number(at, i, "late_benefit", &y.LateBenefit, 0, 1, 0),
-		Effect: y.Effect, RepeatWindow: c.number(at, i, "repeat_window_ms", &y.Repeat, 0, 1e6, 0), Need: 1,
-		Floor: c.number(at, i, "least_share", y.Floor, 0.01, 1, 1), PartialBenefit: 0.9, Fetch: y.Fetch, FetchWork: c.number(at, i, "fetch_work", y.FetchWork, 0.01, 10, 0.5)}
+	block := "table_type"
+	t := emulator.TableType{Name: y.Name, Share: c.number(block, i, "share", &y.Share, 0.0001, 1e6, 0), Parts: c.count(block, i, "parts", &y.Parts, 1, 1000, 0),
+		Work: c.number(block, i, "work_ms", &y.Work, 0.001, 1e6, 0), Spread: c.number(block, i, "work_spread", y.Spread, 0, 0.99, 0.3),
+		Target: c.number(block, i, "target_ms", &y.Target, 1, 1e6, 0), Timeout: c.number(block, i, "timeout_ms", &y.Timeout, 1, 1e6, 0),
+		Benefit: c.number(block, i, "benefit", &y.Benefit, 0.0001, 1e6, 0), LateBenefit: c.number(block, i, "late_benefit", &y.LateBenefit, 0, 1, 0),
+		Effect: y.Effect, RepeatWindow: c.number(block, i, "repeat_window_ms", &y.Repeat, 0, 1e6, 0), Need: 1,
+		Floor: c.number(block, i, "least_share", y.Floor, 0.01, 1, 1), PartialBenefit: 0.9, Fetch: y.Fetch, FetchWork: c.number(block, i, "fetch_work", y.FetchWork, 0.01, 10, 0.5)}
 	if !slices.Contains([]string{"replayable", "keyed", "non-replayable"}, y.Effect) {
-		c.reportError(at, i, "effect", "%q is not replayable, keyed or non-replayable", y.Effect)
+		c.reportError(block, i, "effect", "%q is not replayable, keyed or non-replayable", y.Effect)
 	}
 	if y.Timeout < y.Target {
-		c.reportError(at, i, "timeout_ms", "it ends before the target time")
+		c.reportError(block, i, "timeout_ms", "it is less than target_ms")
 	}
 	if y.Parts > f.Shards {
-		c.reportError(at, i, "parts", "%d parts, but there are %d shards", y.Parts, f.Shards)
+		c.reportError(block, i, "parts", "%d parts, but there are %d shards", y.Parts, f.Shards)
 	}
 	if y.Fetch < 0 || y.Fetch > y.Parts {
-		c.reportError(at, i, "fetch", "%d is not from 0 to the %d parts", y.Fetch, y.Parts)
+		c.reportError(block, i, "fetch", "%d is not from 0 to the %d parts", y.Fetch, y.Parts)
 	}
 	f.Types = append(f.Types, t)
 }
@@ -477,7 +477,7 @@
 	x := emulator.Fault{Kind: f.Kind, At: c.duration("fault", i, "at", f.At, 0, 2*time.Hour), For: c.duration("fault", i, "for", f.For, time.Millisecond, 2*time.Hour),
 		Share: c.number("fault", i, "share", f.Share, 0.0001, 1, 0.25), Size: c.number("fault", i, "size", f.Size, 0, 1e6, defaultSizes[f.Kind]), Zone: f.Zone, Stores: f.Stores}
 	if _, known := emulator.FaultKinds[f.Kind]; !known {
-		c.reportError("fault", i, "", "there is no such fault; there are: %s", strings.Join(faultKinds(), ", "))
+		c.reportError("fault", i, "", "unknown kind of fault; the kinds are: %s", strings.Join(faultKinds(), ", "))
 	}
 	if x.At >= s.Length {
 		c.reportError("fault", i, "at", "it begins after the end of the run, %v ms", s.Length)
