--- a/internal/planted/faults.go
+++ b/internal/planted/faults.go
@@ -101,15 +101,15 @@
 
 // Proofs are the tests that must detect Faults.
 var Proofs = slices.Concat([]Proof{
-	{Name: "processes", Package: "./cmd/gullstair", Args: []string{"-test.run=TestLeaseFaults|TestLeasesWithoutDisks|TestMachineStandsStill", "-test.timeout=300s"}, Among: "process: "},
+	{Name: "processes", Package: "./cmd/gullstair", Args: []string{"-test.run=TestLeaseFaults|TestLeasesWithoutDisks|TestMachineStandsStill", "-test.timeout=300s"}, FaultPrefix: "process: "},
 	{Name: "explorer", Package: "./internal/explore", Args: []string{"-test.run=TestExplore$", "-test.timeout=300s"}},
 	{Name: "leases' histories", Package: "./internal/simulation", Args: []string{"-test.run=TestLeaseHistories|TestNumbers", "-rapid.nofailfile", "-rapid.checks=1000", "-test.timeout=300s"}},
-	{Name: "limits' histories", Package: "./internal/simulation", Args: []string{"-test.run=TestLimitHistories|TestLimitRosters", "-rapid.nofailfile", "-rapid.checks=1500", "-test.timeout=300s"}, Among: "limits: "},
-	{Name: "limits' cases", Package: "./internal/limitshare", Args: []string{"-test.timeout=120s"}, Among: "limits: "},
-	{Name: "durable's cases", Package: "./internal/durable", Args: []string{"-test.timeout=60s"}, Among: "lasting: "},
-	{Name: "verdicts' histories", Package: "./internal/simulation", Args: []string{"-test.run=TestVerdictHistories", "-rapid.nofailfile", "-rapid.checks=600", "-test.timeout=300s"}, Among: "verdicts: "},
-	{Name: "verdicts' cases", Package: "./internal/simulation", Args: []string{"-test.run=TestOneStoreFails|TestWhoseWordCounts|TestContraryOrders|TestReborn|TestNowAndThen", "-test.timeout=120s"}, Among: "verdicts: "},
-	{Name: "verdicts' units", Package: "./internal/verdicts", Args: []string{"-test.timeout=60s"}, Among: "verdicts: "},
-	{Name: "processes' verdicts", Package: "./cmd/gullstair", Args: []string{"-test.run=TestVerdictFaults", "-test.timeout=200s"}, Among: "verdict process: "},
+	{Name: "limits' histories", Package: "./internal/simulation", Args: []string{"-test.run=TestLimitHistories|TestLimitRosters", "-rapid.nofailfile", "-rapid.checks=1500", "-test.timeout=300s"}, FaultPrefix: "limits: "},
+	{Name: "limits' cases", Package: "./internal/limitshare", Args: []string{"-test.timeout=120s"}, FaultPrefix: "limits: "},
+	{Name: "durable's cases", Package: "./internal/durable", Args: []string{"-test.timeout=60s"}, FaultPrefix: "lasting: "},
+	{Name: "verdicts' histories", Package: "./internal/simulation", Args: []string{"-test.run=TestVerdictHistories", "-rapid.nofailfile", "-rapid.checks=600", "-test.timeout=300s"}, FaultPrefix: "verdicts: "},
+	{Name: "verdicts' cases", Package: "./internal/simulation", Args: []string{"-test.run=TestOneStoreFails|TestWhoseWordCounts|TestContraryOrders|TestReborn|TestNowAndThen", "-test.timeout=120s"}, FaultPrefix: "verdicts: "},
+	{Name: "verdicts' units", Package: "./internal/verdicts", Args: []string{"-test.timeout=60s"}, FaultPrefix: "verdicts: "},
+	{Name: "processes' verdicts", Package: "./cmd/gullstair", Args: []string{"-test.run=TestVerdictFaults", "-test.timeout=200s"}, FaultPrefix: "verdict process: "},
 	{Name: "members' histories", Package: "./internal/simulation", Args: []string{"-test.run=TestHistories|TestPausedHolder|TestRestarts|TestLeavesInMidWork", "-rapid.nofailfile", "-rapid.checks=100", "-test.timeout=300s"}},
 }, controlProofs)
--- a/internal/planted/planted.go
+++ b/internal/planted/planted.go
@@ -25,7 +25,7 @@
 type Proof struct {
 	Name, Package string
 	Args          []string
-	Among         string // applies to faults whose names have this prefix; if empty, to faults without a prefix
+	FaultPrefix   string // applies to faults whose names have this prefix; if empty, to faults without a prefix
 }
 
 // Found is the result of running a proof on a fault.
--- a/internal/planted/planted_test.go
+++ b/internal/planted/planted_test.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		for _, p := range Proofs {
-			if *by != "" && p.Name != *by || !strings.HasPrefix(f.Name, p.Among) || p.Among == "" && strings.Contains(f.Name, ": ") {
+			if *by != "" && p.Name != *by || !strings.HasPrefix(f.Name, p.FaultPrefix) || p.FaultPrefix == "" && strings.Contains(f.Name, ": ") {
 				continue
 			}
 			wg.Go(func() {
