--- a/internal/planted/planted.go
+++ b/internal/planted/planted.go
@@ -61,8 +61,8 @@
 	if err != nil {
 		return "", fmt.Errorf("planted: %w", err)
 	}
-	at := filepath.Join(dir, "overlay.json")
-	return at, os.WriteFile(at, overlay, 0o600)
+	overlayPath := filepath.Join(dir, "overlay.json")
+	return overlayPath, os.WriteFile(overlayPath, overlay, 0o600)
 }
 
 // sources reads a file, or all files of a package except its tests, and returns the texts by path.
@@ -91,9 +91,9 @@
 // fileContaining returns the path of the file that contains a text. It is an error if the text does not occur exactly once.
 func fileContaining(texts map[string]string, text string) (string, error) {
 	path, places := "", 0
-	for at, whole := range texts {
-		if n := strings.Count(whole, text); n > 0 {
-			path, places = at, places+n
+	for file, content := range texts {
+		if n := strings.Count(content, text); n > 0 {
+			path, places = file, places+n
 		}
 	}
 	if places != 1 {
--- a/internal/planted/planted_test.go
+++ b/internal/planted/planted_test.go
@@ -22,7 +22,7 @@
 
 const root = "../.."
 
-// The text that each fault replaces still occurs exactly once, so that the table in docs/results.md can be regenerated.
+// The text that each fault replaces occurs exactly once, so that all faults can be planted for the table in docs/results.md.
 func TestFaultsFit(t *testing.T) {
 	names := map[string]bool{}
 	for _, f := range Faults {
@@ -44,7 +44,7 @@
 	}
 	dir, err := os.Getwd()
 	require.NoError(t, err)
-	top := strings.TrimSuffix(dir, "/internal/planted")
+	repository := strings.TrimSuffix(dir, "/internal/planted")
 	var mu sync.Mutex
 	found := map[string]Found{}
 	var wg sync.WaitGroup
@@ -60,7 +60,7 @@
 			wg.Go(func() {
 				semaphore <- struct{}{}
 				defer func() { <-semaphore }()
-				r, err := Try(top, f, p)
+				r, err := Try(repository, f, p)
 				assert.NoError(t, err)
 				mu.Lock()
 				found[f.Name+p.Name] = r
@@ -74,11 +74,11 @@
 		if !strings.HasPrefix(f.Name, *only) {
 			continue
 		}
-		line, any := f.Name, false
+		line, detected := f.Name, false
 		for _, p := range Proofs {
 			r := found[f.Name+p.Name]
 			if cell := "-"; r.Found {
-				any = true
+				detected = true
 				cell = fmt.Sprintf("%s (%.1f s)", r.After, r.Seconds)
 				line += "\t" + cell
 			} else {
@@ -86,7 +86,7 @@
 			}
 		}
 		fmt.Fprintln(w, line)
-		assert.True(t, any, "%s: no proof detects it", f.Name)
+		assert.True(t, detected, "%s: no proof detects it", f.Name)
 	}
 	w.Flush()
 }
