--- a/internal/router/cost_test.go
+++ b/internal/router/cost_test.go
@@ -184,14 +184,14 @@
 
 // measureUsage measures the usage in a time span that begins with a call of do.
 func (w *simFleet) measureUsage(span time.Duration, do func()) (s usage) {
-	begun, before, control := time.Now(), processorTime(), w.registerBytes()
+	begun, cpuBefore, registerBefore := time.Now(), processorTime(), w.registerBytes()
 	s.total = w.linkTrafficDuring(func() {
 		do()
 		time.Sleep(span - time.Since(begun))
 	})
-	s.cpu, s.register = processorTime()-before, w.registerBytes()
+	s.cpu, s.register = processorTime()-cpuBefore, w.registerBytes()
 	for number := range s.register {
-		s.register[number] -= control[number]
+		s.register[number] -= registerBefore[number]
 	}
 	return s
 }
--- a/internal/router/readdressed_test.go
+++ b/internal/router/readdressed_test.go
@@ -89,21 +89,21 @@
 	w.mu.Lock()
 	arrivals := slices.DeleteFunc(slices.Clone(w.receipts), func(r receipt) bool { return r.service != service })
 	w.mu.Unlock()
-	first := map[string]bool{}
+	seen := map[string]bool{}
 	var repeats []receipt
 	for _, r := range arrivals {
-		if first[r.request] {
+		if seen[r.request] {
 			repeats = append(repeats, r)
 		}
-		first[r.request] = true
+		seen[r.request] = true
 	}
 	worst, allowed, from := 0, 0.0, time.Time{}
-	for _, begin := range repeats {
-		inWindow := func(r receipt) bool { return !r.at.Before(begin.at) && r.at.Before(begin.at.Add(window)) }
-		again, requests := 0, map[string]bool{}
+	for _, start := range repeats {
+		inWindow := func(r receipt) bool { return !r.at.Before(start.at) && r.at.Before(start.at.Add(window)) }
+		retries, requests := 0, map[string]bool{}
 		for _, r := range repeats {
 			if inWindow(r) {
-				again++
+				retries++
 			}
 		}
 		for _, r := range arrivals {
@@ -111,11 +111,11 @@
 				requests[r.request] = true
 			}
 		}
-		if budget := ratio*float64(len(requests)) + slack; worst == 0 || float64(again)/budget > float64(worst)/allowed {
-			worst, allowed, from = again, budget, begin.at
+		if budget := ratio*float64(len(requests)) + slack; worst == 0 || float64(retries)/budget > float64(worst)/allowed {
+			worst, allowed, from = retries, budget, start.at
 		}
 	}
-	w.t.Logf("%s: %d arrivals for %d requests, at worst %d retries in %v of %.0f allowed", service, len(arrivals), len(first), worst, window, allowed)
+	w.t.Logf("%s: %d arrivals for %d requests, at worst %d retries in %v of %.0f allowed", service, len(arrivals), len(seen), worst, window, allowed)
 	if float64(worst) > allowed {
 		w.failf("%s got %d retries in %v from %s, %.0f are allowed", service, worst, window, from.Format("05.000"), allowed)
 	}
--- a/internal/router/world_test.go
+++ b/internal/router/world_test.go
@@ -458,7 +458,7 @@
 
 func (s *modelServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if id := r.Header.Get("X-Request-Id"); id != "" {
-		s.w.received(s.service, id)
+		s.w.recordReceipt(s.service, id)
 	}
 	if want := r.Header.Get("X-Expect-Instance"); want != "" && want != s.id {
 		w.Header().Set("X-Instance-Id", s.id)
@@ -588,7 +588,7 @@
 	s.w.delivered[id]++
 	s.w.mu.Unlock()
 	if s.service == "llm" {
-		s.w.arrived(id, r.Header.Get("Last-Event-Id"))
+		s.w.recordArrival(id, r.Header.Get("Last-Event-Id"))
 	}
 	if !s.waitInQueue(r) {
 		return // the sender has disconnected
@@ -628,9 +628,9 @@
 	}()
 	s.w.checkRun(id, string(body))
 	s.mu.Lock()
-	reading := max(s.minPrefill, time.Duration(missing)*prefillPerToken)
+	prefillTime := max(s.minPrefill, time.Duration(missing)*prefillPerToken)
 	s.mu.Unlock()
-	time.Sleep(reading)
+	time.Sleep(prefillTime)
 	w.Header().Set("X-Server-Stamp", s.id+"."+id)
 	if s.service == "llm" {
 		s.stream(w, r)
@@ -674,15 +674,16 @@
 	}
 }
 
-// received records that a request has arrived at an instance of a service.
-func (w *simFleet) received(service, request string) {
+// recordReceipt records that a request has arrived at an instance of a service.
+func (w *simFleet) recordReceipt(service, request string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.receipts = append(w.receipts, receipt{at: time.Now(), service: service, request: request})
 }
 
-// arrived counts an arrival at an instance with a model, and checks that a stream that has started is resumed, not restarted.
-func (w *simFleet) arrived(id, last string) {
+// recordArrival counts the arrival of a request at an instance with a model. It checks that a stream which has started is resumed
+// and not restarted.
+func (w *simFleet) recordArrival(id, last string) {
 	w.mu.Lock()
 	w.arrivals++
 	begun := w.streamStarted[id]
