--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -75,13 +75,13 @@
 	b.weights = weights.New(s.Bounds.Version)
 	b.gateway = gateway.New(s, logger, environment.Network, seedOf(s.NodeName), b.weights, b.displace)
 	b.roles = newRoles(b)
-	b.index = kvindex.New(environment.Network, b.gateway.WithHolders)
+	b.index = kvindex.New(environment.Network, b.gateway.WithCacheTable)
 	b.index.OnDisplaced = b.displace
 	node.OnRecord(b.receiveRecord)
 	node.OnNote(cluster.WorkNote, b.gateway.ReceiveNote)
 	node.OnNote(cluster.CacheNote, b.receiveCacheNote)
 	b.gateway.SetNoteSender(node.SendWorkNote)
-	b.sharing = kvindex.NewSharing(node.Incarnation(), b.gateway.WithHolders)
+	b.sharing = kvindex.NewSharing(node.Incarnation(), b.gateway.WithCacheTable)
 	return b, nil
 }
 
@@ -117,19 +117,19 @@
 func (b *Broker) tick(ctx context.Context, servers *servers) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	last, at := 0, time.Now()
+	lastCount, lastTick := 0, time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		if late := time.Since(at) - tickInterval; late > lateTick {
+		if late := time.Since(lastTick) - tickInterval; late > lateTick {
 			b.logger.Warn().Dur("late", late).Msg("this broker was held up")
 		}
-		at = time.Now()
-		if members := len(b.node.Members()); members != last {
-			last = members
+		lastTick = time.Now()
+		if members := len(b.node.Members()); members != lastCount {
+			lastCount = members
 			b.gateway.SetBrokers(members)
 		}
 		b.expire()
