--- a/internal/front/client.go
+++ b/internal/front/client.go
@@ -45,7 +45,7 @@
 	writeFailed    bool // a write has failed, so no further answer can be sent
 	noInput        bool // no byte has arrived yet
 	closeRequested bool // it must close before its next request
-	// ending: asked to close, or shut. Front.ending counts these.
+	// ending means that it was asked to close or that its write side is shut. Front.ending counts these.
 	ending bool
 	stage  stage
 	since  time.Time
@@ -88,7 +88,8 @@
 	return here
 }
 
-// startIdle makes the connection idle. It returns false if the connection must close.
+// startIdle makes the connection idle; accepted means that it is a new one. It returns false if the connection must
+// close.
 func (c *client) startIdle(accepted bool) bool {
 	c.front.mu.Lock()
 	defer c.front.mu.Unlock()
@@ -152,8 +153,8 @@
 // the front needs its slot, but not while a further request has been read: the client would wait for its answer in
 // vain.
 func (c *client) answer(a answer, last bool) bool {
-	wanted := c.mustClose() || c.front.closeAfterAnswer.Load() || c.front.crowded()
-	last = last || wanted && !c.hasMore()
+	shouldClose := c.mustClose() || c.front.closeAfterAnswer.Load() || c.front.crowded()
+	last = last || shouldClose && !c.hasMore()
 	return c.write(a, last) && !last && c.startIdle(false)
 }
 
--- a/internal/front/client_test.go
+++ b/internal/front/client_test.go
@@ -50,7 +50,7 @@
 		"a flood":           strings.Repeat(scanRequest("/board", "", validScan), 2000),
 	} {
 		c := d.dial().send(scanRequest("/board", "Connection: close\r\n", validScan))
-		s := receiveScan(t, d.taken)
+		s := receiveScan(t, d.scans)
 		c.send(more)
 		Reply(core.Reply{Scan: s, Kind: logic.Answer})
 		d.waitShut(1)
@@ -61,7 +61,7 @@
 		c.conn.Close()
 		d.waitOpen(0)
 	}
-	assert.Empty(t, d.taken, "requests after Connection: close are not processed")
+	assert.Empty(t, d.scans, "requests after Connection: close are not processed")
 }
 
 // A client's close is detected however many requests it has pipelined behind the current one, and none of them is
@@ -70,13 +70,13 @@
 	d := startFront(t, 10)
 	for name, n := range map[string]int{"one": 1, "some": 20, "many": 800} {
 		c := d.dial().send(scanRequest("/board", "", validScan))
-		s := receiveScan(t, d.taken)
+		s := receiveScan(t, d.scans)
 		c.send(strings.Repeat(scanWithID("more"), n))
 		require.NoError(t, c.conn.Close(), name)
-		assert.Same(t, s, receiveScan(t, d.left), name)
+		assert.Same(t, s, receiveScan(t, d.disconnected), name)
 		d.waitOpen(0)
 	}
-	assert.Empty(t, d.taken)
+	assert.Empty(t, d.scans)
 	assert.EqualValues(t, 1<<20, d.front.readAheadBudget.Load(), "the read-ahead budget is returned")
 }
 
@@ -101,8 +101,8 @@
 }
 
 // newFront returns a Front without a core; each test sets OnScan.
-func newFront(most int) *Front {
-	f := &Front{MaxConns: most, SoftMaxConns: most, ReadAhead: 1 << 20, ReadWithin: testTimeout, Now: func() float64 { return 1000 }, Log: zerolog.Nop()}
+func newFront(maxConns int) *Front {
+	f := &Front{MaxConns: maxConns, SoftMaxConns: maxConns, ReadAhead: 1 << 20, ReadWithin: testTimeout, Now: func() float64 { return 1000 }, Log: zerolog.Nop()}
 	f.Site = testSite
 	f.Ready()
 	return f
@@ -116,7 +116,7 @@
 	now := func() float64 { return float64(clock.Load()) }
 	d.clock.Store(&now)
 	c := d.dial().send(scanWithID("a"))
-	a := receiveScan(t, d.taken)
+	a := receiveScan(t, d.scans)
 	before := d.front.readAheadBudget.Load()
 	c.send(scanWithID("b"))
 	size := int64(len(scanWithID("b")))
@@ -130,7 +130,7 @@
 		id string
 		at float64
 	}{{"b", 1000}, {"c", 3000}} {
-		s := receiveScan(t, d.taken)
+		s := receiveScan(t, d.scans)
 		assert.Equal(t, want.id, s.ID)
 		assert.Equal(t, want.at, s.ReceivedAt, want.id)
 		Reply(core.Reply{Scan: s, Kind: logic.Answer})
@@ -160,7 +160,7 @@
 		return d.front.ending == 1
 	}, testTimeout, time.Millisecond)
 	c.send(scanWithID("a")[50:])
-	s := receiveScan(t, d.taken)
+	s := receiveScan(t, d.scans)
 	Reply(core.Reply{Scan: s, Kind: logic.Answer})
 	status, _, res := c.response()
 	assert.Equal(t, [2]any{200, true}, [2]any{status, res.Close})
@@ -183,14 +183,14 @@
 	assert.ErrorIs(t, err, io.EOF)
 	c.conn.Close()
 	d.waitOpen(0)
-	assert.Empty(t, d.taken)
+	assert.Empty(t, d.scans)
 }
 
 // During shutdown a connection first answers the requests that it has read. Only the last answer announces the close.
 func TestReadRequestsAreAnswered(t *testing.T) {
 	d := startFront(t, 10)
 	c := d.dial().send(scanWithID("a"))
-	a := receiveScan(t, d.taken)
+	a := receiveScan(t, d.scans)
 	before := d.front.readAheadBudget.Load()
 	c.send(scanWithID("b"))
 	require.Eventually(t, func() bool { return d.front.readAheadBudget.Load() < before }, testTimeout, time.Millisecond)
@@ -198,7 +198,7 @@
 	Reply(core.Reply{Scan: a, Kind: logic.Answer})
 	_, _, res := c.response()
 	assert.False(t, res.Close, "a further request was read")
-	Reply(core.Reply{Scan: receiveScan(t, d.taken), Kind: logic.Answer})
+	Reply(core.Reply{Scan: receiveScan(t, d.scans), Kind: logic.Answer})
 	_, _, res = c.response()
 	assert.True(t, res.Close)
 	assert.True(t, c.closed())
@@ -238,9 +238,9 @@
 	status, _, _ = other.dial().send(scanRequest("/lookup", "", small)).response()
 	assert.Equal(t, 400, status, "this table type requires a key")
 	other.dial().send(scanRequest("/lookup", "Idempotency-Key: k\r\n", small))
-	assert.Equal(t, 0, receiveScan(t, other.taken).TableType)
+	assert.Equal(t, 0, receiveScan(t, other.scans).TableType)
 	status, _, _ = other.dial().send(scanRequest("/lookup", "Idempotency-Key: k\r\n", validScan)).response()
 	assert.Equal(t, 400, status, "segment 9 is out of its range")
 	one.dial().send(scanRequest("/board", "", validScan))
-	assert.Len(t, receiveScan(t, one.taken).Parts, 2)
+	assert.Len(t, receiveScan(t, one.scans).Parts, 2)
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -30,12 +30,12 @@
 
 // harness is a Front whose scans go to the test instead of a core.
 type harness struct {
-	t     *testing.T
-	front *Front
-	addr  string
-	taken chan *core.Scan
-	left  chan *core.Scan
-	clock atomic.Pointer[func() float64] // overrides the clock, which is fixed at 1000
+	t            *testing.T
+	front        *Front
+	addr         string
+	scans        chan *core.Scan
+	disconnected chan *core.Scan
+	clock        atomic.Pointer[func() float64] // overrides the clock, which is fixed at 1000
 }
 
 func (d *harness) now() float64 {
@@ -46,14 +46,14 @@
 }
 
 // startFront starts a Front with the given connection limit.
-func startFront(t *testing.T, most int, within ...time.Duration) *harness {
+func startFront(t *testing.T, maxConns int, within ...time.Duration) *harness {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	d := &harness{t: t, addr: ln.Addr().String(), taken: make(chan *core.Scan, 100), left: make(chan *core.Scan, 100)}
-	d.front = newFront(most)
+	d := &harness{t: t, addr: ln.Addr().String(), scans: make(chan *core.Scan, 100), disconnected: make(chan *core.Scan, 100)}
+	d.front = newFront(maxConns)
 	d.front.Now = d.now
 	d.front.ReadWithin = append(within, testTimeout)[0]
-	d.front.OnScan, d.front.OnDisconnect = func(s *core.Scan) { d.taken <- s }, func(s *core.Scan) { d.left <- s }
+	d.front.OnScan, d.front.OnDisconnect = func(s *core.Scan) { d.scans <- s }, func(s *core.Scan) { d.disconnected <- s }
 	go d.front.Serve(ln)
 	t.Cleanup(func() { ln.Close() })
 	return d
@@ -130,7 +130,7 @@
 		"chunked": scanRequest("/board", "X-Repeat: 1\r\nTransfer-Encoding: chunked\r\n", chunked),
 	} {
 		c.send(request)
-		s := receiveScan(t, d.taken)
+		s := receiveScan(t, d.scans)
 		assert.Equal(t, "9b1f", s.ID, name)
 		assert.Equal(t, []core.ScanPart{{Shard: 3, Weight: 0.5, Work: 9}, {Shard: 9, Weight: 0.5}}, s.Parts, name)
 		assert.Equal(t, [3]any{480.0, 1000.0, true}, [3]any{s.TimeLeft, s.ReceivedAt, s.Repeat}, name)
@@ -141,16 +141,16 @@
 		assert.JSONEq(t, `{"all_in":true,"matches":[{"segment":3,"payload":"5be2\"\n"}]}`, body, name)
 	}
 	c.send(scanRequest("/fix", "Idempotency-Key: k1\r\n", validScan))
-	s := receiveScan(t, d.taken)
+	s := receiveScan(t, d.scans)
 	assert.Equal(t, "k1", s.Key)
 	Reply(core.Reply{Scan: s, Kind: logic.Throttle, RetryAfter: 250})
 	status, _, res := c.response()
 	assert.Equal(t, [2]any{429, "0.250"}, [2]any{status, res.Header.Get("Retry-After")})
 	c.send(scanRequest("/board", "", validScan) + scanRequest("/board", "X-Correlation-Id: two\r\n", validScan)) // pipelined requests are answered in order
-	Reply(core.Reply{Scan: receiveScan(t, d.taken), Kind: logic.Abandon})
+	Reply(core.Reply{Scan: receiveScan(t, d.scans), Kind: logic.Abandon})
 	status, _, _ = c.response()
 	assert.Equal(t, 504, status)
-	s = receiveScan(t, d.taken)
+	s = receiveScan(t, d.scans)
 	assert.Equal(t, "two", s.ID)
 	Reply(core.Reply{Scan: s, Kind: logic.Answer})
 	_, body, _ := c.response()
@@ -232,7 +232,7 @@
 	c.conn.(*net.TCPConn).CloseWrite()
 	status, _, _ := c.response()
 	assert.Equal(t, 400, status, "a truncated body")
-	assert.Empty(t, d.taken)
+	assert.Empty(t, d.scans)
 }
 
 // An incomplete request gets an error answer after the timeout, and its connection closes, at whatever byte it stopped.
@@ -249,7 +249,7 @@
 	c := d.dial().send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	c.response()
 	assert.True(t, c.closed(), "an idle connection is closed after its answer")
-	assert.Empty(t, d.taken)
+	assert.Empty(t, d.scans)
 }
 
 func TestClientLeaves(t *testing.T) {
@@ -260,9 +260,9 @@
 		"half":   func(c *net.TCPConn) error { return c.CloseWrite() },
 	} {
 		c := d.dial().send(scanRequest("/board", "", validScan))
-		s := receiveScan(t, d.taken)
+		s := receiveScan(t, d.scans)
 		require.NoError(t, leave(c.conn.(*net.TCPConn)), name)
-		assert.Same(t, s, receiveScan(t, d.left), name)
+		assert.Same(t, s, receiveScan(t, d.disconnected), name)
 		Reply(core.Reply{Scan: s, Kind: logic.Answer}) // an answer after the disconnect is dropped and does not block
 		Reply(core.Reply{Scan: s, Kind: logic.Answer})
 	}
@@ -293,12 +293,12 @@
 func TestCrowded(t *testing.T) {
 	d := startFront(t, 2)
 	busy := d.dial().send(scanRequest("/board", "", validScan))
-	s := receiveScan(t, d.taken)
+	s := receiveScan(t, d.scans)
 	idle := d.dial().send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	idle.response()
 	d.waitIdle(1)
 	third := d.dial().send(scanRequest("/board", "", validScan))
-	s3 := receiveScan(t, d.taken)
+	s3 := receiveScan(t, d.scans)
 	assert.True(t, idle.closed())
 	Reply(core.Reply{Scan: s, Kind: logic.Answer})
 	Reply(core.Reply{Scan: s3, Kind: logic.Answer})
@@ -308,7 +308,7 @@
 	d.waitOpen(2)
 	busy.send(scanRequest("/board", "", validScan))
 	third.send(scanRequest("/board", "", validScan)[:40])
-	receiveScan(t, d.taken)
+	receiveScan(t, d.scans)
 	require.Eventually(t, func() bool {
 		d.front.mu.Lock()
 		defer d.front.mu.Unlock()
@@ -321,7 +321,7 @@
 		return half == 1
 	}, testTimeout, time.Millisecond)
 	fourth := d.dial().send(scanRequest("/board", "", validScan))
-	receiveScan(t, d.taken)
+	receiveScan(t, d.scans)
 	status, _, _ := third.response()
 	assert.Equal(t, 408, status, "an incomplete request is answered and closed to free a slot")
 	assert.True(t, third.closed())
@@ -362,7 +362,7 @@
 	idle := d.dial().send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
 	idle.response()
 	c := d.dial().send(scanRequest("/board", "", validScan))
-	s := receiveScan(t, d.taken)
+	s := receiveScan(t, d.scans)
 	stopped := make(chan struct{})
 	go func() {
 		d.front.Stop(shutdown.New(0, float64(testTimeout)/1e6))
@@ -373,7 +373,7 @@
 	assert.Equal(t, [2]any{503, false}, [2]any{status, res.Close}, "the connection stays open")
 	require.Eventually(t, d.front.closeAfterAnswer.Load, testTimeout, time.Millisecond)
 	late := d.dial().send(scanRequest("/board", "X-Correlation-Id: late\r\n", validScan))
-	sl := receiveScan(t, d.taken)
+	sl := receiveScan(t, d.scans)
 	Reply(core.Reply{Scan: sl, Kind: logic.Answer})
 	_, _, res = late.response()
 	assert.True(t, res.Close)
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -60,7 +60,7 @@
 
 	mu            sync.Mutex
 	conns         map[*client]struct{}
-	ending        int     // how many of conns were asked to close or are shut
+	ending        int     // number of conns that were asked to close or are shut
 	slowestAnswer float64 // recent slowest answer time, ms
 }
 
@@ -163,7 +163,8 @@
 		if tries == maxYields {
 			return false
 		}
-		// The connections that were asked to close have not run yet: a flood of connections is accepted faster.
+		// The goroutines of the connections that were asked to close have not run yet: a flood of connections is
+		// accepted faster than that.
 		f.mu.Unlock()
 		runtime.Gosched()
 		f.mu.Lock()
@@ -252,7 +253,7 @@
 // Flush waits until all connections are closed, at most for within, and reports whether they are. It closes connections
 // that have been idle for idleFor.
 func (f *Front) Flush(within, idleFor time.Duration) bool {
-	for begun := time.Now(); f.Conns() > 0 && time.Since(begun) < within; time.Sleep(flushPollInterval) {
+	for start := time.Now(); f.Conns() > 0 && time.Since(start) < within; time.Sleep(flushPollInterval) {
 		f.mu.Lock()
 		for f.requestCloseOfOldest(idle, idleFor, false) {
 		}
--- a/internal/node/connection.go
+++ b/internal/node/connection.go
@@ -82,14 +82,14 @@
 	return id
 }
 
-// recentlyOut reports whether id was among the last finished attempts.
-func (c *connection) recentlyOut(id string) bool { return slices.Contains(c.recentIDs[:], id) }
+// recentlyEnded reports whether id was among the last finished attempts.
+func (c *connection) recentlyEnded(id string) bool { return slices.Contains(c.recentIDs[:], id) }
 
 // hasConflict reports whether a part of v is already in flight on c. Answers are matched by the part's ID.
 func (c *connection) hasConflict(v core.Call) bool {
 	return slices.ContainsFunc(v.Parts, func(part core.CallPart) bool {
-		_, out := c.refs[part.ID]
-		return out
+		_, inFlight := c.refs[part.ID]
+		return inFlight
 	})
 }
 
@@ -146,16 +146,16 @@
 	c.queue, c.partial, c.partialRefs = nil, nil, nil
 	at := 0
 	for _, f := range frames {
-		begun := f.started || n > at
-		whole := n >= f.end
+		started := f.started || n > at
+		complete := n >= f.end
 		for _, ref := range f.refs {
 			if a := c.attempts[ref]; a != nil {
-				a.started, a.written = begun, whole
+				a.started, a.written = started, complete
 			}
 		}
-		if begun && !whole {
+		if started && !complete {
 			c.partial, c.partialRefs = slices.Clone(buf[max(n, at):f.end]), f.refs
-		} else if !begun {
+		} else if !started {
 			c.queue = append(c.queue, f.message)
 		}
 		at = f.end
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -19,13 +19,13 @@
 
 // Fleet manages one peer per node. Only the goroutine that executes the core's outputs may call its methods.
 type Fleet struct {
-	reach  ConnLimits
+	limits ConnLimits
 	report func(core.Ended)
 	now    func() float64
 	log    zerolog.Logger
 	conns  atomic.Int64
 	peers  map[string]*peer
-	share  atomic.Int64 // maximum connections of one peer, except its first
+	share  atomic.Int64 // connections of a peer from which on it opens another only for a call that fits on none
 	Stats  Stats
 }
 
@@ -33,8 +33,8 @@
 type Stats struct{ Dials, DialsFailed, Broken, Unknown, Malformed, Stalled atomic.Int64 }
 
 // NewFleet returns an empty fleet. It calls report with the result of each attempt; report may block.
-func NewFleet(reach ConnLimits, now func() float64, report func(core.Ended), log zerolog.Logger) *Fleet {
-	return &Fleet{reach: reach, report: report, now: now, log: log, peers: map[string]*peer{}}
+func NewFleet(limits ConnLimits, now func() float64, report func(core.Ended), log zerolog.Logger) *Fleet {
+	return &Fleet{limits: limits, report: report, now: now, log: log, peers: map[string]*peer{}}
 }
 
 // Conns returns the number of connections to nodes that are open or being dialed.
@@ -48,7 +48,7 @@
 			delete(f.peers, host)
 		}
 	}
-	f.share.Store(int64(f.reach.MaxConns / (len(f.peers) + 1)))
+	f.share.Store(int64(f.limits.MaxConns / (len(f.peers) + 1)))
 	p := f.peers[m.Host]
 	if p == nil && m.Gone {
 		return
@@ -63,7 +63,7 @@
 func (f *Fleet) start(host, addr string) *peer {
 	p := newPeer(f, host, addr)
 	f.peers[host] = p
-	f.share.Store(int64(f.reach.MaxConns / (len(f.peers) + 1)))
+	f.share.Store(int64(f.limits.MaxConns / (len(f.peers) + 1)))
 	go p.run()
 	return p
 }
--- a/internal/node/frame.go
+++ b/internal/node/frame.go
@@ -19,9 +19,9 @@
 
 const (
 	callLetter   = 'R'
-	giveUpLetter = 'A'
+	cancelLetter = 'A'
 	answerLetter = 'Y'
-	refuseLetter = 'N'
+	rejectLetter = 'N'
 	probeLetter  = 'T'
 )
 
@@ -59,10 +59,10 @@
 	return append(b, p.Text...)
 }
 
-// appendGiveUp appends a frame that cancels the part with the given ID.
-func appendGiveUp(b []byte, id string) []byte {
+// appendCancel appends a frame that cancels the part with the given ID.
+func appendCancel(b []byte, id string) []byte {
 	at := len(b)
-	b = beginFrame(b, giveUpLetter)
+	b = beginFrame(b, cancelLetter)
 	return finishFrame(append(b, id...), at)
 }
 
@@ -97,21 +97,21 @@
 // readAnswer parses the rest of a Y frame: ID END SCORE REPORT, a newline, the value.
 func readAnswer(rest []byte) (a answer, err error) {
 	line, value, ok := bytes.Cut(rest, []byte{'\n'})
-	words := strings.Split(string(line), " ")
-	if !ok || len(words) != 4 || words[0] == "" {
+	fields := strings.Split(string(line), " ")
+	if !ok || len(fields) != 4 || fields[0] == "" {
 		return a, fmt.Errorf("%w: answer line %.100q", errMalformedFrame, line)
 	}
-	a.id, a.value = words[0], string(value)
-	if a.end = answerEnds[words[1]]; a.end == 0 {
-		return a, fmt.Errorf("%w: end %.40q", errMalformedFrame, words[1])
+	a.id, a.value = fields[0], string(value)
+	if a.end = answerEnds[fields[1]]; a.end == 0 {
+		return a, fmt.Errorf("%w: end %.40q", errMalformedFrame, fields[1])
 	}
-	if a.score, err = strconv.ParseFloat(words[2], 64); err != nil || math.IsNaN(a.score) || math.IsInf(a.score, 0) {
-		if words[2] != "-" {
-			return a, fmt.Errorf("%w: score %.40q", errMalformedFrame, words[2])
+	if a.score, err = strconv.ParseFloat(fields[2], 64); err != nil || math.IsNaN(a.score) || math.IsInf(a.score, 0) {
+		if fields[2] != "-" {
+			return a, fmt.Errorf("%w: score %.40q", errMalformedFrame, fields[2])
 		}
 		a.score = 0
 	}
-	a.load = readReport(words[3])
+	a.load = readReport(fields[3])
 	return a, nil
 }
 
@@ -132,8 +132,8 @@
 	for pair := range strings.SplitSeq(s, ",") {
 		name, val, _ := strings.Cut(pair, "=")
 		x, err := strconv.ParseFloat(val, 64)
-		if word, known := startsettings.Column(name); known && err == nil && x >= 0 && x <= 1e12 {
-			load[word] = x
+		if column, known := startsettings.Column(name); known && err == nil && x >= 0 && x <= 1e12 {
+			load[column] = x
 		}
 	}
 	return load
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -19,7 +19,7 @@
 
 const testTimeout = 5 * time.Second
 
-// fake is a node whose answers the test sends.
+// stubNode is a node whose answers the test sends.
 type stubNode struct {
 	t  *testing.T
 	ln net.Listener
@@ -67,19 +67,19 @@
 	require.NoError(k.t, err)
 }
 
-func testFleet(t *testing.T, reach ConnLimits) (*Fleet, chan core.Ended) {
-	if reach.PerConn == 0 {
-		reach.PerConn = 32
+func testFleet(t *testing.T, limits ConnLimits) (*Fleet, chan core.Ended) {
+	if limits.PerConn == 0 {
+		limits.PerConn = 32
 	}
-	reach.MaxConns = 8
-	if reach.ConnectTimeout == 0 {
-		reach.ConnectTimeout = testTimeout
+	limits.MaxConns = 8
+	if limits.ConnectTimeout == 0 {
+		limits.ConnectTimeout = testTimeout
 	}
-	if reach.IdleTimeout == 0 {
-		reach.IdleTimeout = time.Minute
+	if limits.IdleTimeout == 0 {
+		limits.IdleTimeout = time.Minute
 	}
 	ends := make(chan core.Ended, 100)
-	return NewFleet(reach, func() float64 { return 1000 }, func(e core.Ended) { ends <- e }, zerolog.Nop()), ends
+	return NewFleet(limits, func() float64 { return 1000 }, func(e core.Ended) { ends <- e }, zerolog.Nop()), ends
 }
 
 func nextEnd(t *testing.T, ends chan core.Ended) core.Ended {
@@ -253,24 +253,24 @@
 	k := n.accept()
 	require.NoError(t, k.conn.(*net.TCPConn).SetReadBuffer(1<<16))
 	require.NoError(t, c.conn.(*net.TCPConn).SetWriteBuffer(1<<16)) // otherwise the kernel may enlarge the buffer
-	again := func() {
+	retry := func() {
 		c.stalled = false
 		p.flush(c)
 	}
 	p.processPending()
-	for ref, still := int64(2), 0; still < 3; {
+	for ref, unchanged := int64(2), 0; unchanged < 3; {
 		for ; len(c.queue) < 2; ref++ {
 			require.Contains(t, p.conns, c, "the connection broke while it was filled")
 			v := testCall("a", n.addr(), ref)
 			v.Parts[0].ID, v.Parts[0].Text = fmt.Sprint("q.", ref), strings.Repeat("x", 60000)
-			c.stalled, still = false, 0
+			c.stalled, unchanged = false, 0
 			p.handle(v)
 			p.flush(c)
 		}
 		before := len(c.queue) + len(c.partial)
 		time.Sleep(writeRetryDelay) // the kernel may accept more a moment later
-		if again(); len(c.queue)+len(c.partial) == before {
-			still++
+		if retry(); len(c.queue)+len(c.partial) == before {
+			unchanged++
 		}
 	}
 	return k, c
@@ -354,25 +354,25 @@
 	f.now = func() float64 { return now }
 	p := idlePeer(f, "a", n.addr())
 	p.mailbox = make(chan any, mailboxSize)
-	k, hung := p.fillSendBuffer(t, n)
-	waits := hung.unsent()
-	require.Len(t, waits, 2)
+	k, stalled := p.fillSendBuffer(t, n)
+	unsent := stalled.unsent()
+	require.Len(t, unsent, 2)
 	p.handle(testCall("a", n.addr(), 900))
 	p.connect(t)
 	p.processPending()
 	assert.Contains(t, n.accept().frame(), "q.", "another connection")
-	f.Cancel(core.Cancel{Host: "a", Ref: waits[0]})
+	f.Cancel(core.Cancel{Host: "a", Ref: unsent[0]})
 	now = 1100
 	require.NoError(t, k.conn.(*net.TCPConn).SetReadBuffer(1<<22))
 	go p.run()
 	var last string
-	for want := fmt.Sprintf("Rq.%d ", waits[1]); !strings.HasPrefix(last, want); {
+	for want := fmt.Sprintf("Rq.%d ", unsent[1]); !strings.HasPrefix(last, want); {
 		last = k.frame()
 		require.NotEmpty(t, last)
-		assert.False(t, strings.HasPrefix(last, fmt.Sprintf("Rq.%d ", waits[0])), "a canceled call is not written")
+		assert.False(t, strings.HasPrefix(last, fmt.Sprintf("Rq.%d ", unsent[0])), "a canceled call is not written")
 	}
 	assert.Contains(t, last[:min(40, len(last))], " d=140 ", "the time remaining at the write")
-	k.send(fmt.Sprintf("Yq.%d OK 0 -\nv", waits[1]))
+	k.send(fmt.Sprintf("Yq.%d OK 0 -\nv", unsent[1]))
 	assert.Equal(t, core.Answered, nextEnd(t, ends).Reason)
 }
 
@@ -384,15 +384,15 @@
 	p := idlePeer(f, "a", n.addr())
 	p.mailbox = make(chan any, mailboxSize)
 	_, c := p.fillSendBuffer(t, n)
-	f.reach.ConnectTimeout = 50 * time.Millisecond // set only now: on a loaded machine filling takes longer, and the connection would fail meanwhile
-	out := len(c.attempts)
+	f.limits.ConnectTimeout = 50 * time.Millisecond // set only now: on a loaded machine filling takes longer, and the connection would fail meanwhile
+	inFlight := len(c.attempts)
 	got := map[core.EndReason]int{}
 	go p.run()
-	for range out {
+	for range inFlight {
 		got[nextEnd(t, ends).Reason]++
 	}
 	assert.Equal(t, 3, got[core.WriteFailed], "one partly written, two queued")
-	assert.Equal(t, out-3, got[core.ReadFailed])
+	assert.Equal(t, inFlight-3, got[core.ReadFailed])
 }
 
 func TestRoom(t *testing.T) {
--- a/internal/node/peer.go
+++ b/internal/node/peer.go
@@ -160,7 +160,7 @@
 		p.move(*todo.move)
 	}
 	for _, ref := range todo.canceled {
-		p.giveUp(ref)
+		p.cancelAttempt(ref)
 	}
 	for i := len(p.conns) - 1; i >= 0; i-- {
 		p.flush(p.conns[i])
@@ -214,8 +214,8 @@
 }
 
 // end reports the result of an attempt.
-func (p *peer) end(ref int64, how core.EndReason, a answer) {
-	p.fleet.report(core.Ended{Ref: ref, Reason: how, At: p.fleet.now(), Score: a.score, Value: a.value, Load: a.load})
+func (p *peer) end(ref int64, reason core.EndReason, a answer) {
+	p.fleet.report(core.Ended{Ref: ref, Reason: reason, At: p.fleet.now(), Score: a.score, Value: a.value, Load: a.load})
 }
 
 // call queues a call on a connection with capacity for its parts, or on a new one.
@@ -224,7 +224,7 @@
 		p.addr = v.Addr
 	}
 	best := p.pick(func(c *connection) bool {
-		return len(c.attempts)+len(v.Parts) <= max(p.fleet.reach.PerConn, len(v.Parts)) && !c.hasConflict(v)
+		return len(c.attempts)+len(v.Parts) <= max(p.fleet.limits.PerConn, len(v.Parts)) && !c.hasConflict(v)
 	})
 	if best == nil {
 		for i := range v.Parts {
@@ -256,17 +256,17 @@
 // further one as soon as none is idle. Calls do not wait for it while another is established, since a node may accept
 // slowly.
 func (p *peer) pick(fits func(*connection) bool) (best *connection) {
-	rising := false
+	dialing := false
 	for _, c := range p.conns {
 		if c.addr != p.addr || c.retired || c.stalled {
 			continue
 		}
-		rising = rising || !c.established
+		dialing = dialing || !c.established
 		if fits(c) && (best == nil || c.preferredOver(best)) {
 			best = c
 		}
 	}
-	if best == nil || best.established && len(best.attempts) > 0 && !rising && int64(len(p.conns)) < p.fleet.share.Load() {
+	if best == nil || best.established && len(best.attempts) > 0 && !dialing && int64(len(p.conns)) < p.fleet.share.Load() {
 		if c := p.open(); best == nil {
 			best = c
 		}
@@ -276,7 +276,7 @@
 
 // open dials a further connection. It returns nil if the fleet's limit is reached.
 func (p *peer) open() *connection {
-	if p.fleet.conns.Add(1) > int64(p.fleet.reach.MaxConns) {
+	if p.fleet.conns.Add(1) > int64(p.fleet.limits.MaxConns) {
 		p.fleet.conns.Add(-1)
 		return nil
 	}
@@ -284,7 +284,7 @@
 	p.conns = append(p.conns, c)
 	p.fleet.Stats.Dials.Add(1)
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), p.fleet.reach.ConnectTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), p.fleet.limits.ConnectTimeout)
 		defer cancel()
 		conn, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", c.addr)
 		p.post(dialed{c, conn, err})
@@ -296,11 +296,11 @@
 func (p *peer) dialed(d dialed) {
 	if d.err != nil {
 		p.fleet.Stats.DialsFailed.Add(1)
-		how := core.DialRefused
+		reason := core.DialRefused
 		if ne, ok := errors.AsType[net.Error](d.err); ok && ne.Timeout() {
-			how = core.DialTimedOut
+			reason = core.DialTimedOut
 		}
-		p.drop(d.c, how, d.err)
+		p.drop(d.c, reason, d.err)
 		return
 	}
 	d.c.conn, d.c.established, d.c.lastUse = d.conn, true, time.Now()
@@ -313,15 +313,15 @@
 	return c.remove(ref)
 }
 
-// giveUp cancels an attempt. If a part of its frame is written, it queues a cancellation to the node.
-func (p *peer) giveUp(ref int64) {
+// cancelAttempt cancels an attempt. If a part of its frame is written, it queues a cancellation to the node.
+func (p *peer) cancelAttempt(ref int64) {
 	c := p.connOf[ref]
 	if c == nil {
 		return
 	}
-	begun := c.attempts[ref].started
+	started := c.attempts[ref].started
 	id := p.forget(c, ref)
-	if begun {
+	if started {
 		c.queue = append(c.queue, message{cancelID: id})
 		c.retired = true
 	}
@@ -333,10 +333,10 @@
 		p.probeArrived(v)
 		return
 	}
-	ref, out := v.c.refs[v.a.id]
-	if !out { // no attempt in flight has this ID
+	ref, inFlight := v.c.refs[v.a.id]
+	if !inFlight { // no attempt in flight has this ID
 		p.fleet.Stats.Unknown.Add(1)
-		if v.c.retired = true; !v.c.recentlyOut(v.a.id) {
+		if v.c.retired = true; !v.c.recentlyEnded(v.a.id) {
 			p.drop(v.c, core.BadFrame, errUnsolicited) // it may have been meant for an attempt in flight
 		}
 		return
@@ -376,7 +376,7 @@
 		p.drop(c, core.ReadFailed, err)
 	case len(c.queue)+len(c.partial) == 0:
 		c.stalledAt = time.Time{}
-	case !c.stalledAt.IsZero() && time.Since(c.stalledAt) > p.fleet.reach.ConnectTimeout:
+	case !c.stalledAt.IsZero() && time.Since(c.stalledAt) > p.fleet.limits.ConnectTimeout:
 		p.drop(c, core.ReadFailed, errStalled)
 	default:
 		p.stall(c, n > 0)
@@ -384,9 +384,9 @@
 }
 
 // stall takes a connection with a full send buffer out of use until the next write retry.
-func (p *peer) stall(c *connection, moved bool) {
+func (p *peer) stall(c *connection, progress bool) {
 	p.fleet.Stats.Stalled.Add(1)
-	if c.stalledAt.IsZero() || moved {
+	if c.stalledAt.IsZero() || progress {
 		c.stalledAt = time.Now()
 	}
 	c.stalled = true
@@ -406,7 +406,7 @@
 		case m.call != nil:
 			buf, refs = p.encodeCall(buf, c, m.call)
 		case m.cancelID != "":
-			buf = appendGiveUp(buf, m.cancelID)
+			buf = appendCancel(buf, m.cancelID)
 		default:
 			buf = finishFrame(beginFrame(buf, probeLetter), at)
 		}
@@ -442,7 +442,7 @@
 }
 
 // drop closes a connection and ends all attempts and probes on it.
-func (p *peer) drop(c *connection, how core.EndReason, err error) {
+func (p *peer) drop(c *connection, reason core.EndReason, err error) {
 	if !p.remove(c) {
 		return // it is closed already
 	}
@@ -452,18 +452,18 @@
 	}
 	if len(c.attempts) > 0 {
 		p.fleet.Stats.Broken.Add(1)
-		p.log.Debug().Str("end", how.String()).Int("out", len(c.attempts)).AnErr("cause", err).Msg("connection ended")
+		p.log.Debug().Str("end", reason.String()).Int("out", len(c.attempts)).AnErr("cause", err).Msg("connection ended")
 	}
 	for ref, a := range c.attempts {
 		delete(p.connOf, ref)
 		if c.established && !a.written {
 			p.end(ref, core.WriteFailed, answer{})
 		} else {
-			p.end(ref, how, answer{})
+			p.end(ref, reason, answer{})
 		}
 	}
 	for _, ref := range c.probes {
-		p.end(ref, how, answer{})
+		p.end(ref, reason, answer{})
 	}
 	c.clear()
 }
@@ -482,7 +482,7 @@
 // sweep closes idle connections before the node's idle timeout, with a margin so that no frame crosses the node's
 // close. If the node has moved or is gone it closes them at once.
 func (p *peer) sweep() {
-	idle := p.fleet.reach.IdleTimeout - max(p.fleet.reach.IdleTimeout/10, 2*sweepInterval)
+	idle := p.fleet.limits.IdleTimeout - max(p.fleet.limits.IdleTimeout/10, 2*sweepInterval)
 	for i := len(p.conns) - 1; i >= 0; i-- {
 		c := p.conns[i]
 		if c.idle() && (p.gone || c.retired || c.addr != p.addr || time.Since(c.lastUse) >= idle) {
--- a/internal/node/reader.go
+++ b/internal/node/reader.go
@@ -21,7 +21,7 @@
 		// The rest of a started frame must follow promptly; that of a malformed frame may never come.
 		c.conn.SetReadDeadline(time.Time{})
 		_, err := r.Peek(1)
-		c.conn.SetReadDeadline(time.Now().Add(p.fleet.reach.ConnectTimeout))
+		c.conn.SetReadDeadline(time.Now().Add(p.fleet.limits.ConnectTimeout))
 		buf := buffers.Get()
 		var letter byte
 		var rest []byte
@@ -35,9 +35,9 @@
 		if err == nil && letter == probeLetter {
 			a = readProbe(rest)
 		}
-		words := ""
-		if err == nil && letter == refuseLetter {
-			words = string(rest[:min(len(rest), 200)])
+		reason := ""
+		if err == nil && letter == rejectLetter {
+			reason = string(rest[:min(len(rest), 200)])
 		}
 		buffers.Put(buf)
 		switch {
@@ -53,9 +53,9 @@
 			return
 		case letter == answerLetter || letter == probeLetter:
 			p.post(arrived{c, letter == probeLetter, a})
-		case letter == refuseLetter:
+		case letter == rejectLetter:
 			p.fleet.Stats.Malformed.Add(1)
-			p.post(connLost{c, core.FrameRejected, fmt.Errorf("%w: %s", syscall.EPROTO, words)})
+			p.post(connLost{c, core.FrameRejected, fmt.Errorf("%w: %s", syscall.EPROTO, reason)})
 			return
 		default: // no other frame type is expected
 			p.fleet.Stats.Malformed.Add(1)
