--- a/internal/gossip/carrier.go
+++ b/internal/gossip/carrier.go
@@ -51,11 +51,11 @@
 func Listen(addr string, sealer *Sealer, wall func() float64) (*Carrier, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
-		return nil, fmt.Errorf("address for members: %w", err)
+		return nil, fmt.Errorf("gossip address: %w", err)
 	}
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(at))
 	if err != nil {
-		return nil, fmt.Errorf("listening for members: %w", err)
+		return nil, fmt.Errorf("listening for gossip: %w", err)
 	}
 	return &Carrier{conn: conn, sealer: sealer, wall: wall, addrs: map[string]netip.AddrPort{}}, nil
 }
@@ -64,7 +64,7 @@
 func (c *Carrier) Addr() string { return c.conn.LocalAddr().String() }
 
 // Run receives envelopes and passes them to take until the carrier is closed. take must not block.
-func (c *Carrier) Run(take func(addr string, e memberstate.Envelope)) {
+func (c *Carrier) Run(handle func(addr string, e memberstate.Envelope)) {
 	buf := make([]byte, MaxDatagram+1)
 	for {
 		n, from, err := c.conn.ReadFromUDPAddrPort(buf)
@@ -85,7 +85,7 @@
 			continue
 		}
 		c.received.Add(1)
-		take(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), e)
+		handle(netip.AddrPortFrom(from.Addr().Unmap(), from.Port()).String(), e)
 	}
 }
 
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -178,7 +178,7 @@
 	assert.Equal(t, int64(1), a.Counts().SendFailed)
 	assert.Equal(t, int64(1), b.Counts().Received)
 	_, err = Listen("name:1", sealer(t, 1, key(1)), wall)
-	assert.ErrorContains(t, err, "address for members")
+	assert.ErrorContains(t, err, "gossip address")
 	a.Close()
 	b.Close()
 	<-ended
--- a/internal/gossip/seal.go
+++ b/internal/gossip/seal.go
@@ -43,7 +43,7 @@
 	ErrStale    = errors.New("sent too long ago, or the clocks differ too much")
 	ErrReplayed = errors.New("replayed, or older than the replay window")
 	ErrBody     = errors.New("the body cannot be decoded")
-	ErrSender   = errors.New("too many senders to track replays of another one")
+	ErrSender   = errors.New("too many senders; replays of another one cannot be detected")
 )
 
 // Sealer seals the datagrams of one process and opens those that it receives. It is safe for concurrent use.
@@ -57,7 +57,7 @@
 	senders map[uint64]*replayWindow
 }
 
-// window is the replay window of one sender.
+// replayWindow is the replay window of one sender.
 type replayWindow struct {
 	newest   uint64
 	bits     [windowBits / 64]uint64
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -16,7 +16,7 @@
 	"slices"
 )
 
-// known is the local record of another member.
+// memberEntry is the local record of another member.
 type memberEntry struct {
 	Member
 	stateSince     float64             // when its state changed
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -40,7 +40,7 @@
 			return m.State
 		}
 	}
-	require.Fail(t, "not known: "+name)
+	require.Fail(t, "unknown member: "+name)
 	return 0
 }
 
@@ -48,7 +48,7 @@
 func TestNewsMergesAlikeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := []Member{member("m", 0, Alive)}
-		for range rapid.IntRange(1, 8).Draw(t, "pieces") {
+		for range rapid.IntRange(1, 8).Draw(t, "updates") {
 			m := member("m", rapid.Uint64Range(1, 4).Draw(t, "incarnation"), State(rapid.IntRange(0, 3).Draw(t, "state")))
 			m.By = "x"
 			list = append(list, m)
@@ -63,12 +63,12 @@
 			return fmt.Sprint(m.Incarnation, m.State)
 		}
 		order := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 1)).Perm(len(list) - 1)
-		straight := make([]int, len(order))
-		for i := range straight {
-			straight[i] = i
+		inOrder := make([]int, len(order))
+		for i := range inOrder {
+			inOrder[i] = i
 		}
-		if x, y := result(straight), result(order); x != y {
-			t.Fatalf("%s and %s", x, y)
+		if x, y := result(inOrder), result(order); x != y {
+			t.Fatalf("in order: %s, permuted: %s", x, y)
 		}
 	})
 }
--- a/internal/membership/messages.go
+++ b/internal/membership/messages.go
@@ -26,7 +26,7 @@
 	Addr        string  `json:"addr"`        // address at which it receives messages
 	Boot        uint64  `json:"boot"`        // number of its process; differs at each start
 	Incarnation uint64  `json:"incarnation"` // raised by the member itself to refute a suspicion
-	State       State   `json:"state"`       //
+	State       State   `json:"state"`       // in this incarnation
 	Weight      float64 `json:"weight"`      // its relative share of divided work
 	By          string  `json:"by"`          // member that suspects it or declared it dead
 }
--- a/internal/membership/queue.go
+++ b/internal/membership/queue.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// queue holds the updates to transmit: the latest one per member and accuser.
+// updateQueue holds the updates to transmit: the latest one per member and accuser.
 type updateQueue map[string]*queuedUpdate
 
-// piece is a queued update and the number of its transmissions.
+// queuedUpdate is a queued update and the number of its transmissions.
 type queuedUpdate struct {
 	member        Member
 	queuedAt      float64
