--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -55,22 +55,22 @@
 // Reread reads the start file again while the broker runs. The file's discovery address then takes precedence over the
 // environment variable: the file may have been replaced since the start, while the environment cannot change.
 func Reread(getenv func(string) string) (*StartConfig, error) {
-	t, err := Read(getenv)
-	if err != nil || t.fileDiscovery == "" {
-		return t, err
+	c, err := Read(getenv)
+	if err != nil || c.fileDiscovery == "" {
+		return c, err
 	}
-	if _, err := netip.ParseAddrPort(t.fileDiscovery); err != nil {
-		return nil, fmt.Errorf("discovery: %q is not an address with a port: %w", t.fileDiscovery, err)
+	if _, err := netip.ParseAddrPort(c.fileDiscovery); err != nil {
+		return nil, fmt.Errorf("discovery: %q is not an address with a port: %w", c.fileDiscovery, err)
 	}
-	t.Discovery = t.fileDiscovery
-	return t, nil
+	c.Discovery = c.fileDiscovery
+	return c, nil
 }
 
-// RestartKeys returns the keys whose values differ between t and o and take effect only after a restart.
-func (t *StartConfig) RestartKeys(o *StartConfig) (keys []string) {
-	for key, same := range map[string]bool{"name": t.Name == o.Name, "listen": t.Listen == o.Listen,
-		"limits":   t.Cores == o.Cores && t.MemoryMB == o.MemoryMB && t.Sockets == o.Sockets,
-		"settings": reflect.DeepEqual(t.Flat, o.Flat)} {
+// RestartKeys returns the keys whose values differ between c and other and take effect only after a restart.
+func (c *StartConfig) RestartKeys(other *StartConfig) (keys []string) {
+	for key, same := range map[string]bool{"name": c.Name == other.Name, "listen": c.Listen == other.Listen,
+		"limits":   c.Cores == other.Cores && c.MemoryMB == other.MemoryMB && c.Sockets == other.Sockets,
+		"settings": reflect.DeepEqual(c.Flat, other.Flat)} {
 		if !same {
 			keys = append(keys, key)
 		}
@@ -85,17 +85,17 @@
 	if err := json.Unmarshal(text, &tree); err != nil {
 		return nil, fmt.Errorf("the start file is not a JSON object: %w", err)
 	}
-	t := &StartConfig{}
+	c := &StartConfig{}
 	var limits map[string]json.RawMessage
 	var settings map[string]any
 	steps := []func() error{
-		func() error { return stringValue(tree, "name", getenv("GW_NAME"), &t.Name) },
-		func() error { return address(tree, "listen", getenv("GW_LISTEN"), &t.Listen) },
+		func() error { return stringValue(tree, "name", getenv("GW_NAME"), &c.Name) },
+		func() error { return address(tree, "listen", getenv("GW_LISTEN"), &c.Listen) },
 		func() error {
-			if raw, there := tree["discovery"]; there && json.Unmarshal(raw, &t.fileDiscovery) != nil {
+			if raw, present := tree["discovery"]; present && json.Unmarshal(raw, &c.fileDiscovery) != nil {
 				return errors.New("discovery: not a string")
 			}
-			return address(tree, "discovery", getenv("GW_DISCOVERY"), &t.Discovery)
+			return address(tree, "discovery", getenv("GW_DISCOVERY"), &c.Discovery)
 		},
 		func() error {
 			var hex string
@@ -103,32 +103,32 @@
 				return err
 			}
 			var err error
-			if t.Seed, err = strconv.ParseUint(hex, 16, 64); err != nil {
+			if c.Seed, err = strconv.ParseUint(hex, 16, 64); err != nil {
 				return fmt.Errorf("seed: %q is not a 64-bit number in hex", hex)
 			}
 			return nil
 		},
 		func() error { return object(tree, "limits", false, &limits) },
-		func() (err error) { t.Cores, err = limit(limits, "cores", 0.01, 1e4, defaultCores); return },
+		func() (err error) { c.Cores, err = limit(limits, "cores", 0.01, 1e4, defaultCores); return },
 		func() error {
 			mb, err := limit(limits, "memory_mb", minMemoryMB, 1e7, defaultMemoryMB)
-			t.MemoryMB = int(mb)
+			c.MemoryMB = int(mb)
 			return err
 		},
 		func() error {
 			n, err := limit(limits, "sockets", minSockets, 1e7, defaultSockets)
-			t.Sockets = int(n)
+			c.Sockets = int(n)
 			return err
 		},
-		func() error { return object(tree, "known", false, &t.KnownList) },
+		func() error { return object(tree, "known", false, &c.KnownList) },
 		func() error { return object(tree, "settings", true, &settings) },
 		func() (err error) {
-			t.Flat = startsettings.Flatten(settings)
-			if t.Flat["limit.peers"] == true { // unsupported: the module would rely on notes that are never delivered
-				t.Flat["limit.peers"] = false
-				t.DisabledSettings = append(t.DisabledSettings, "settings: ceilings.peers: this program does not exchange notes between brokers; they are disabled")
+			c.Flat = startsettings.Flatten(settings)
+			if c.Flat["limit.peers"] == true { // unsupported: the decision module would rely on notes that are never delivered
+				c.Flat["limit.peers"] = false
+				c.DisabledSettings = append(c.DisabledSettings, "settings: ceilings.peers: this program does not exchange notes between brokers; they are disabled")
 			}
-			if t.Site, err = startsettings.ReadSettings(t.Flat); err != nil {
+			if c.Site, err = startsettings.ReadSettings(c.Flat); err != nil {
 				return fmt.Errorf("settings: %w", err)
 			}
 			return nil
@@ -139,16 +139,17 @@
 			return nil, err
 		}
 	}
-	return t, nil
+	return c, nil
 }
 
-// stringValue sets to from the variable if that is set, else from the key of the file, which is required.
+// stringValue sets *to to the environment variable's value if that is not empty, otherwise to the value of the file's
+// key, which must be present.
 func stringValue(tree map[string]json.RawMessage, key, variable string, to *string) error {
 	if variable != "" {
 		*to = variable
 		return nil
 	}
-	if raw, there := tree[key]; !there || json.Unmarshal(raw, to) != nil || *to == "" {
+	if raw, present := tree[key]; !present || json.Unmarshal(raw, to) != nil || *to == "" {
 		return fmt.Errorf("%s: missing or not a string", key)
 	}
 	return nil
@@ -165,11 +166,11 @@
 	return nil
 }
 
-// object decodes the value of a key. A missing key is an error only if it is needed.
-func object(tree map[string]json.RawMessage, key string, needed bool, to any) error {
-	raw, there := tree[key]
-	if !there || string(raw) == "null" {
-		if needed {
+// object decodes the value of a key. A missing key is an error only if it is required.
+func object(tree map[string]json.RawMessage, key string, required bool, to any) error {
+	raw, present := tree[key]
+	if !present || string(raw) == "null" {
+		if required {
 			return fmt.Errorf("%s: missing", key)
 		}
 		return nil
@@ -182,8 +183,8 @@
 
 // limit returns the number at a key of limits, or a default if the key is missing.
 func limit(limits map[string]json.RawMessage, key string, lowest, highest, fallback float64) (x float64, err error) {
-	raw, there := limits[key]
-	if !there {
+	raw, present := limits[key]
+	if !present {
 		return fallback, nil
 	}
 	if json.Unmarshal(raw, &x) != nil || !(x >= lowest && x <= highest) {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -116,12 +116,12 @@
 // Settings that this program does not support are disabled and reported: the module would rely on notes that are never
 // delivered.
 func TestNotesAreOff(t *testing.T) {
-	nobody := func(string) string { return "" }
-	for was, off := range map[string]int{`"peers": false`: 0, `"peers": true`: 1} {
-		cfg, err := Parse([]byte(strings.Replace(string(startFile(t)), `"peers": false`, was, 1)), nobody)
+	noEnv := func(string) string { return "" }
+	for peers, disabled := range map[string]int{`"peers": false`: 0, `"peers": true`: 1} {
+		cfg, err := Parse([]byte(strings.Replace(string(startFile(t)), `"peers": false`, peers, 1)), noEnv)
 		require.NoError(t, err)
 		assert.Equal(t, false, cfg.Flat["limit.peers"])
-		if assert.Len(t, cfg.DisabledSettings, off, was); off > 0 {
+		if assert.Len(t, cfg.DisabledSettings, disabled, peers); disabled > 0 {
 			assert.Contains(t, cfg.DisabledSettings[0], "ceilings.peers")
 		}
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -66,23 +66,23 @@
 
 var readiness = map[string]logic.Readiness{"SERVING": logic.Ready, "DRAINING": logic.Draining, "DELETED": logic.Gone}
 
-// Nodes converts a listing to the core's types. It skips unusable entries and reports them to odd. A node of unknown
-// health counts as draining, so that it gets no new requests.
-func (l Listing) Nodes(odd func(host, why string)) (nodes []core.Node) {
+// Nodes converts a listing to the core's types. It skips unusable entries and reports each through report. A node of
+// unknown health counts as draining, so that it gets no new requests.
+func (l Listing) Nodes(report func(host, why string)) (nodes []core.Node) {
 	for _, h := range l.Hosts {
 		n := core.Node{Host: h.Host, Addr: h.Dial, Zone: h.Site, Kind: h.Class, Cell: h.Block,
 			Readiness: readiness[h.Health], Units: max(h.Share, 0), Born: h.BornMs}
 		if n.Host == "" {
-			odd(h.Host, "a line names no host")
+			report(h.Host, "a line names no host")
 			continue
 		}
 		if n.Readiness == 0 {
-			odd(h.Host, "unknown health "+h.Health)
+			report(h.Host, "unknown health "+h.Health)
 			n.Readiness = logic.Draining
 		}
 		if _, err := netip.ParseAddrPort(n.Addr); err != nil { // names are not resolved
 			if n.Readiness != logic.Gone {
-				odd(h.Host, "an address that cannot be dialled: "+h.Dial)
+				report(h.Host, "an address that cannot be dialled: "+h.Dial)
 			}
 			n.Addr = ""
 		}
@@ -117,7 +117,7 @@
 
 // The messages in a Watch's mailbox.
 type (
-	askMsg    struct{}
+	startMsg  struct{}
 	moveMsg   struct{ addr string }
 	answerMsg struct {
 		conn    net.Conn
@@ -151,7 +151,7 @@
 		first: make(chan struct{})}
 	w.retryTimer.Stop()
 	if o.OnDemand {
-		w.finishFirst() // in pull mode the first list comes only after Start
+		w.finishFirst() // in pull mode no list arrives before Start
 	} else {
 		w.Start()
 	}
@@ -176,7 +176,7 @@
 // otherwise a discovery that is down would get an extra call for each failure.
 func (w *Watch) Start() {
 	select {
-	case w.mailbox <- askMsg{}:
+	case w.mailbox <- startMsg{}:
 	default: // a full mailbox means that the watch is already active
 	}
 }
@@ -190,12 +190,12 @@
 func (w *Watch) Stop() { close(w.stop) }
 
 func (w *Watch) run() {
-	defer w.hangUp()
+	defer w.closeConn()
 	for {
 		select {
 		case m := <-w.mailbox:
 			switch v := m.(type) {
-			case askMsg:
+			case startMsg:
 				if !w.started {
 					w.started = true
 					w.call()
@@ -204,7 +204,7 @@
 				if v.addr == w.addr {
 					continue
 				}
-				w.hangUp()
+				w.closeConn()
 				w.retryTimer.Stop()
 				w.addr, w.requestWhole, w.backoff = v.addr, true, initialBackoff
 				if w.started {
@@ -238,9 +238,9 @@
 // connectionLost handles the end of the connection. If it was closed between two calls or during a watch, the watch
 // reconnects at once and requests the whole list, because a pending change may be lost.
 func (w *Watch) connectionLost(err error) {
-	ended := w.answeredBefore && errors.Is(err, errClosed)
-	w.hangUp()
-	if !ended {
+	closedByAgent := w.answeredBefore && errors.Is(err, errClosed)
+	w.closeConn()
+	if !closedByAgent {
 		w.fail(err)
 		return
 	}
@@ -255,26 +255,26 @@
 		w.fail(errNotWhole)
 		return
 	}
-	l, had := v.listing, w.seq
+	l, prevSeq := v.listing, w.seq
 	w.answeredBefore, w.backoff, w.resuming, w.failures = true, initialBackoff, !w.requestWhole, 0
-	w.requestWhole = !l.Whole && l.Seq < had
+	w.requestWhole = !l.Whole && l.Seq < prevSeq
 	if !w.requestWhole {
 		w.seq = l.Seq
 	}
 	if v.closing {
-		w.hangUp()
-		w.deliverListing(l, had)
+		w.closeConn()
+		w.deliverListing(l, prevSeq)
 		w.call()
 		return
 	}
 	w.call()
-	w.deliverListing(l, had)
+	w.deliverListing(l, prevSeq)
 }
 
 // deliverListing delivers the content of an answer.
-func (w *Watch) deliverListing(l Listing, had int64) {
+func (w *Watch) deliverListing(l Listing, prevSeq int64) {
 	if w.requestWhole { // the changes refer to another list and are useless
-		w.log.Warn().Int64("seq", l.Seq).Int64("had", had).Msg("the list's version went backwards")
+		w.log.Warn().Int64("seq", l.Seq).Int64("had", prevSeq).Msg("the list's version went backwards")
 		return
 	}
 	defer w.finishFirst()
@@ -292,7 +292,7 @@
 // fail handles a failed call and schedules a retry. A change may have been lost with it, so the retry requests the
 // whole list, unless the call was refused: a refused call carried no data and is repeated as it was.
 func (w *Watch) fail(err error) {
-	w.hangUp()
+	w.closeConn()
 	w.requestWhole = w.requestWhole || !errors.Is(err, errRefused)
 	w.resuming = false
 	if w.failures++; w.failures&(w.failures-1) == 0 { // log at powers of two only, since calls repeat quickly while discovery is down
@@ -306,8 +306,8 @@
 	w.finishFirst()
 }
 
-// hangUp closes the connection.
-func (w *Watch) hangUp() {
+// closeConn closes the connection, if there is one. Later messages of its reader are ignored.
+func (w *Watch) closeConn() {
 	if w.conn != nil {
 		w.conn.Close()
 		w.conn, w.answeredBefore = nil, false
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -29,7 +29,7 @@
 	w        *Watch
 }
 
-func watch(t *testing.T, seq int64, onAsk bool) *agent {
+func watch(t *testing.T, seq int64, onDemand bool) *agent {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	a := &agent{t, ln, make(chan string, 100), make(chan string, 100), make(chan core.List, 100), nil}
@@ -42,7 +42,7 @@
 			a.serve(conn)
 		}
 	}()
-	a.w = Follow(ln.Addr().String(), Options{Since: seq, OnDemand: onAsk}, func(l core.List) { a.updates <- l }, zerolog.Nop())
+	a.w = Follow(ln.Addr().String(), Options{Since: seq, OnDemand: onDemand}, func(l core.List) { a.updates <- l }, zerolog.Nop())
 	t.Cleanup(func() {
 		a.w.Stop()
 		close(a.replies)
@@ -127,9 +127,9 @@
 		assert.Equal(t, logic.ListFailed, next(t, a.updates).Kind, name)
 	}
 	assert.Equal(t, "/v1/servers", next(t, a.requests))
-	begun := time.Now() // the agent does not answer
+	start := time.Now() // the agent does not answer
 	assert.Equal(t, logic.ListFailed, next(t, a.updates).Kind)
-	assert.Less(t, time.Since(begun), 2*time.Second, "a request for the whole list has a short timeout")
+	assert.Less(t, time.Since(start), 2*time.Second, "a request for the whole list has a short timeout")
 }
 
 // In pull mode the first Start starts the watch, and no later one adds a call.
@@ -152,8 +152,8 @@
 // First is closed when the agent's current list has been delivered or the call has failed.
 func TestFirst(t *testing.T) {
 	for name, c := range map[string]struct {
-		reply string
-		told  int
+		reply   string
+		updates int
 	}{
 		"nothing new": {body(`{"seq":41,"whole":false,"hosts":[]}`), 0},
 		"a change":    {body(`{"seq":42,"whole":false,"hosts":[` + fmt.Sprintf(line, "DRAINING") + `]}`), 1},
@@ -173,13 +173,13 @@
 		case <-time.After(testTimeout):
 			assert.Fail(t, "not closed", name)
 		}
-		assert.Len(t, a.updates, c.told, name)
+		assert.Len(t, a.updates, c.updates, name)
 	}
 	silent := watch(t, 41, false)
 	next(t, silent.requests)
-	begun := time.Now()
+	start := time.Now()
 	<-silent.w.First()
-	assert.Less(t, time.Since(begun), 2*time.Second, "an agent that does not answer")
+	assert.Less(t, time.Since(start), 2*time.Second, "an agent that does not answer")
 }
 
 // In pull mode discovery may answer late, and refuses calls under load. The watch must not give up on a late answer: an
@@ -188,11 +188,11 @@
 func TestLateAndRefused(t *testing.T) {
 	a := watch(t, 41, true)
 	a.w.Start()
-	opening := "/v1/servers?since=41&timeout_ms=1000"
-	assert.Equal(t, opening, next(t, a.requests))
+	firstCall := "/v1/servers?since=41&timeout_ms=1000"
+	assert.Equal(t, firstCall, next(t, a.requests))
 	a.replies <- "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 	assert.Equal(t, logic.ListFailed, next(t, a.updates).Kind)
-	assert.Equal(t, opening, next(t, a.requests))
+	assert.Equal(t, firstCall, next(t, a.requests))
 	a.replies <- "!HTTP/1.1 200 OK\r\nContent-Length: 900\r\nConnection: close\r\n\r\n{"
 	assert.Equal(t, logic.ListFailed, next(t, a.updates).Kind)
 	assert.Equal(t, "/v1/servers", next(t, a.requests), "a truncated answer may have carried a change")
@@ -247,13 +247,13 @@
 }
 
 func TestOddLines(t *testing.T) {
-	odd := 0
+	reported := 0
 	l := Listing{Hosts: []wireEntry{{Host: "a", Dial: "127.0.0.1:1", Health: "ILL"}, {Dial: "127.0.0.1:1", Health: "SERVING"},
 		{Host: "b", Dial: "nowhere", Health: "SERVING"}, {Host: "c", Health: "DELETED"}, {Host: "d", Dial: "127.0.0.1:1", Health: "SERVING", Share: -1}}}
-	nodes := l.Nodes(func(_, _ string) { odd++ })
+	nodes := l.Nodes(func(_, _ string) { reported++ })
 	assert.Equal(t, []core.Node{{Host: "a", Addr: "127.0.0.1:1", Readiness: logic.Draining}, {Host: "b", Readiness: logic.Ready},
 		{Host: "c", Readiness: logic.Gone}, {Host: "d", Addr: "127.0.0.1:1", Readiness: logic.Ready}}, nodes)
-	assert.Equal(t, 3, odd)
+	assert.Equal(t, 3, reported)
 }
 
 // A watch that goes silent at its start times out and is opened again: a change that it missed is known within six
@@ -263,11 +263,11 @@
 	next(t, a.requests)
 	a.replies <- body(`{"seq":41,"whole":false,"hosts":[]}`)
 	assert.Contains(t, next(t, a.requests), "since=41")
-	begun := time.Now() // from now on the agent sends nothing on this connection
+	start := time.Now() // from now on the agent sends nothing on this connection
 	assert.Equal(t, logic.ListFailed, next(t, a.updates).Kind)
 	a.replies <- "" // the agent closes its side
 	assert.Equal(t, "/v1/servers", next(t, a.requests))
 	a.replies <- body(`{"seq":42,"whole":true,"hosts":[` + fmt.Sprintf(line, "DRAINING") + `]}`)
 	assert.Equal(t, logic.Draining, next(t, a.updates).Nodes[0].Readiness)
-	assert.Less(t, time.Since(begun), 6*time.Second)
+	assert.Less(t, time.Since(start), 6*time.Second)
 }
