--- a/internal/features/features.go
+++ b/internal/features/features.go
@@ -162,7 +162,7 @@
 	Lease   *leases      `hcl:"lease,block"`
 	Tasks   []task       `hcl:"task,block"`
 	Limits  []limit      `hcl:"limit,block"`
-	Lent    *limitsBlock `hcl:"limits,block"`
+	Loans   *limitsBlock `hcl:"limits,block"`
 }
 
 type limitsBlock struct {
@@ -327,8 +327,8 @@
 	for i, l := range raw.Limits {
 		doc.Limits = append(doc.Limits, c.limit(l, raw.Limits[:i], doc))
 	}
-	if raw.Lent != nil {
-		if doc.LoansDir = raw.Lent.Dir; doc.LoansDir == "" {
+	if raw.Loans != nil {
+		if doc.LoansDir = raw.Loans.Dir; doc.LoansDir == "" {
 			c.fault([]string{"limits"}, "dir", "a directory is required")
 		} else if !filepath.IsAbs(doc.LoansDir) {
 			doc.LoansDir = filepath.Join(c.dir, doc.LoansDir)
@@ -359,8 +359,8 @@
 	minTerm             = 500 * time.Millisecond
 	maxTerm             = time.Hour
 	defaultMaxLeases    = 1000.0
-	defaultLongestTerm  = 30 * time.Second
-	defaultFresh        = 10 * time.Second
+	defaultMaxTerm      = 30 * time.Second
+	defaultMaxAge       = 10 * time.Second
 	maxHolders          = 100.0
 )
 
@@ -374,7 +374,7 @@
 func (c *validator) lease(raw *leases, s *Sharing) *Lease {
 	at := []string{"lease"}
 	c.requireMembers(at, s)
-	l := &Lease{Dir: raw.Dir, MaxTerm: defaultLongestTerm, MaxLeases: int(c.inRange(at, "most", raw.Most, 1, 10000, defaultMaxLeases))}
+	l := &Lease{Dir: raw.Dir, MaxTerm: defaultMaxTerm, MaxLeases: int(c.inRange(at, "most", raw.Most, 1, 10000, defaultMaxLeases))}
 	if raw.Longest != "" {
 		l.MaxTerm = c.duration(at, "longest", raw.Longest, minTerm, maxTerm)
 	}
@@ -532,10 +532,10 @@
 }
 
 // duration parses a duration and checks its range.
-func (c *validator) duration(path []string, key, text string, least, most time.Duration) time.Duration {
+func (c *validator) duration(path []string, key, text string, lowest, highest time.Duration) time.Duration {
 	d, err := time.ParseDuration(text)
-	if err != nil || d < least || d > most {
-		c.fault(path, key, "%q is not a duration from %v to %v", text, least, most)
+	if err != nil || d < lowest || d > highest {
+		c.fault(path, key, "%q is not a duration from %v to %v", text, lowest, highest)
 	}
 	return d
 }
@@ -682,7 +682,7 @@
 	}
 	if v := raw.Verdicts; v != nil {
 		at := []string{"sharing", "verdicts"}
-		s.Verdicts = &Verdicts{Dir: v.Dir, MaxAge: defaultFresh, Quorum: int(c.inRange(at, "observers", v.Quorum, 1, 100, 2)), MaxExcludedShare: c.inRange(at, "widest", v.Widest, 0, 0.9, 1.0/3)}
+		s.Verdicts = &Verdicts{Dir: v.Dir, MaxAge: defaultMaxAge, Quorum: int(c.inRange(at, "observers", v.Quorum, 1, 100, 2)), MaxExcludedShare: c.inRange(at, "widest", v.Widest, 0, 0.9, 1.0/3)}
 		if v.Fresh != "" {
 			s.Verdicts.MaxAge = c.duration(at, "fresh", v.Fresh, time.Second, 5*time.Minute)
 		}
--- a/internal/features/features_test.go
+++ b/internal/features/features_test.go
@@ -79,7 +79,7 @@
 }
 
 func TestFaults(t *testing.T) {
-	for _, c := range []struct{ old, is, want string }{
+	for _, c := range []struct{ old, repl, want string }{
 		{`clock_drift = 0.02`, `clock_drift = 3`, "f.hcl:7: sharing.clock_drift: 3 is not from 0 to 0.2"},
 		{`clock_drift = 0.02`, `clok_drift = 0.02`, "f.hcl:7: Unsupported argument"},
 		{`clock_drift = 0.02`, `clock_drift = "x"`, "f.hcl:7: "},
@@ -113,8 +113,8 @@
 		{`task "compact"`, `task "com pact"`, "f.hcl:33: task com pact: a task needs a name"},
 	} {
 		require.Contains(t, validDocument, c.old)
-		d, err := Parse([]byte(strings.Replace(validDocument, c.old, c.is, 1)), "/etc/f.hcl", "n1")
-		if assert.Error(t, err, c.is) {
+		d, err := Parse([]byte(strings.Replace(validDocument, c.old, c.repl, 1)), "/etc/f.hcl", "n1")
+		if assert.Error(t, err, c.repl) {
 			assert.Contains(t, err.Error(), c.want)
 		}
 		_ = d
--- a/internal/features/watch_test.go
+++ b/internal/features/watch_test.go
@@ -37,7 +37,7 @@
 	assert.Equal(t, &Budget{20, 0.05, 5 * time.Second}, w.Budget)
 	assert.Equal(t, ShadowTableType{"switch", "keyed", "f.hcl:10: watch table_type switch", 3 * time.Second}, w.Types[0])
 	assert.Equal(t, []string{"watch"}, d.RestartChanges(&Document{}))
-	for _, c := range []struct{ old, is, want string }{
+	for _, c := range []struct{ old, repl, want string }{
 		{watchDocument, "watch {\n}\n", "f.hcl:1: watch: the block is empty"},
 		{`dispatches = 3`, `dispatches = 0`, "f.hcl:4: watch.dispatches: 0 is not from 1 to 100"},
 		{`dispatches = 3`, `dispatches = 2.5`, "f.hcl:4: watch.dispatches: 2.5 is not a whole number"},
@@ -51,7 +51,7 @@
 		{`"quote"`, `"switch"`, "f.hcl:10: watch table_type switch: duplicate table type"},
 	} {
 		require.Contains(t, watchDocument, c.old)
-		_, err := Parse([]byte(strings.Replace(watchDocument, c.old, c.is, 1)), "/etc/f.hcl", "n1")
-		assert.ErrorContains(t, err, c.want, c.is)
+		_, err := Parse([]byte(strings.Replace(watchDocument, c.old, c.repl, 1)), "/etc/f.hcl", "n1")
+		assert.ErrorContains(t, err, c.want, c.repl)
 	}
 }
--- a/internal/fleettest/schedule.go
+++ b/internal/fleettest/schedule.go
@@ -14,7 +14,7 @@
 	At, For time.Duration
 	Fault   string // one of Faults
 	Member  int    // index of the member; for a split, a bit set of the members on one side
-	Target  int    // for a cut, the index of the member that Who can no longer reach
+	Target  int    // for a cut, the index of the member that Member can no longer reach
 }
 
 // Faults lists the kinds of fault that a schedule may hold.
@@ -23,7 +23,7 @@
 // Schedule is a list of faults ordered by time. String writes one line for each, which Parse reads back.
 type Schedule []Event
 
-// Draw generates a random schedule with the given number of faults within a span. Equal seeds give equal schedules.
+// RandomSchedule returns a random schedule with the given number of faults within a span. Equal seeds give equal schedules.
 func RandomSchedule(seed uint64, members, faults int, span time.Duration) Schedule {
 	rnd := rand.New(rand.NewPCG(seed, 0x5ced))
 	var s Schedule
--- a/internal/fleettest/schedule_test.go
+++ b/internal/fleettest/schedule_test.go
@@ -97,7 +97,7 @@
 	assert.ElementsMatch(t, []string{"one", "lost", "two", "three"}, all, "datagrams are recorded before faults apply to them")
 }
 
-// A TCPProxy delays, swallows or resets the connections of one broker to a store.
+// A TCPProxy delays or drops the data of the connections from one broker to a store, or resets them.
 func TestWire(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
