--- a/internal/emulator/baseline.go
+++ b/internal/emulator/baseline.go
@@ -12,7 +12,7 @@
 	"gullstair/logic"
 )
 
-// Baseline returns a Maker of brokers with a simple load-balancing policy, as a reference for comparisons. Each part goes
+// Baseline returns a factory of brokers with a simple load-balancing policy, as a reference for comparisons. Each part goes
 // to a random store that holds its shard or, if leastOutstanding is true, to the better of two random ones: the one with fewer
 // outstanding parts of this broker. A failed part is retried at most once, on another store if there is one, and only if
 // it is replayable or was certainly not executed. The policy sheds no load and tracks no health.
@@ -28,7 +28,7 @@
 	}
 }
 
-// baselineBroker implements Decider for Baseline.
+// baselineBroker is the BrokerCore of Baseline.
 type baselineBroker struct {
 	fleet            *Fleet
 	rng              *rand.Rand
@@ -59,7 +59,7 @@
 type baselinePart struct {
 	scan       *baselineScan
 	shard      int
-	answered   bool // answered
+	answered   bool
 	value      string
 	score      float64
 	dispatches int
@@ -95,8 +95,8 @@
 // Step processes inputs and returns the outputs. Scans that have no complete answer at their end are abandoned.
 func (b *baselineBroker) Step(now float64, in []core.Input) []core.Output {
 	b.now, b.outputs, b.callIndex = now, nil, map[string]int{}
-	for _, q := range b.resend {
-		b.sendPart(q)
+	for _, part := range b.resend {
+		b.sendPart(part)
 	}
 	b.resend = nil
 	for _, input := range in {
@@ -104,11 +104,11 @@
 		case *core.Scan:
 			scan := &baselineScan{Scan: v, tableSpec: &b.fleet.Types[v.TableType], endsAt: now + v.TimeLeft - 5, step: 1}
 			b.scans[v.ID] = scan
-			for _, q := range v.Parts {
-				scan.parts = append(scan.parts, &baselinePart{scan: scan, shard: q.Shard})
+			for _, part := range v.Parts {
+				scan.parts = append(scan.parts, &baselinePart{scan: scan, shard: part.Shard})
 			}
-			for _, q := range scan.parts {
-				b.sendPart(q)
+			for _, part := range scan.parts {
+				b.sendPart(part)
 			}
 		case core.Ended:
 			b.partEnded(v)
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -44,7 +44,7 @@
 
 	// postpone delays a check that depends on the order of two events that are reported over different connections, as
 	// on real sockets; nil: check immediately.
-	postpone func(do func())
+	postpone func(check func())
 	paused   map[int]bool // paused brokers, which can't answer
 
 	scans           map[string]*scanRecord
@@ -156,7 +156,7 @@
 		b := c.budgetFor(broker)
 		b.received = append(b.received, timedCount{at, 1 + len(scan.Parts)})
 	}
-	s.addTrace(at, "taken by broker %d: %s, %d parts, %.0f ms", broker, tableType.Name, len(scan.Parts), scan.TimeLeft)
+	s.addTrace(at, "received by broker %d: %s, %d parts, %.0f ms", broker, tableType.Name, len(scan.Parts), scan.TimeLeft)
 }
 
 // scanReleased records that a scan needs no answer: its broker was killed or paused.
@@ -177,7 +177,7 @@
 		c.report(at, RuleSendAfterAnswer, s, "part %s", part)
 	}
 	if notifiedAt, known := c.drainNotifiedAt[[2]int{broker, store}]; known && at > notifiedAt+c.fleet.DrainGrace+timingTolerance {
-		c.report(at, RuleSendAfterDrain, s, "part %s to %s, %.0f ms after broker %d was told", part, target.Name, at-notifiedAt, broker)
+		c.report(at, RuleSendAfterDrain, s, "part %s to %s, %.0f ms after broker %d was notified", part, target.Name, at-notifiedAt, broker)
 	}
 	if !c.fleet.cellHoldsShard(target.Cell, shard) {
 		c.report(at, RuleShardNotHeld, s, "part %s to %s of cell %d", part, target.Name, target.Cell)
@@ -213,7 +213,7 @@
 			}
 			check := func() {
 				if c.byRef[other.ref] == other {
-					c.report(at, RuleExtraDispatch, s, "part %s while another dispatch of it is out", p.ID)
+					c.report(at, RuleExtraDispatch, s, "part %s while another dispatch of it is outstanding", p.ID)
 				}
 			}
 			if c.postpone != nil {
@@ -255,7 +255,7 @@
 	if s == nil || second {
 		return
 	}
-	s.addTrace(at, "shard %d has run", shard)
+	s.addTrace(at, "shard %d was executed", shard)
 	s.executions[shard] = append(s.executions[shard], at)
 	runs := s.executions[shard]
 	if len(runs) < 2 {
@@ -263,10 +263,10 @@
 	}
 	switch s.tableType.Effect {
 	case "non-replayable":
-		c.report(at, RuleDuplicateEffect, s, "shard %d has run %d times", shard, len(runs))
+		c.report(at, RuleDuplicateEffect, s, "shard %d was executed %d times", shard, len(runs))
 	case "keyed":
 		if at-runs[0] > s.tableType.RepeatWindow+s.tableType.Timeout {
-			c.report(at, RuleDuplicateEffect, s, "shard %d ran again after %.0f ms", shard, at-runs[0])
+			c.report(at, RuleDuplicateEffect, s, "shard %d was executed again after %.0f ms", shard, at-runs[0])
 		}
 	}
 }
@@ -284,7 +284,7 @@
 	if s == nil || reply.Conflict {
 		return
 	}
-	s.addTrace(at, "answered: kind %d, whole %v, %d values", reply.Kind, reply.Complete, len(reply.Hits))
+	s.addTrace(at, "answered: kind %d, complete %v, %d values", reply.Kind, reply.Complete, len(reply.Hits))
 	if s.answered {
 		c.report(at, RuleLostScan, s, "a second answer")
 		return
@@ -294,12 +294,12 @@
 		s.reached.endedAt = at - c.fleet.ClientDelay // the scan ended when the broker sent the answer
 	}
 	if at > s.deadline+timingTolerance && !s.released {
-		c.report(at, RuleLostScan, s, "answered %.0f ms after its time", at-s.deadline)
+		c.report(at, RuleLostScan, s, "answered %.0f ms after its deadline", at-s.deadline)
 	}
 	if reply.Kind == logic.Throttle && s.tableType.Effect == "non-replayable" {
 		for _, runs := range s.executions {
 			if len(runs) > 0 {
-				c.report(at, RuleDuplicateEffect, s, "throttled though a part has run")
+				c.report(at, RuleDuplicateEffect, s, "throttled although a part was executed")
 				break
 			}
 		}
@@ -313,23 +313,23 @@
 		weight, requested := s.weights[hit.Shard]
 		switch {
 		case !requested || seen[hit.Shard]:
-			c.report(at, RuleWrongAnswer, s, "shard %d was not asked for, or twice", hit.Shard)
+			c.report(at, RuleWrongAnswer, s, "shard %d was not requested, or is listed twice", hit.Shard)
 		case hit.Value != PartValue(hit.Shard, s.text, second):
-			c.report(at, RuleWrongAnswer, s, "shard %d: value %q is not its own", hit.Shard, hit.Value)
+			c.report(at, RuleWrongAnswer, s, "shard %d: value %q is wrong", hit.Shard, hit.Value)
 		case !s.received[fmt.Sprint(hit.Shard, second)]:
-			c.report(at, RuleWrongAnswer, s, "shard %d before its answer came", hit.Shard)
+			c.report(at, RuleWrongAnswer, s, "shard %d: the broker has not received its value", hit.Shard)
 		}
 		seen[hit.Shard] = true
 		covered += weight
 	}
 	switch {
 	case second && reply.Complete && len(reply.Hits) < min(s.tableType.Fetch, len(s.weights)):
-		c.report(at, RuleWrongAnswer, s, "marked whole with %d of %d", len(reply.Hits), s.tableType.Fetch)
+		c.report(at, RuleWrongAnswer, s, "marked complete with %d values of %d", len(reply.Hits), s.tableType.Fetch)
 	case second:
 	case reply.Complete && covered < s.tableType.Need-0.001:
-		c.report(at, RuleWrongAnswer, s, "marked whole with %.3f of %.3f", covered, s.tableType.Need)
+		c.report(at, RuleWrongAnswer, s, "marked complete with weight %.3f of %.3f", covered, s.tableType.Need)
 	case covered < min(s.tableType.Floor, s.tableType.Need)-0.001:
-		c.report(at, RuleWrongAnswer, s, "answered from %.3f, the least is %.3f", covered, s.tableType.Floor)
+		c.report(at, RuleWrongAnswer, s, "answered with weight %.3f, the minimum is %.3f", covered, s.tableType.Floor)
 	}
 }
 
@@ -340,7 +340,7 @@
 		s := c.scans[id]
 		s.released = s.released || c.paused[s.broker]
 		if !s.answered && !s.released && now > s.deadline+timingTolerance {
-			c.report(now, RuleLostScan, s, "no answer by %.0f ms after its time", now-s.deadline)
+			c.report(now, RuleLostScan, s, "no answer %.0f ms after its deadline", now-s.deadline)
 			s.released = true
 		}
 		if now > s.deadline+20000 || atEnd {
@@ -372,7 +372,7 @@
 	P99                float64            `json:"p99"`
 	P999               float64            `json:"p999"`
 	Dispatches         float64            `json:"dispatches"` // dispatches per scan
-	Wasted             float64            `json:"wasted"`     // share of the work that nobody used
+	Wasted             float64            `json:"wasted"`     // share of the work whose result was not used
 	Windows            []Window           `json:"windows"`
 	ByType             map[string]float64 `json:"by_type"`
 	ByTenant           map[string]float64 `json:"by_tenant,omitempty"`
@@ -392,7 +392,7 @@
 	Brokers            []Usage            `json:"brokers,omitempty"` // resource usage of each broker's processes; loopback runs only
 }
 
-// Window is the report of five seconds of a run. Scans count in the window in which they came.
+// Window is the report of five seconds of a run. A scan counts in the window in which it arrived.
 type Window struct {
 	From      float64 `json:"from"`
 	Requested float64 `json:"asked"`
@@ -452,7 +452,7 @@
 	w.Requested += benefit
 }
 
-// addOutcome counts how a scan that came at a given time ended; the latency is in ms.
+// addOutcome counts how a scan that arrived at a given time ended; the latency is in ms.
 func (t *tally) addOutcome(at float64, tableType, tenant int, benefit, latency float64, kind logic.ActionKind, late bool) {
 	w := t.windowAt(at)
 	switch {
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -31,13 +31,13 @@
 		Traffic: Traffic{Rate: 120, MinPatience: 0.7, RetryChance: 0.5, Backoff: 200, HeedRetryAfter: 0.6, ShardSkew: 0.2}}
 }
 
-// runScenario runs a fleet for forMs ms of virtual time with the given faults.
-func runScenario(t *testing.T, f *Fleet, seed uint64, makeBroker BrokerFactory, forMs float64, faults ...Fault) (*World, Figures) {
+// runScenario runs a fleet for durationMs of virtual time with the given faults.
+func runScenario(t *testing.T, f *Fleet, seed uint64, makeBroker BrokerFactory, durationMs float64, faults ...Fault) (*World, Figures) {
 	w := New(f, seed, makeBroker)
 	for _, fault := range faults {
 		require.NoError(t, w.ScheduleFault(fault))
 	}
-	figures, err := w.Run(forMs)
+	figures, err := w.Run(durationMs)
 	require.NoError(t, err)
 	return w, figures
 }
@@ -71,7 +71,7 @@
 }
 
 // TestFaults checks for each kind of fault, overlapping with slow stores, that it takes effect and that no rule is broken. It
-// also checks that Plan rejects unknown kinds, stores and zones.
+// also checks that ScheduleFault rejects unknown kinds, stores and zones.
 func TestFaults(t *testing.T) {
 	sizes := map[string]float64{"one_way_loss": 0.9, "one_sided": 0.8, "release": 0.1, "slow": 8, "neighbour": 0.7, "fails": 0.6,
 		"resets": 0.3, "spoils": 0.3, "lies": 5, "stale_list": 4000, "hot_key": 0.5, "traffic": 4}
@@ -262,7 +262,7 @@
 }
 
 // TestSharedLimits checks that brokers with shared limits keep them during partitions, datagram loss, pauses and kills, and that
-// the checker reports brokers that exceed limits which they don't know.
+// the checker reports brokers that exceed limits that they do not know.
 func TestSharedLimits(t *testing.T) {
 	limits := []FleetLimit{{Name: "all", Scope: "fleet", Rate: 60, Burst: 20, LoanTerm: 1000}, {Name: "open", Scope: "fleet", MaxOpen: 30, LoanTerm: 1000},
 		{Name: "each", Scope: "tenant", Rate: 10, Burst: 5, LoanTerm: 1000}}
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -11,7 +11,7 @@
 // Fleet describes the emulated system: stores, brokers, network, service discovery and clients. Times are in ms.
 type Fleet struct {
 	Zones      []string
-	Cells      int // a store belongs to one of these; the stores of Reach cells hold shard s, from cell s modulo Cells on
+	Cells      int // each store belongs to one; shard s is held by the stores of Reach cells, from cell s modulo Cells on
 	Reach      int
 	Shards     int
 	Stores     int
@@ -23,7 +23,7 @@
 	ClientDelay                                float64 // one-way delay between client and broker
 	ConnectTimeout, ConnIdle                   float64 // of connections from brokers to stores; a connection that is idle for longer is not reused
 
-	TurnInterval  float64 // least time between two turns of a broker
+	TurnInterval  float64 // minimum time between two turns of a broker
 	MaxBatch      int     // maximum number of parts in a call
 	MaxDispatches int     // maximum number of dispatches per part, the first included
 	OpenCap       int     // maximum number of open scans of a broker
@@ -88,7 +88,7 @@
 	Benefit, LateBenefit        float64 // value of an answer within Target, and of a later one
 	Effect                      string  // replayable, keyed or non-replayable
 	RepeatWindow                float64 // time within which a keyed part may be repeated
-	Need, Floor, PartialBenefit float64 // least weight of the parts in a complete and in a partial answer; benefit factor of a partial answer
+	Need, Floor, PartialBenefit float64 // minimum weight of the parts in a complete and in a partial answer; benefit factor of a partial answer
 	Fetch                       int     // number of parts that a second step fetches; 0: no second step
 	FetchWork                   float64 // work of a fetch as a fraction of the work of the part
 }
@@ -97,7 +97,7 @@
 // have been answered.
 type Traffic struct {
 	Rate           float64 // scans per second, at all brokers together
-	MinPatience    float64 // least fraction of the timeout that a client waits; each draws its own between this and 1
+	MinPatience    float64 // minimum fraction of the timeout that a client waits; each draws its own between this and 1
 	RetryChance    float64 // probability that a client retries after a throttled or failed attempt; there is at most one retry
 	Backoff        float64 // mean delay in ms before the retry
 	HeedRetryAfter float64 // probability that the client respects the retry time in the response
--- a/internal/emulator/live.go
+++ b/internal/emulator/live.go
@@ -44,7 +44,7 @@
 // storeServer is the TCP listener of a store and its open connections.
 type storeServer struct {
 	l        *loopback
-	i        int // index of the store in World.Stores
+	index    int // index of the store in World.Stores
 	addr     string
 	listener net.Listener // nil while the store is down
 	mu       sync.Mutex   // guards listener and conns
@@ -54,7 +54,7 @@
 // brokerProcess is the process of a broker and the discovery agent on the same machine.
 type brokerProcess struct {
 	l             *loopback
-	s             *emulatedBroker
+	broker        *emulatedBroker
 	addr          string
 	agentListener net.Listener
 	process       *fleettest.Process // nil while the broker is down
@@ -124,13 +124,13 @@
 			return figures, err
 		}
 	}
-	for _, s := range w.brokers {
-		b := &brokerProcess{l: l, s: s, listChanged: make(chan struct{}), fullList: slices.Clone(w.nodes), listVersion: 1}
+	for _, broker := range w.brokers {
+		b := &brokerProcess{l: l, broker: broker, listChanged: make(chan struct{}), fullList: slices.Clone(w.nodes), listVersion: 1}
 		l.brokers = append(l.brokers, b)
 		if err := b.startAgent(); err != nil {
 			return figures, err
 		}
-		member := &fleettest.Member{Name: brokerName(s.number), Index: s.number}
+		member := &fleettest.Member{Name: brokerName(broker.number), Index: broker.number}
 		if member.UDP, err = fleettest.FreeAddr("udp"); err != nil {
 			return figures, fmt.Errorf("rehearse: allocate a UDP address for a broker: %w", err)
 		}
@@ -234,8 +234,8 @@
 }
 
 // openStore listens on a free loopback port for the store with this index.
-func (l *loopback) openStore(i int) error {
-	server := &storeServer{l: l, i: i, conns: map[net.Conn]struct{}{}}
+func (l *loopback) openStore(index int) error {
+	server := &storeServer{l: l, index: index, conns: map[net.Conn]struct{}{}}
 	l.stores = append(l.stores, server)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -304,7 +304,7 @@
 		s.mu.Lock()
 		delete(s.conns, conn)
 		s.mu.Unlock()
-		s.l.post(func() { s.l.connClosed(s.i, conn) })
+		s.l.post(func() { s.l.connClosed(s.index, conn) })
 	}()
 	in := bufio.NewReader(conn)
 	for newConn := true; ; newConn = false {
@@ -319,13 +319,13 @@
 				conn.Write(encodeFrame('N', err.Error()))
 				return
 			}
-			s.l.post(func() { s.l.receiveParts(s.i, conn, parts, newConn) })
+			s.l.post(func() { s.l.receiveParts(s.index, conn, parts, newConn) })
 		case 'A':
-			s.l.post(func() { s.l.cancelPart(s.i, conn, string(body)) })
+			s.l.post(func() { s.l.cancelPart(s.index, conn, string(body)) })
 		case 'T', 'G':
-			s.l.post(func() { s.l.answerProbe(s.i, conn, frameType) })
+			s.l.post(func() { s.l.answerProbe(s.index, conn, frameType) })
 		default:
-			conn.Write(encodeFrame('N', "no such letter"))
+			conn.Write(encodeFrame('N', "unknown frame type"))
 			return
 		}
 	}
@@ -358,7 +358,7 @@
 		scan, second := parsePartID(p.id)
 		owner := l.brokerOf(scan)
 		if owner == nil {
-			w.Checker.report(w.now, RuleShardNotHeld, nil, "part %s, which no client asked for", p.id)
+			w.Checker.report(w.now, RuleShardNotHeld, nil, "part %s, which no client requested", p.id)
 			continue
 		}
 		if _, lost := w.messageDelay(owner.zone, target.Zone); lost {
@@ -378,7 +378,7 @@
 		w.Checker.dispatchArrived(w.now, scan, disp.part)
 		completions, overloaded := target.Receive(w.now, disp.part, w.rnd.Float64())
 		if overloaded {
-			w.Checker.report(w.now, RuleColdOverload, nil, "%s fell, %.1f s after its start", target.Name, (w.now-target.StartedAt)/1000)
+			w.Checker.report(w.now, RuleColdOverload, nil, "%s crashed from overload %.1f s after its start", target.Name, (w.now-target.StartedAt)/1000)
 			w.resetStore(target)
 		}
 		for _, c := range completions {
@@ -446,7 +446,7 @@
 	}
 }
 
-// cancelPart handles a cancel frame: it ends the dispatches of the part that came on this connection.
+// cancelPart handles a cancel frame: it ends the dispatches of the part that arrived on this connection.
 func (l *loopback) cancelPart(index int, conn net.Conn, partID string) {
 	for _, disp := range slices.Clone(l.dispatchesByPart[partID]) {
 		if disp.store == index && disp.conn == conn {
@@ -456,7 +456,7 @@
 	}
 }
 
-// connClosed ends all dispatches that came on a connection which has closed.
+// connClosed ends all dispatches that arrived on a connection which has closed.
 func (l *loopback) connClosed(index int, conn net.Conn) {
 	for _, disp := range l.w.dispatchesAtStore(index) {
 		if disp.conn == conn {
@@ -613,7 +613,7 @@
 }
 
 // startProcess starts the broker process. Its start file contains the node list as its discovery agent has it. The address
-// and the log file stay the same over restarts.
+// and the log file stay the same across restarts.
 func (b *brokerProcess) startProcess() error {
 	w := b.l.w
 	if b.addr == "" {
@@ -627,24 +627,24 @@
 	b.mu.Lock()
 	list := encodeNodeList(b.listVersion, true, b.fullList, b.l.addressOf)
 	b.mu.Unlock()
-	config, err := json.Marshal(map[string]any{"name": brokerName(b.s.number), "listen": b.addr, "discovery": b.agentListener.Addr().String(),
-		"seed": fmt.Sprintf("%016x", w.seed*1000003+uint64(b.s.number)*131+uint64(b.s.incarnation)), "limits": map[string]any{"memory_mb": 192, "sockets": 1024},
-		"known": list, "settings": nestSettings(w.Fleet.settings(b.s.number, b.s.zone))})
+	config, err := json.Marshal(map[string]any{"name": brokerName(b.broker.number), "listen": b.addr, "discovery": b.agentListener.Addr().String(),
+		"seed": fmt.Sprintf("%016x", w.seed*1000003+uint64(b.broker.number)*131+uint64(b.broker.incarnation)), "limits": map[string]any{"memory_mb": 192, "sockets": 1024},
+		"known": list, "settings": nestSettings(w.Fleet.settings(b.broker.number, b.broker.zone))})
 	if err != nil {
 		return fmt.Errorf("rehearse: %w", err)
 	}
-	configPath := filepath.Join(b.l.dir, fmt.Sprintf("b%d.json", b.s.number))
+	configPath := filepath.Join(b.l.dir, fmt.Sprintf("b%d.json", b.broker.number))
 	if err := os.WriteFile(configPath, config, 0o600); err != nil {
 		return fmt.Errorf("rehearse: %w", err)
 	}
 	if b.logFile == nil {
-		if b.logFile, err = os.Create(filepath.Join(b.l.dir, fmt.Sprintf("b%d.log", b.s.number))); err != nil {
+		if b.logFile, err = os.Create(filepath.Join(b.l.dir, fmt.Sprintf("b%d.log", b.broker.number))); err != nil {
 			return fmt.Errorf("rehearse: %w", err)
 		}
 	}
 	args := slices.Clone(b.l.program[1:])
 	if w.ProbePeriod > 0 || w.Fleet.TenantCells.Count > 0 || len(w.Fleet.Limits) > 0 || w.Fleet.PeerNotes || w.Fleet.SharedVerdicts {
-		featuresPath := filepath.Join(b.l.dir, fmt.Sprintf("b%d.hcl", b.s.number))
+		featuresPath := filepath.Join(b.l.dir, fmt.Sprintf("b%d.hcl", b.broker.number))
 		if err := os.WriteFile(featuresPath, []byte(b.featuresDocument()), 0o600); err != nil {
 			return fmt.Errorf("rehearse: %w", err)
 		}
@@ -680,7 +680,7 @@
 	for _, m := range b.l.members {
 		fmt.Fprintf(&members, "    %s = %q\n", m.Name, m.Advertise)
 	}
-	self := b.l.members[b.s.number]
+	self := b.l.members[b.broker.number]
 	doc += fmt.Sprintf("sharing {\n  listen = %q\n  advertise = %q\n  members = {\n%s  }\n  key \"1\" {\n    secret = %q\n  }\n", self.UDP, self.Advertise, members.String(),
 		strings.Repeat("5e", 32))
 	if w.Fleet.PeerNotes {
@@ -728,7 +728,7 @@
 		}
 	}
 	logText, _ := os.ReadFile(b.logFile.Name())
-	return fmt.Errorf("rehearse: broker %d was not ready within %v: %.500s", b.s.number, readyTimeout, logText)
+	return fmt.Errorf("rehearse: broker %d was not ready within %v: %.500s", b.broker.number, readyTimeout, logText)
 }
 
 // killProcess kills the broker process, adds its resource usage and closes the idle client connections.
--- a/internal/emulator/queue.go
+++ b/internal/emulator/queue.go
@@ -21,9 +21,9 @@
 func (q *eventQueue) len() int { return len(q.heap) }
 
 // push adds an event.
-func (q *eventQueue) push(at float64, do func()) {
+func (q *eventQueue) push(at float64, run func()) {
 	q.lastSeq++
-	e := event{at, q.lastSeq, do}
+	e := event{at, q.lastSeq, run}
 	q.heap = append(q.heap, e)
 	i := len(q.heap) - 1
 	for i > 0 {
--- a/internal/emulator/shared.go
+++ b/internal/emulator/shared.go
@@ -184,16 +184,16 @@
 const maxQueuedDatagrams = 512 // limit on datagrams queued for a paused broker, like the receive buffer of its socket
 
 // deliverQueued delivers the datagrams queued for a broker that was paused, and steps its limiter and verdicts.
-func (w *World) deliverQueued(s *emulatedBroker) {
-	datagrams := s.delayedDatagrams
-	s.delayedDatagrams = nil
+func (w *World) deliverQueued(b *emulatedBroker) {
+	datagrams := b.delayedDatagrams
+	b.delayedDatagrams = nil
 	for _, arrive := range datagrams {
 		arrive()
 	}
-	if s.limiter != nil && s.limiter.active() {
-		s.limiter.step()
+	if b.limiter != nil && b.limiter.active() {
+		b.limiter.step()
 	}
-	s.verdicts.step()
+	b.verdicts.step()
 }
 
 // partitionBrokers starts a network partition between some brokers and the others: in both directions for broker_split,
@@ -201,9 +201,9 @@
 func (w *World) partitionBrokers(fault Fault) func() {
 	chosen := map[int]bool{}
 	var names []string
-	for _, s := range w.targetBrokers(fault) {
-		chosen[s.number] = true
-		names = append(names, brokerName(s.number))
+	for _, b := range w.targetBrokers(fault) {
+		chosen[b.number] = true
+		names = append(names, brokerName(b.number))
 	}
 	w.Timeline = append(w.Timeline, fmt.Sprint("           ", names))
 	var cut [][2]int
@@ -333,9 +333,9 @@
 
 // broadcastNote sends a note of a broker's decision module to all other brokers.
 func (w *World) broadcastNote(from *emulatedBroker, note []byte) {
-	for _, s := range w.brokers {
-		if s.number != from.number {
-			w.sendDatagram(from, s, func() { w.deliver(s, s.incarnation, core.PeerNote{Note: note}) })
+	for _, b := range w.brokers {
+		if b.number != from.number {
+			w.sendDatagram(from, b, func() { w.deliver(b, b.incarnation, core.PeerNote{Note: note}) })
 		}
 	}
 }
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -18,7 +18,7 @@
 	Name      string
 	Cores     int     // parts that run at the same time, one per core
 	Speed     float64 // of a core, relative to the one for which work is stated
-	QueueSize int     // most parts in the queue, beyond those that run
+	QueueSize int     // maximum number of queued parts, beyond those that run
 }
 
 // Behavior holds the parameters of the store model, the same for all stores of a fleet. Times are in ms.
@@ -28,7 +28,7 @@
 	RepeatWindow     float64 // time for which a keyed part that has run is not run again
 	ReportInterval   float64 // time between refreshes of the load report
 	ConnWork         float64 // work of accepting a connection
-	MaxConns         int     // most connections at a store
+	MaxConns         int     // maximum number of connections at a store
 	WarmUp           float64 // time from the start of a store until it has full capacity
 	StartCapacity    float64 // share of the full capacity at the start; it grows linearly
 	OverloadWindow   float64 // sliding window over which the overload of a store that warms up is measured
@@ -172,7 +172,7 @@
 	return true
 }
 
-// Disconnect ends the connection of a broker and marks the parts that came on it as abandoned. Those that run go on;
+// Disconnect ends the connection of a broker and marks the parts that arrived on it as abandoned. Those that run go on;
 // queued ones are dropped when their turn comes, unless the cancel mode is "none".
 func (s *Store) Disconnect(broker int) {
 	delete(s.conns, broker)
--- a/internal/emulator/wire.go
+++ b/internal/emulator/wire.go
@@ -28,7 +28,7 @@
 )
 
 // errProtocol is wrapped by errors about messages that violate the protocol.
-var errProtocol = errors.New("not as the protocol says")
+var errProtocol = errors.New("protocol violation")
 
 // readFrame reads one frame from a broker's connection to a store: a length of four bytes (big-endian), a letter that
 // gives the type, and the payload. The length counts the letter.
@@ -102,7 +102,7 @@
 	return fmt.Sprintf("inflight=%d,queue=%d,util=%.2f", int(l.Running), int(l.Queued), l.Utilization)
 }
 
-// encodeRequest returns the HTTP request of a client for a scan; left is the time left in ms. An empty tenant sends no
+// encodeRequest returns the HTTP request of a client for a scan; timeLeft is in ms. An empty tenant sends no
 // X-Account header.
 func encodeRequest(host string, scan *core.Scan, tableType, tenant string, timeLeft float64) ([]byte, error) {
 	type segment struct {
@@ -175,7 +175,7 @@
 // healthNames holds the names of the readiness states in the protocol of discovery.
 var healthNames = map[logic.Readiness]string{logic.Ready: "SERVING", logic.Draining: "DRAINING", logic.Gone: "DELETED"}
 
-// encodeNodeList returns a node list in the JSON form of discovery; whole means a full list, otherwise only changes. dial
+// encodeNodeList returns a node list in the JSON form of discovery; full means the full list, otherwise only changes. dial
 // returns the address of a host.
 func encodeNodeList(seq int64, full bool, nodes []core.Node, dial func(host string) string) map[string]any {
 	hosts := []any{}
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -50,14 +50,14 @@
 // including the start times of stores.
 const epoch = 1e12
 
-// World is one run of an emulated fleet, in virtual time unless RunLive plays it. In virtual time the same fleet, seed and
+// World is one run of an emulated fleet, in virtual time unless RunLoopback runs it. In virtual time the same fleet, seed and
 // faults give the same run, event by event. Times are ms since the start of the run.
 type World struct {
 	Fleet             *Fleet
 	Stores            []*Store
 	Checker           *Checker
 	Timeline          []string      // report lines: when each fault began and ended, and its targets
-	ProbePeriod       time.Duration // RunLive only: period in which the brokers together probe every store; 0: each probes on its own
+	ProbePeriod       time.Duration // RunLoopback only: period in which the brokers together probe every store; 0: each probes on its own
 	Events            int           // number of events processed
 	now               float64
 	queue             eventQueue
@@ -71,7 +71,7 @@
 	storeByHost       map[string]int
 	nodes             []core.Node // by store: its entry in service discovery, before any delay
 	dispatches        map[int64]*dispatch
-	scheduledStep     []float64 // by store: time of its scheduled Step call; 0: none
+	scheduledAdvance  []float64 // by store: time of its scheduled Advance call; 0: none
 	stats             *tally
 	requestCount      int64 // client requests created so far
 	netFaults         networkFaults
@@ -83,7 +83,7 @@
 	discoverySilent   bool      // service discovery sends no updates
 	trafficEnd        float64   // no new client requests from this time on
 	err               error
-	loopback          *loopback // set by RunLive; nil: virtual time
+	loopback          *loopback // set by RunLoopback; nil: virtual time
 }
 
 // networkFaults holds the active faults between zones, brokers and stores.
@@ -141,7 +141,7 @@
 	scan                string
 	second              bool // it belongs to the second step (fetch) of its scan
 	ended               bool
-	conn                net.Conn // RunLive only: the connection on which it arrived
+	conn                net.Conn // RunLoopback only: the connection on which it arrived
 }
 
 // clientRequest is what a client requests, across all its attempts.
@@ -170,13 +170,13 @@
 }
 
 // New creates a world whose brokers start with the complete node list; factory is nil if the brokers are real processes,
-// see RunLive.
+// see RunLoopback.
 func New(f *Fleet, seed uint64, factory BrokerFactory) *World {
 	w := &World{Fleet: f, Checker: newChecker(f), rnd: rand.New(rand.NewPCG(seed, 0xe0)), arrivalRnd: rand.New(rand.NewPCG(seed, 0xc0e)), seed: seed, newBroker: factory, dedupTable: NewExecutedKeys(),
 		storeByHost: map[string]int{}, dispatches: map[int64]*dispatch{}, stats: newTally(len(f.Types)), trafficFactor: 1,
 		netFaults: networkFaults{zoneCuts: map[[2]int]bool{}, zoneLoss: map[[2]int]float64{}, replyLoss: map[int]map[int]float64{}, brokerCuts: map[[2]int]bool{}}}
 	for i := range f.Stores {
-		// Assigns cells and zones in turn, so that the stores of each shard are spread over as many zones as possible.
+		// Assign cells and zones in turn, so that the stores of each shard are spread over as many zones as possible.
 		w.addStore(i%f.Cells, (i/f.Cells+i%f.Cells)%len(f.Zones), longAgo)
 	}
 	sum := 0.0
@@ -193,17 +193,17 @@
 	return w
 }
 
-// addStore adds a store that starts at time born to the fleet and to the discovery list and returns its index.
-func (w *World) addStore(cell, zone int, born float64) int {
+// addStore adds a store that starts at startedAt to the fleet and to the discovery list and returns its index.
+func (w *World) addStore(cell, zone int, startedAt float64) int {
 	i := len(w.Stores)
 	kind := w.Fleet.drawKind(w.rnd)
-	s := NewStore(fmt.Sprintf("s-%04d", i), zone, cell, kind, &w.Fleet.StoreModel, w.dedupTable, born)
+	s := NewStore(fmt.Sprintf("s-%04d", i), zone, cell, kind, &w.Fleet.StoreModel, w.dedupTable, startedAt)
 	w.Stores = append(w.Stores, s)
 	w.storeByHost[s.Name] = i
-	w.scheduledStep = append(w.scheduledStep, 0)
+	w.scheduledAdvance = append(w.scheduledAdvance, 0)
 	bornUnix := 0.0
-	if born > longAgo/2 {
-		bornUnix = w.unixMs(born)
+	if startedAt > longAgo/2 {
+		bornUnix = w.unixMs(startedAt)
 	}
 	w.nodes = append(w.nodes, core.Node{Host: s.Name, Addr: "10.0.0.1:1", Zone: w.Fleet.Zones[zone], Kind: kind.Name, Cell: cell,
 		Readiness: logic.Ready, Units: 1, Born: bornUnix})
@@ -223,10 +223,10 @@
 	return epoch + at
 }
 
-// after schedules do after a delay in ms.
-func (w *World) after(wait float64, do func()) { w.queue.push(w.now+max(0, wait), do) }
+// after schedules fn after a delay in ms.
+func (w *World) after(wait float64, fn func()) { w.queue.push(w.now+max(0, wait), fn) }
 
-// Run plays the world in virtual time. Clients send requests for trafficMs; the run then continues for the longest timeout
+// Run runs the world in virtual time. Clients send requests for trafficMs; the run then continues for the longest timeout
 // plus 2 s, so that requests still open can finish.
 func (w *World) Run(trafficMs float64) (Figures, error) {
 	started := time.Now()
@@ -431,7 +431,7 @@
 // countDispatch counts a part sent to a store, and whether the store is faulty at that time.
 func (w *World) countDispatch(st *Store) {
 	w.stats.report.PartsSent++
-	if a := &st.Faults; a.NeverAnswers || a.AnswersLate || a.Unreachable || a.Crashed || a.FailureRate > 0 || a.ResetRate > 0 || a.MalformedRate > 0 {
+	if faults := &st.Faults; faults.NeverAnswers || faults.AnswersLate || faults.Unreachable || faults.Crashed || faults.FailureRate > 0 || faults.ResetRate > 0 || faults.MalformedRate > 0 {
 		w.stats.report.Struck++
 		w.stats.windowAt(w.now).Struck++
 	}
@@ -484,7 +484,7 @@
 }
 
 // sendFrame sends the parts of a call over an established connection. Parts past their latest send time are reported as
-// expired instead. ExtraWork is added to the work of the call.
+// expired instead. extraWork is added to the work of the call.
 func (w *World) sendFrame(b *emulatedBroker, i int, l *link, c core.Call, extraWork float64) {
 	st := w.Stores[i]
 	l.lastUsed = w.now
@@ -554,7 +554,7 @@
 	w.Checker.dispatchArrived(w.now, disp.scan, disp.part)
 	done, crashed := st.Receive(w.now, disp.part, w.rnd.Float64())
 	if crashed {
-		w.Checker.report(w.now, RuleColdOverload, nil, "%s fell, %.1f s after its start", st.Name, (w.now-st.StartedAt)/1000)
+		w.Checker.report(w.now, RuleColdOverload, nil, "%s crashed from overload %.1f s after its start", st.Name, (w.now-st.StartedAt)/1000)
 		w.resetStore(st)
 	}
 	for _, d := range done {
@@ -566,16 +566,16 @@
 	w.scheduleStore(st)
 }
 
-// scheduleStore schedules the store's Step call for the time at which it completes its next part.
+// scheduleStore schedules the store's Advance call for the time at which it completes its next part.
 func (w *World) scheduleStore(st *Store) {
 	next := st.NextCompletion()
 	i := w.storeByHost[st.Name]
-	if math.IsInf(next, 1) || w.scheduledStep[i] > w.now && w.scheduledStep[i] <= next {
-		return // no part in progress, or Step is already scheduled in time
+	if math.IsInf(next, 1) || w.scheduledAdvance[i] > w.now && w.scheduledAdvance[i] <= next {
+		return // no part in progress, or Advance is already scheduled in time
 	}
-	w.scheduledStep[i] = max(next, w.now)
-	w.queue.push(w.scheduledStep[i], func() {
-		w.scheduledStep[i] = 0
+	w.scheduledAdvance[i] = max(next, w.now)
+	w.queue.push(w.scheduledAdvance[i], func() {
+		w.scheduledAdvance[i] = 0
 		for _, d := range st.Advance(w.now) {
 			disp := w.dispatches[d.Part.Ref]
 			if disp == nil {
