--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -32,8 +32,8 @@
 }
 
 // runScenario runs a fleet for durationMs of virtual time with the given faults.
-func runScenario(t *testing.T, f *Fleet, seed uint64, makeBroker BrokerFactory, durationMs float64, faults ...Fault) (*World, Figures) {
-	w := New(f, seed, makeBroker)
+func runScenario(t *testing.T, f *Fleet, seed uint64, factory BrokerFactory, durationMs float64, faults ...Fault) (*World, Figures) {
+	w := New(f, seed, factory)
 	for _, fault := range faults {
 		require.NoError(t, w.ScheduleFault(fault))
 	}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -398,14 +398,14 @@
 	}
 }
 
-// flaky is a listener whose first accepts fail with EMFILE, as when no descriptor is free.
-type flaky struct {
+// flakyListener is a listener whose first accepts fail with EMFILE, as when no descriptor is free.
+type flakyListener struct {
 	net.Listener
-	fails int
+	failures int
 }
 
-func (l *flaky) Accept() (net.Conn, error) {
-	if l.fails--; l.fails >= 0 {
+func (l *flakyListener) Accept() (net.Conn, error) {
+	if l.failures--; l.failures >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EMFILE}
 	}
 	return l.Listener.Accept()
@@ -416,7 +416,7 @@
 	require.NoError(t, err)
 	f := newFront(10)
 	ended := make(chan error, 1)
-	go func() { ended <- f.Serve(&flaky{ln, 3}) }()
+	go func() { ended <- f.Serve(&flakyListener{ln, 3}) }()
 	d := &harness{t: t, addr: ln.Addr().String()}
 	status, _, _ := d.dial().send("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").response()
 	assert.Equal(t, 200, status, "serving continues after EMFILE")
--- a/internal/front/input.go
+++ b/internal/front/input.go
@@ -152,10 +152,10 @@
 }
 
 // discard reads and drops input until the client's side ends, up to the given number of bytes and time.
-func (in *input) discard(most int, until time.Time) {
+func (in *input) discard(maxBytes int, until time.Time) {
 	in.release()
 	in.conn.SetReadDeadline(until)
-	for read := 0; in.err == nil && read < most; {
+	for read := 0; in.err == nil && read < maxBytes; {
 		n, err := in.conn.Read(in.chunk[:])
 		read += n
 		if err != nil {
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -225,17 +225,17 @@
 // Stop returns true when all work is done, or false when end decides to abandon the open scans.
 func (f *Front) Stop(end *shutdown.Shutdown) bool {
 	f.stopping.Store(true)
-	begun, st := time.Now(), &f.Stats
+	start, st := time.Now(), &f.Stats
 	defer func(open int, byClient, atWork, byAnswer, byFront, requests int64) {
 		f.Log.Info().Int("open_at_stop", open).Int64("by_client", st.ByClient.Load()-byClient).
 			Int64("left_at_work", st.LeftWhileProcessing.Load()-atWork).Int64("by_answer", st.ByAnswer.Load()-byAnswer).
 			Int64("by_front", st.ByFront.Load()-byFront).Int64("requests", st.Requests.Load()-requests).
-			Float64("last_accept_ms", float64(st.lastAccept.Load()-begun.UnixNano())/1e6).
-			Float64("took_ms", float64(time.Since(begun))/1e6).Int("open", f.Conns()).Msg("front stopped")
+			Float64("last_accept_ms", float64(st.lastAccept.Load()-start.UnixNano())/1e6).
+			Float64("took_ms", float64(time.Since(start))/1e6).Int("open", f.Conns()).Msg("front stopped")
 	}(f.Conns(), st.ByClient.Load(), st.LeftWhileProcessing.Load(), st.ByAnswer.Load(), st.ByFront.Load(), st.Requests.Load())
 	for {
 		f.mu.Lock()
-		o := end.Step(shutdown.State{Elapsed: float64(time.Since(begun)) / 1e6, AnswerTime: f.slowestAnswer, Clients: len(f.conns)})
+		o := end.Step(shutdown.State{Elapsed: float64(time.Since(start)) / 1e6, AnswerTime: f.slowestAnswer, Clients: len(f.conns)})
 		if o.Drain {
 			f.closeAfterAnswer.Store(true)
 			for f.requestCloseOfOldest(idle, minIdleAge, false) {
--- a/internal/gossip/seal.go
+++ b/internal/gossip/seal.go
@@ -34,7 +34,8 @@
 	Secret []byte
 }
 
-// Reasons to drop a datagram. Drops are counted; anybody who can reach the port can cause them.
+// Reasons to drop a datagram. A Carrier counts drops by cause, except for ErrSender, and does not log them, since anybody
+// who can reach the port can cause them.
 var (
 	ErrShort    = errors.New("datagram too short or too long")
 	ErrVersion  = errors.New("unsupported datagram version")
