--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -64,7 +64,7 @@
 		return true
 	}
 	if c.guard.admitter == nil {
-		r.verdict = admission.Verdict{Reason: "no cell can be built: some shards have no store"}
+		r.verdict = admission.Verdict{Reason: "no cell can be laid out: some shards have no store"}
 	} else {
 		r.verdict = c.guard.admitter.Admit(c.now, r.Account, r.quotaRequest())
 	}
--- a/internal/core/guard_test.go
+++ b/internal/core/guard_test.go
@@ -109,7 +109,7 @@
 	empty.SetCells(cells.Plan{Cells: []cells.Cell{{Name: "a"}}}, map[string]quota.Limits{"a": {}}, 0, 0, func() float64 { return 0 })
 	out := step(empty, 1000, board("x", "t"))
 	require.Len(t, out, 1)
-	assert.Contains(t, out[0].(Reply).Why, "no cell can be built")
+	assert.Contains(t, out[0].(Reply).Why, "no cell can be laid out")
 }
 
 // openLimiter limits the number of open scans over all cells and tenants.
--- a/internal/front/http.go
+++ b/internal/front/http.go
@@ -105,7 +105,7 @@
 		name, _, _ := bytes.Cut(line, []byte(":"))
 		switch {
 		case i > 0 && (bytes.HasPrefix(line, []byte(" ")) || bytes.HasPrefix(line, []byte("\t"))):
-			return http.StatusBadRequest, "a header is folded over several lines"
+			return http.StatusBadRequest, "a header goes on in a second line"
 		case bytes.EqualFold(bytes.TrimSpace(name), []byte("Content-Length")):
 			lengths++
 		case bytes.EqualFold(bytes.TrimSpace(name), []byte("Transfer-Encoding")):
@@ -113,7 +113,7 @@
 		}
 	}
 	if lengths+codings > 1 {
-		return http.StatusBadRequest, "more than one header gives the length of the body"
+		return http.StatusBadRequest, "more than one header says where the body ends"
 	}
 	return 0, ""
 }
@@ -146,7 +146,7 @@
 	}
 	if req.URL.Path == "/healthz" {
 		if req.Method != http.MethodGet {
-			return nil, plain(http.StatusMethodNotAllowed, "/healthz supports only GET")
+			return nil, plain(http.StatusMethodNotAllowed, "health is asked for with GET")
 		}
 		if !f.ready.Load() || f.stopping.Load() {
 			return nil, plain(http.StatusServiceUnavailable, "not ready")
@@ -192,10 +192,10 @@
 	name, _, _ := strings.Cut(strings.TrimPrefix(req.URL.Path, "/"), "/")
 	typ, known := f.Site.TypeIndex[name]
 	if !known {
-		return nil, http.StatusNotFound, "unknown table type"
+		return nil, http.StatusNotFound, "there is no such table type"
 	}
 	if req.Method != http.MethodPost {
-		return nil, http.StatusMethodNotAllowed, "a scan requires POST"
+		return nil, http.StatusMethodNotAllowed, "a scan is asked for with POST"
 	}
 	s := &core.Scan{ID: req.Header.Get("X-Correlation-Id"), Key: req.Header.Get("Idempotency-Key"), TableType: typ,
 		Repeat: req.Header.Get("X-Repeat") == "1", ReceivedAt: at, Tenant: f.Site.Tenants[req.Header.Get("X-Account")]}
@@ -214,27 +214,27 @@
 	}
 	var w wireScan
 	if err := json.Unmarshal(body, &w); err != nil {
-		return bad("the body is not a JSON scan")
+		return bad("the body is not a scan in JSON")
 	}
 	if w.Text == nil {
-		return bad("text is missing")
+		return bad("a scan has a text")
 	}
 	s.Text = *w.Text
 	if len(w.Segments) == 0 || len(w.Segments) > f.Site.Shards {
-		return bad("segments must list at least one shard, each once")
+		return bad("a scan has a part for 1 shard at least, and none twice")
 	}
 	seen, sum := make(map[int]bool, len(w.Segments)), 0.0
 	for _, seg := range w.Segments {
 		p := core.ScanPart{}
 		if seg.Segment == nil || *seg.Segment < 0 || *seg.Segment >= f.Site.Shards || seen[*seg.Segment] {
-			return bad("a segment is missing, out of range or listed twice")
+			return bad("a segment is missing, out of range or there twice")
 		}
 		if seg.Boost == nil || *seg.Boost <= 0 || *seg.Boost > 1 {
-			return bad("a boost is missing, or not above 0 and at most 1")
+			return bad("a boost is missing, or not above 0 and up to 1")
 		}
 		if seg.Work != nil {
 			if p.Work = *seg.Work / 1000; p.Work < 0 || p.Work > 1e9 {
-				return bad("a work value is out of range")
+				return bad("a work is impossible")
 			}
 		}
 		p.Shard, p.Weight = *seg.Segment, *seg.Boost
--- a/internal/router/control.go
+++ b/internal/router/control.go
@@ -21,7 +21,7 @@
 )
 
 // errUnconfirmed is returned while too few brokers have confirmed that an instance drains or has gone.
-var errUnconfirmed = errors.New("too few brokers have confirmed it yet")
+var errUnconfirmed = errors.New("it is not known widely enough yet")
 
 // permit returns an error if this broker's role does not allow an action for the fleet.
 func (b *Broker) permit(act brokerrole.Action) error {
