--- a/internal/brokerrole/brokerrole.go
+++ b/internal/brokerrole/brokerrole.go
@@ -13,7 +13,7 @@
 	Learner               // its replica stores chosen values but does not vote
 	Voter                 // its replica votes
 	Leaving               // it is shutting down
-	states
+	stateCount
 )
 
 // String returns the name that the status page shows.
@@ -32,7 +32,7 @@
 	ConfirmEnd                   // acknowledge that an instance is draining or gone
 	OrderInstances               // order an instance, under a lease
 	RouteRequests                // route clients' requests by the configuration known locally
-	acts
+	actionCount
 )
 
 // Requirement is the condition for an action.
@@ -44,7 +44,7 @@
 	Local                       // this broker's own knowledge is enough
 )
 
-var table = [states][acts]Requirement{
+var requirements = [stateCount][actionCount]Requirement{
 	//          Vote   ProposeVoters ReadNewest TakeOrder  ConfirmEnd OrderInstances RouteRequests
 	Starting: {Local, Never, Never, Never, Never, Never, Never},
 	Diskless: {Never, Never, Majority, Majority, Majority, Majority, Local},
@@ -54,7 +54,7 @@
 }
 
 // Requires returns the condition for an action in this state.
-func (s State) Requires(a Action) Requirement { return table[s][a] }
+func (s State) Requires(a Action) Requirement { return requirements[s][a] }
 
 // Allows reports whether the action is possible in this state at all.
 func (s State) Allows(a Action) bool { return s.Requires(a) != Never }
--- a/internal/brokerrole/brokerrole_test.go
+++ b/internal/brokerrole/brokerrole_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// TestTable checks the invariants of all states: an action that speaks for the fleet needs a majority, a broker that does
-// not know the voters takes no such action, and a leaving broker starts nothing that outlives it.
+// TestTable checks the invariants of all states: an action on behalf of the whole fleet needs a majority, a broker that
+// does not know the voters takes no such action, and a leaving broker starts nothing that outlives it.
 func TestTable(t *testing.T) {
-	for s := range states {
+	for s := range stateCount {
 		for _, a := range []Action{ProposeVoters, ReadNewest, TakeOrder, ConfirmEnd, OrderInstances} {
 			if s.Requires(a) == Local {
 				t.Errorf("%v takes action %d without a majority", s, a)
--- a/internal/register/explore_members_test.go
+++ b/internal/register/explore_members_test.go
@@ -17,8 +17,8 @@
 // knows. Replicas of one group, such as all voters that stay, are interchangeable: of the states that differ only in a
 // permutation within a group, one is explored.
 
-// attemptPlan describes a round that starts when it is first stepped.
-type attemptPlan struct {
+// plannedRound describes a round, which starts when it takes its first step.
+type plannedRound struct {
 	name   string
 	start  func(w *memberState) (sets Members, known Known, ready bool)
 	change Change
@@ -29,7 +29,7 @@
 
 func (l layout) total() int { return l.staying + l.leaving + l.joining }
 
-// replicas are named by their indices, in the order of the groups.
+// replicas returns the replicas in the order of the groups. The address of each is its index.
 func (l layout) replicas() (out []Replica) {
 	for i := range l.total() {
 		out = append(out, Replica{string(rune('0' + i)), 1})
@@ -44,8 +44,8 @@
 	return append(slices.Clone(all[:l.staying]), all[l.staying+l.leaving:]...)
 }
 
-// repairedReplica is the index of the replica whose accepted value is repaired: the last one that becomes a voter, if one does. It is not
-// interchangeable with any other replica.
+// repairedReplica returns the index of the replica whose accepted value is repaired: the last one that becomes a voter,
+// if one does. It is not interchangeable with any other replica.
 func (l layout) repairedReplica() int { return l.total() - 1 }
 
 type memberState struct {
@@ -87,9 +87,9 @@
 		parts[i] = w.replicaKey(i)
 	}
 	from := 0
-	for _, alike := range []int{w.staying, w.leaving, w.joining} {
-		slices.Sort(parts[from:min(from+alike, w.repairedReplica())])
-		from = min(from+alike, w.repairedReplica())
+	for _, groupSize := range []int{w.staying, w.leaving, w.joining} {
+		slices.Sort(parts[from:min(from+groupSize, w.repairedReplica())])
+		from = min(from+groupSize, w.repairedReplica())
 	}
 	for _, part := range parts {
 		b = append(b, part...)
@@ -129,16 +129,17 @@
 	return 0
 }
 
-// step lets round i send a message to replica at and receive the answer; nil: there is nothing to send.
-func (w *memberState) step(proposals []attemptPlan, i, at int) *memberState {
+// step lets round i send a message to the replica with index at and receive the answer. It returns nil if there is
+// nothing to send.
+func (w *memberState) step(plans []plannedRound, i, at int) *memberState {
 	if w.rounds[i] == nil {
-		sets, known, ready := proposals[i].start(w)
+		sets, known, ready := plans[i].start(w)
 		if !ready {
 			return nil
 		}
 		c := w.clone()
-		c.rounds[i] = NewRound(Ballot{Counter: uint64(2 + i), Proposer: uint64(1 + i)}, sets, known, proposals[i].change)
-		return c.step(proposals, i, at)
+		c.rounds[i] = NewRound(Ballot{Counter: uint64(2 + i), Proposer: uint64(1 + i)}, sets, known, plans[i].change)
+		return c.step(plans, i, at)
 	}
 	r := w.rounds[i]
 	if w.contacted[i]&(1<<at) != 0 || r.Phase != Preparing && r.Phase != Accepting || !slices.Contains(r.allReplicas(), w.replicas()[at]) {
@@ -179,9 +180,9 @@
 }
 
 // exploreMembers visits all states. It returns their number and, if two chosen values disagree, the chosen values.
-func exploreMembers(l layout, proposals []attemptPlan, most int) (states int, disagree []string) {
+func exploreMembers(l layout, plans []plannedRound, limit int) (states int, disagree []string) {
 	members := Single(l.initialVoters()...)
-	start := &memberState{layout: l, accepted: make([][]Ballot, l.total()), rounds: make([]*Round, len(proposals)), contacted: make([]uint16, len(proposals)),
+	start := &memberState{layout: l, accepted: make([][]Ballot, l.total()), rounds: make([]*Round, len(plans)), contacted: make([]uint16, len(plans)),
 		values: map[Ballot]Value{}}
 	for range l.total() {
 		start.acceptorStates = append(start.acceptorStates, State{Promised: initialBallot, Accepted: initialBallot, Value: Value{Members: members}})
@@ -189,7 +190,7 @@
 	seed := maphash.MakeSeed()
 	seen := map[[2]uint64]bool{start.key(seed): true}
 	todo := []*memberState{start}
-	for len(todo) > 0 && len(seen) < most {
+	for len(todo) > 0 && len(seen) < limit {
 		w := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
 		chosen := w.chosen()
@@ -200,9 +201,9 @@
 				}
 			}
 		}
-		for i := range proposals {
+		for i := range plans {
 			for at := range l.total() {
-				next := w.step(proposals, i, at)
+				next := w.step(plans, i, at)
 				if next == nil {
 					continue
 				}
@@ -257,32 +258,32 @@
 
 // The rounds that the models combine.
 
-func startMove(l layout) attemptPlan {
-	return attemptPlan{"move", fromInitialValue, appendName("J", Reconfigure(Single(l.initialVoters()...), l.nextVoters()))}
+func startMove(l layout) plannedRound {
+	return plannedRound{"move", fromInitialValue, appendName("J", Reconfigure(Single(l.initialVoters()...), l.nextVoters()))}
 }
 
-func finishMove(layout) attemptPlan {
-	return attemptPlan{"finish move", fromInitialValue, appendName("S", CompleteReconfiguration)}
+func finishMove(layout) plannedRound {
+	return plannedRound{"finish move", fromInitialValue, appendName("S", CompleteReconfiguration)}
 }
 
-func changeValue(layout) attemptPlan {
-	return attemptPlan{"operation", fromInitialValue, appendName("x", incrementChange)}
+func changeValue(layout) plannedRound {
+	return plannedRound{"operation", fromInitialValue, appendName("x", incrementChange)}
 }
 
-func repairValue(layout) attemptPlan {
-	return attemptPlan{"repair", repairFromOneReplica(false), keepChange}
+func repairValue(layout) plannedRound {
+	return plannedRound{"repair", repairFromOneReplica(false), keepChange}
 }
 
-func looseRepair(layout) attemptPlan {
-	return attemptPlan{"loose repair", repairFromOneReplica(true), keepChange}
+func looseRepair(layout) plannedRound {
+	return plannedRound{"loose repair", repairFromOneReplica(true), keepChange}
 }
 
 // maxStates bounds the exploration of the models with three voters; all but one finish below it. Each run explores
-// larger models up to maxLargeWorldStates; to go further, run
+// larger models up to maxLargeModelStates; to go further, run
 // go test ./internal/register -run TestEveryOrderOfAMove -explore.states 5000000.
 var (
 	maxStates           = 2_000_000
-	maxLargeWorldStates = flag.Int("explore.states", 250_000, "maximum number of states to explore in each larger model of TestEveryOrderOfAMove")
+	maxLargeModelStates = flag.Int("explore.states", 250_000, "maximum number of states to explore in each larger model of TestEveryOrderOfAMove")
 )
 
 var (
@@ -295,46 +296,46 @@
 )
 
 func TestEveryOrderOfAMove(t *testing.T) {
-	type attempts []func(layout) attemptPlan
-	for name, world := range map[string]struct {
+	type rounds []func(layout) plannedRound
+	for name, model := range map[string]struct {
 		layout   layout
-		attempts attempts
+		attempts rounds
 	}{
-		"one seat of three: move, finish, operation":            {oneSeatOfThree, attempts{startMove, finishMove, changeValue}},
-		"one seat of three: move, finish, repair":               {oneSeatOfThree, attempts{startMove, finishMove, repairValue}},
-		"one seat of three: move, operation, repair":            {oneSeatOfThree, attempts{startMove, changeValue, repairValue}},
-		"one seat of three: move, finish, repair and operation": {oneSeatOfThree, attempts{startMove, finishMove, repairValue, changeValue}},
-		"one seat of three: two moves, operation":               {oneSeatOfThree, attempts{startMove, startMove, changeValue}},
-		"three grow to five: move, finish, operation":           {threeGrowToFive, attempts{startMove, finishMove, changeValue}},
-		"three grow to five: move, operation, repair":           {threeGrowToFive, attempts{startMove, changeValue, repairValue}},
-		"five grow to seven: move, finish":                      {fiveGrowToSeven, attempts{startMove, finishMove}},
-		"five grow to seven: move, operation":                   {fiveGrowToSeven, attempts{startMove, changeValue}},
-		"five grow to seven: move, repair":                      {fiveGrowToSeven, attempts{startMove, repairValue}},
-		"two seats of five: move, finish":                       {twoSeatsOfFive, attempts{startMove, finishMove}},
-		"two seats of five: move, operation":                    {twoSeatsOfFive, attempts{startMove, changeValue}},
-		"two seats of five: move, repair":                       {twoSeatsOfFive, attempts{startMove, repairValue}},
-		"two seats of five: move, finish, operation":            {twoSeatsOfFive, attempts{startMove, finishMove, changeValue}},
-		"one seat of five: move, finish, operation":             {oneSeatOfFive, attempts{startMove, finishMove, changeValue}},
-		"five shrink to three: move, operation, repair":         {fiveShrinkToThree, attempts{startMove, changeValue, repairValue}},
+		"one seat of three: move, finish, operation":            {oneSeatOfThree, rounds{startMove, finishMove, changeValue}},
+		"one seat of three: move, finish, repair":               {oneSeatOfThree, rounds{startMove, finishMove, repairValue}},
+		"one seat of three: move, operation, repair":            {oneSeatOfThree, rounds{startMove, changeValue, repairValue}},
+		"one seat of three: move, finish, repair and operation": {oneSeatOfThree, rounds{startMove, finishMove, repairValue, changeValue}},
+		"one seat of three: two moves, operation":               {oneSeatOfThree, rounds{startMove, startMove, changeValue}},
+		"three grow to five: move, finish, operation":           {threeGrowToFive, rounds{startMove, finishMove, changeValue}},
+		"three grow to five: move, operation, repair":           {threeGrowToFive, rounds{startMove, changeValue, repairValue}},
+		"five grow to seven: move, finish":                      {fiveGrowToSeven, rounds{startMove, finishMove}},
+		"five grow to seven: move, operation":                   {fiveGrowToSeven, rounds{startMove, changeValue}},
+		"five grow to seven: move, repair":                      {fiveGrowToSeven, rounds{startMove, repairValue}},
+		"two seats of five: move, finish":                       {twoSeatsOfFive, rounds{startMove, finishMove}},
+		"two seats of five: move, operation":                    {twoSeatsOfFive, rounds{startMove, changeValue}},
+		"two seats of five: move, repair":                       {twoSeatsOfFive, rounds{startMove, repairValue}},
+		"two seats of five: move, finish, operation":            {twoSeatsOfFive, rounds{startMove, finishMove, changeValue}},
+		"one seat of five: move, finish, operation":             {oneSeatOfFive, rounds{startMove, finishMove, changeValue}},
+		"five shrink to three: move, operation, repair":         {fiveShrinkToThree, rounds{startMove, changeValue, repairValue}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var proposals []attemptPlan
-			for _, attempt := range world.attempts {
-				proposals = append(proposals, attempt(world.layout))
+			var plans []plannedRound
+			for _, plan := range model.attempts {
+				plans = append(plans, plan(model.layout))
 			}
-			most := maxStates
-			if world.layout != oneSeatOfThree {
-				most = min(most, *maxLargeWorldStates)
+			limit := maxStates
+			if model.layout != oneSeatOfThree {
+				limit = min(limit, *maxLargeModelStates)
 			}
 			if testing.Short() {
-				most = 100_000
+				limit = 100_000
 			}
-			states, disagree := exploreMembers(world.layout, proposals, most)
+			states, disagree := exploreMembers(model.layout, plans, limit)
 			if disagree != nil {
 				t.Fatalf("two chosen values disagree: %v", disagree)
 			}
-			t.Logf("%d states explored, exhaustive: %t", states, states < most)
+			t.Logf("%d states explored, exhaustive: %t", states, states < limit)
 		})
 	}
 }
@@ -344,8 +345,8 @@
 func TestLooseRepairIsFound(t *testing.T) {
 	for name, l := range map[string]layout{"one seat of three": oneSeatOfThree, "three grow to five": threeGrowToFive} {
 		t.Run(name, func(t *testing.T) {
-			proposals := []attemptPlan{startMove(l), finishMove(l), looseRepair(l), changeValue(l)}
-			states, disagree := exploreMembers(l, proposals, 20_000_000)
+			plans := []plannedRound{startMove(l), finishMove(l), looseRepair(l), changeValue(l)}
+			states, disagree := exploreMembers(l, plans, 20_000_000)
 			if disagree == nil {
 				t.Fatalf("no disagreement found in %d states", states)
 			}
--- a/internal/register/explore_test.go
+++ b/internal/register/explore_test.go
@@ -39,14 +39,14 @@
 			_, promised := r.promises[replica]
 			column += fmt.Sprint(promised, r.accepted[replica])
 		}
-		var mail []string
+		var messages []string
 		for _, m := range e.inFlight {
 			if m.to == i {
-				mail = append(mail, fmt.Sprint(m.from, describeMessage(m)))
+				messages = append(messages, fmt.Sprint(m.from, describeMessage(m)))
 			}
 		}
-		slices.Sort(mail)
-		columns[i] = column + fmt.Sprint(mail)
+		slices.Sort(messages)
+		columns[i] = column + fmt.Sprint(messages)
 	}
 	slices.Sort(columns[:])
 	key := strings.Join(columns[:], ";")
--- a/internal/register/histories_test.go
+++ b/internal/register/histories_test.go
@@ -142,7 +142,7 @@
 	return !newest.members.Moving() && newest.members.Has(Replica{Address: fmt.Sprint(i), Disk: w.disks[i].id})
 }
 
-// wipe replaces an acceptor's disk by an empty one with a new identity, unless as many disks are lost as may be.
+// wipe replaces an acceptor's disk by an empty one with a new identity, unless maxLost disks are lost already.
 func (w *simulation) wipe(i int) {
 	if w.lostCount() >= w.maxLost && !w.disks[i].full {
 		return
@@ -156,7 +156,7 @@
 	w.startAcceptor(i)
 }
 
-// toggleFull makes a disk full, unless as many disks are lost as may be, or frees space on a full one.
+// toggleFull frees space on a full disk. It makes any other disk full, unless maxLost disks are lost already.
 func (w *simulation) toggleFull(i int) {
 	if d := w.disks[i]; d.full || w.lostCount() < w.maxLost {
 		d.full = !d.full
--- a/internal/register/members_test.go
+++ b/internal/register/members_test.go
@@ -14,19 +14,19 @@
 	next := Single(replicas[0], replicas[1], replicas[3])
 	value := Value{Sequence: 2, Members: next, Voted: [][]Replica{old.Sets[0], next.Sets[0]}}
 	ballot := Ballot{Counter: 5, Proposer: 1}
-	look := NewQuorumRead(Known{Ballot: ballot, Value: value})
+	read := NewQuorumRead(Known{Ballot: ballot, Value: value})
 	for _, r := range []Replica{replicas[0], replicas[3]} {
-		look.Receive(Promise{From: r, Accepted: ballot})
+		read.Receive(Promise{From: r, Accepted: ballot})
 	}
-	if look.Chosen() {
+	if read.Chosen() {
 		t.Error("the value counts as chosen by a majority of the new set alone")
 	}
-	look.Receive(Promise{From: replicas[1], Accepted: ballot})
-	if !look.Chosen() {
+	read.Receive(Promise{From: replicas[1], Accepted: ballot})
+	if !read.Chosen() {
 		t.Error("the value does not count as chosen by majorities of both sets")
 	}
-	if len(look.Requests()) != 4 {
-		t.Errorf("%d replicas are queried, want 4", len(look.Requests()))
+	if len(read.Requests()) != 4 {
+		t.Errorf("%d replicas are queried, want 4", len(read.Requests()))
 	}
 }
 
--- a/internal/register/quorumread_test.go
+++ b/internal/register/quorumread_test.go
@@ -27,15 +27,15 @@
 		"after a move, both sets have":       {[]Known{byMove, byMove, known}, true},
 		"all have the known value":           {[]Known{known, known, known}, false},
 	} {
-		look := NewQuorumRead(known)
+		read := NewQuorumRead(known)
 		for at, accepted := range c.answers {
 			promise := Promise{From: replicas[at], Accepted: accepted.Ballot}
 			if accepted.Ballot != known.Ballot {
 				promise.Value = &accepted.Value
 			}
-			look.Receive(promise)
+			read.Receive(promise)
 		}
-		if newest, chosen := look.NewestChosen(); chosen != c.want || chosen && newest.Value.Sequence != 3 {
+		if newest, chosen := read.NewestChosen(); chosen != c.want || chosen && newest.Value.Sequence != 3 {
 			t.Errorf("%s: chosen %t, value %d", name, chosen, newest.Value.Sequence)
 		}
 	}
@@ -142,19 +142,19 @@
 }
 
 func (w *readSimulation) startRead() {
-	look, known, newest, over := NewQuorumRead(w.known), w.known, w.newest, false
-	for _, m := range look.Requests() {
+	read, known, newest, finished := NewQuorumRead(w.known), w.known, w.newest, false
+	for _, m := range read.Requests() {
 		w.send(func() {
 			answer := w.acceptors[m.To].Prepare(m)
 			w.send(func() {
-				if look.Receive(answer); over || !look.Done() {
+				if read.Receive(answer); finished || !read.Done() {
 					return
 				}
-				over = true
+				finished = true
 				value := known.Value
-				if found, chosen := look.NewestChosen(); chosen {
+				if found, chosen := read.NewestChosen(); chosen {
 					value = found.Value
-				} else if !look.StillNewest() {
+				} else if !read.StillNewest() {
 					return // the caller would start a round
 				}
 				w.served++
--- a/internal/voters/failuredetector.go
+++ b/internal/voters/failuredetector.go
@@ -13,7 +13,7 @@
 type FailureDetector struct {
 	catchUp        time.Duration
 	byAddress      map[string]contact
-	recentlyChosen []chosenBallot // ballots of the values learned to be chosen in the last allowedLag, and the one before
+	recentlyChosen []chosenBallot // of the values learned to be chosen in the last allowedLag, and of the one before them
 }
 
 // chosenBallot is the ballot of a chosen value and the time at which it became known.
@@ -51,13 +51,13 @@
 	c.byAddress[replica.Address] = contact{replica: replica, accepted: accepted, healthySince: healthySince}
 }
 
-// RecordTimeout records that a probe got no answer. If it timed out much later than after limit, this process was paused
-// in between, and the silence counts only from now.
-func (c *FailureDetector) RecordTimeout(address string, put, now time.Time, limit time.Duration) {
+// RecordTimeout records that a probe got no answer within timeout. If now is much later than that, this process was
+// paused in between, and the silence counts only from now.
+func (c *FailureDetector) RecordTimeout(address string, sentAt, now time.Time, timeout time.Duration) {
 	known := c.byAddress[address]
 	if known.silentSince.IsZero() {
-		known.silentSince = put
-		if now.Sub(put) > 2*limit {
+		known.silentSince = sentAt
+		if now.Sub(sentAt) > 2*timeout {
 			known.silentSince = now
 		}
 	}
@@ -75,9 +75,9 @@
 	return false
 }
 
-// Forget drops the contacts for whose address others is true.
-func (c *FailureDetector) Forget(others func(address string) bool) {
-	maps.DeleteFunc(c.byAddress, func(address string, _ contact) bool { return others(address) })
+// Forget drops the contacts whose address satisfies drop.
+func (c *FailureDetector) Forget(drop func(address string) bool) {
+	maps.DeleteFunc(c.byAddress, func(address string, _ contact) bool { return drop(address) })
 }
 
 // RecordChosen records the ballot of the newest value that is known to be chosen.
@@ -100,15 +100,15 @@
 func (c *FailureDetector) Health(replica register.Replica, leaving bool, now time.Time) Health {
 	known := c.byAddress[replica.Address]
 	silent := !known.silentSince.IsZero()
-	unheard := known.replica == (register.Replica{})
+	neverAnswered := known.replica == (register.Replica{})
 	switch {
-	case !unheard && known.replica != replica:
+	case !neverAnswered && known.replica != replica:
 		return Replaced
 	case silent && now.Sub(known.silentSince) > LostAfter(c.catchUp):
 		return Silent
 	case leaving:
 		return Leaving
-	case silent || unheard:
+	case silent || neverAnswered:
 		return Unknown
 	case !c.isUpToDate(known.accepted):
 		return Lagging
--- a/internal/voters/histories_test.go
+++ b/internal/voters/histories_test.go
@@ -485,7 +485,7 @@
 	b := live[m.rng.IntN(len(live))]
 	m.recoveringSince = 0
 	switch m.rng.IntN(8) {
-	case 7: // the core is partitioned, which loses nothing
+	case 7: // the core is partitioned; no disk is lost
 		m.partitionCore(live)
 		m.recoveringSince = m.now
 		return
@@ -529,24 +529,24 @@
 	m.endLoss(b)
 }
 
-// partitionCore partitions the core. If nothing else is lost and all possible voters vote, the larger part must take
-// orders while the partition lasts.
+// partitionCore partitions the machines with a disk in two. If nothing else is lost and all possible voters vote, the
+// larger part must take orders while the partition lasts.
 func (m *simulation) partitionCore(live []*node) {
 	m.rng.Shuffle(len(live), func(i, j int) { live[i], live[j] = live[j], live[i] })
-	greater := len(live)/2 + 1 + m.rng.IntN((len(live)+1)/2)
-	greater = min(greater, len(live)-1)
+	largerPart := len(live)/2 + 1 + m.rng.IntN((len(live)+1)/2)
+	largerPart = min(largerPart, len(live)-1)
 	steady := m.lostCount() == 0 && m.recovered() && len(live[0].known.Value.Members.Last()) >= len(live)-1
-	for _, b := range live[greater:] {
+	for _, b := range live[largerPart:] {
 		b.side = 1
 	}
 	for end := m.now + time.Duration(2+m.rng.IntN(18))*time.Second; m.now < end && m.err == nil; {
 		started, acked := m.now, len(m.acknowledged)
 		for m.err == nil && len(m.acknowledged) == acked && m.now-started < catchUp {
-			m.submitOrderAt(live[m.rng.IntN(greater)])
+			m.submitOrderAt(live[m.rng.IntN(largerPart)])
 			m.step()
 		}
 		if steady && len(m.acknowledged) == acked && m.err == nil {
-			m.err = fmt.Errorf("%v: no order is taken in the larger part, %d of %d machines", m.now, greater, len(live))
+			m.err = fmt.Errorf("%v: no order is taken in the larger part, %d of %d machines", m.now, largerPart, len(live))
 		}
 		if steady {
 			m.partitionLatencies = append(m.partitionLatencies, m.now-started)
@@ -598,12 +598,12 @@
 		return
 	}
 	newest := slices.Max(slices.Collect(maps.Keys(m.chosen)))
-	line := map[string]bool{}
+	ancestors := map[string]bool{}
 	for k := m.chosen[newest]; k != ""; k = m.parent[k] {
-		line[k] = true
+		ancestors[k] = true
 	}
 	for _, k := range m.acknowledged {
-		if !line[k] {
+		if !ancestors[k] {
 			m.err = fmt.Errorf("%s was acknowledged but is no ancestor of the newest value", k)
 			return
 		}
--- a/internal/voters/voters.go
+++ b/internal/voters/voters.go
@@ -52,11 +52,11 @@
 // MinVoters returns the least number of voters that tolerates the losses, provided there are enough machines.
 func (t Tolerance) MinVoters() int { return 2*max(t.Machines, t.Zones, t.Regions, 1) + 1 }
 
-// Health is the state of a machine's replica as its voter's probes show it.
+// Health is the state of a machine's replica as a voter's probes show it.
 type Health int
 
 const (
-	Unknown  Health = iota // no probe has settled its state yet
+	Unknown  Health = iota // the probes so far do not show its state
 	Healthy                // it answers and is up to date
 	Lagging                // it answers but lacks a value chosen more than allowedLag ago
 	Leaving                // it has announced that it shuts down
@@ -89,30 +89,30 @@
 // IsTurn reports whether it is this voter's turn to propose a change that has been due for the given time. The healthy
 // voters take turns round robin in the order of their addresses, so that their ballots do not compete.
 func IsTurn(present []Machine, self register.Replica, due time.Duration) bool {
-	place, well := 0, 0
+	position, healthy := 0, 0
 	for _, m := range present {
 		if m.Replica == self {
-			place = well
+			position = healthy
 		}
 		if m.Health == Healthy || m.Replica == self {
-			well++
+			healthy++
 		}
 	}
-	return well > 0 && int(due/turnLength)%well == place
+	return healthy > 0 && int(due/turnLength)%healthy == position
 }
 
 // Initial chooses the initial voters among the machines that have found each other.
-func Initial(met []Machine) []register.Replica {
-	return replicas(fillBySpread(nil, met, largestOdd(len(met))))
+func Initial(found []Machine) []register.Replica {
+	return replicas(fillBySpread(nil, found, largestOdd(len(found))))
 }
 
 // Plan returns the next set of voters; due is false if the present set stays. learners are the machines with a disk that
 // do not vote.
 func Plan(present, learners []Machine, t Tolerance) (next []register.Replica, due bool) {
-	able := slices.DeleteFunc(slices.Clone(learners), func(m Machine) bool { return m.Health != Healthy })
-	set := selectVoters(present, able, targetSize(present, able, t))
+	candidates := slices.DeleteFunc(slices.Clone(learners), func(m Machine) bool { return m.Health != Healthy })
+	set := selectVoters(present, candidates, targetSize(present, candidates, t))
 	if sameReplicas(set, present) {
-		set = rebalance(present, able, t)
+		set = rebalance(present, candidates, t)
 	}
 	if sameReplicas(set, present) || !hasHealthyMajority(set) {
 		return nil, false
@@ -120,12 +120,12 @@
 	return replicas(set), true
 }
 
-// targetSize returns the intended number of voters. able are the healthy learners.
-func targetSize(present, able []Machine, t Tolerance) int {
+// targetSize returns the intended number of voters. candidates are the healthy learners.
+func targetSize(present, candidates []Machine, t Tolerance) int {
 	staying := count(present, func(m Machine) bool { return !m.Health.yieldsSeat() })
-	settled := count(able, func(m Machine) bool { return m.Settled })
+	settled := count(candidates, func(m Machine) bool { return m.Settled })
 	departed := count(present, func(m Machine) bool { return m.Departed })
-	needed := min(t.MinVoters(), staying+len(able))
+	needed := min(t.MinVoters(), staying+len(candidates))
 	kept := largestOdd(len(present)) - departed/2*2
 	if len(present) <= t.MinVoters() {
 		kept = len(present)
@@ -133,9 +133,9 @@
 	return max(largestOdd(needed), largestOdd(staying+settled), min(kept, len(present)), min(len(present), t.MinVoters()))
 }
 
-func count(set []Machine, counts func(Machine) bool) (n int) {
+func count(set []Machine, matches func(Machine) bool) (n int) {
 	for _, m := range set {
-		if counts(m) {
+		if matches(m) {
 			n++
 		}
 	}
@@ -147,11 +147,11 @@
 
 // selectVoters chooses the voters: first present ones that stay, then learners, then, if there are too few, present ones
 // that should be replaced.
-func selectVoters(present, able []Machine, size int) []Machine {
-	var stay, give []Machine
+func selectVoters(present, candidates []Machine, size int) []Machine {
+	var stay, replaceable []Machine
 	for _, m := range present {
 		if m.Health.yieldsSeat() {
-			give = append(give, m)
+			replaceable = append(replaceable, m)
 		} else {
 			stay = append(stay, m)
 		}
@@ -160,9 +160,9 @@
 	if len(stay) > size {
 		return fillBySpread(nil, stay, size)
 	}
-	set := fillBySpread(stay, sameAddressFirst(able, give), size)
-	slices.SortStableFunc(give, func(a, b Machine) int { return cmp.Compare(a.Health, b.Health) })
-	for _, m := range give {
+	set := fillBySpread(stay, sameAddressFirst(candidates, replaceable), size)
+	slices.SortStableFunc(replaceable, func(a, b Machine) int { return cmp.Compare(a.Health, b.Health) })
+	for _, m := range replaceable {
 		if len(set) < size && !hasAddress(set, m.Replica.Address) {
 			set = append(set, m)
 		}
@@ -180,16 +180,16 @@
 
 // sameAddressFirst sorts learners at the address of a voter to be replaced to the front: they are restarts of the same
 // machine.
-func sameAddressFirst(able, give []Machine) []Machine {
-	out := slices.Clone(able)
+func sameAddressFirst(candidates, replaceable []Machine) []Machine {
+	out := slices.Clone(candidates)
 	slices.SortStableFunc(out, func(a, b Machine) int {
-		return cmp.Compare(addressRank(give, a), addressRank(give, b))
+		return cmp.Compare(addressRank(replaceable, a), addressRank(replaceable, b))
 	})
 	return out
 }
 
-func addressRank(give []Machine, m Machine) int {
-	if hasAddress(give, m.Replica.Address) {
+func addressRank(replaceable []Machine, m Machine) int {
+	if hasAddress(replaceable, m.Replica.Address) {
 		return 0
 	}
 	return 1
@@ -231,12 +231,12 @@
 }
 
 // rebalance replaces one voter by a learner if only that makes the set tolerate the loss of zones or regions.
-func rebalance(present, able []Machine, t Tolerance) []Machine {
+func rebalance(present, candidates []Machine, t Tolerance) []Machine {
 	if tolerates(present, t) {
 		return present
 	}
 	for at := range present {
-		for _, m := range able {
+		for _, m := range candidates {
 			set := slices.Clone(present)
 			set[at] = m
 			if tolerates(set, t) {
@@ -251,11 +251,11 @@
 func tolerates(set []Machine, t Tolerance) bool {
 	zone := func(m Machine) string { return m.Zone }
 	region := func(m Machine) string { return m.Region }
-	return len(set)-largest(set, zone, t.Zones) > len(set)/2 && len(set)-largest(set, region, t.Regions) > len(set)/2
+	return len(set)-membersInLargest(set, zone, t.Zones) > len(set)/2 && len(set)-membersInLargest(set, region, t.Regions) > len(set)/2
 }
 
-// largest counts the members in the n zones or regions with the most members.
-func largest(set []Machine, place func(Machine) string, n int) (lost int) {
+// membersInLargest counts the members in the n zones or regions with the most members.
+func membersInLargest(set []Machine, place func(Machine) string, n int) (lost int) {
 	counts := map[string]int{}
 	for _, m := range set {
 		counts[place(m)]++
--- a/internal/voters/voters_test.go
+++ b/internal/voters/voters_test.go
@@ -31,8 +31,8 @@
 	return m
 }
 
-func parseMachines(texts string) (out []Machine) {
-	for text := range strings.SplitSeq(texts, ",") {
+func parseMachines(text string) (out []Machine) {
+	for text := range strings.SplitSeq(text, ",") {
 		if text = strings.TrimSpace(text); text != "" {
 			out = append(out, parseMachine(text))
 		}
