--- a/internal/journalfile/journalfile.go
+++ b/internal/journalfile/journalfile.go
@@ -92,7 +92,7 @@
 		return nil, nil, fmt.Errorf("log: %w", err)
 	}
 	r := &Recovered{}
-	var segments, snaps []uint64
+	var segments, snapshots []uint64
 	for _, name := range names {
 		if strings.HasSuffix(name, temporarySuffix) { // an incomplete snapshot
 			if err := disk.Remove(name); err != nil {
@@ -101,11 +101,11 @@
 		} else if at, ok := parseSequence(name, segmentPrefix); ok {
 			segments = append(segments, at)
 		} else if at, ok := parseSequence(name, snapshotPrefix); ok {
-			snaps = append(snaps, at)
+			snapshots = append(snapshots, at)
 		}
 	}
-	if len(snaps) > 0 { // List sorts the names, so the last snapshot is the newest
-		l.snapshotSequence = snaps[len(snaps)-1]
+	if len(snapshots) > 0 { // List sorts the names, so the last snapshot is the newest
+		l.snapshotSequence = snapshots[len(snapshots)-1]
 		if r.Snapshot, err = l.readSnapshot(fileName(snapshotPrefix, l.snapshotSequence), l.snapshotSequence); err != nil {
 			return nil, nil, err
 		}
@@ -120,7 +120,7 @@
 			disk.Remove(fileName(segmentPrefix, at))
 		}
 	}
-	for _, at := range snaps {
+	for _, at := range snapshots {
 		if at < l.snapshotSequence {
 			disk.Remove(fileName(snapshotPrefix, at))
 		}
--- a/internal/journalfile/journalfile_test.go
+++ b/internal/journalfile/journalfile_test.go
@@ -110,29 +110,29 @@
 				}
 				t.Fatalf("opening: %v", err)
 			}
-			var have []string
+			var recovered []string
 			if r.Snapshot != nil {
 				var n int
 				fmt.Sscan(string(r.Snapshot), &n)
-				have = append(have, written[:n]...)
+				recovered = append(recovered, written[:n]...)
 			}
-			have = append(have, recordTexts(r.Records)...)
-			if len(have) > len(written) {
-				t.Fatalf("recovered %d records, but only %d were written", len(have), len(written))
+			recovered = append(recovered, recordTexts(r.Records)...)
+			if len(recovered) > len(written) {
+				t.Fatalf("recovered %d records, but only %d were written", len(recovered), len(written))
 			}
-			for i := range have {
-				if have[i] != written[i] {
-					t.Fatalf("record %d is %q, not %q", i, have[i], written[i])
+			for i := range recovered {
+				if recovered[i] != written[i] {
+					t.Fatalf("record %d is %q, not %q", i, recovered[i], written[i])
 				}
 			}
-			if len(have) < acked && !d.syncSkipped {
-				t.Fatalf("recovered %d records, but %d were acknowledged", len(have), acked)
+			if len(recovered) < acked && !d.syncSkipped {
+				t.Fatalf("recovered %d records, but %d were acknowledged", len(recovered), acked)
 			}
-			if uint64(len(have)) != r.Next {
-				t.Fatalf("recovered %d records, but the next sequence is %d", len(have), r.Next)
+			if uint64(len(recovered)) != r.Next {
+				t.Fatalf("recovered %d records, but the next sequence is %d", len(recovered), r.Next)
 			}
-			written = written[:len(have)]
-			acked = len(have)
+			written = written[:len(recovered)]
+			acked = len(recovered)
 			if rapid.Bool().Draw(t, "kill") {
 				d.killAt = d.ops + rapid.IntRange(1, 30).Draw(t, "at")
 			}
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -66,18 +66,18 @@
 }
 
 // SetProcessingDelay makes the processes of a host wait for the CPU.
-func (n *Net) SetProcessingDelay(ip string, by ProcessingDelay) {
+func (n *Net) SetProcessingDelay(ip string, delay ProcessingDelay) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.processingDelays[ip] = by
+	n.processingDelays[ip] = delay
 }
 
 // SetLoss sets the fraction of packets that are lost. On connections they are retransmitted, first after
 // retransmitTimeout and then with exponential backoff.
-func (n *Net) SetLoss(share float64) {
+func (n *Net) SetLoss(fraction float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.lossRate = share
+	n.lossRate = fraction
 }
 
 // drawLoss decides at random whether a packet is lost. The caller holds n.mu.
@@ -169,18 +169,18 @@
 	n.blockedLinks[[2]string{from, to}] = cut
 }
 
-// Kill kills the processes of a host and closes their sockets. If dark is true, the host is powered off: it sends nothing
-// any more, and connections to it hang; else they are reset.
-func (n *Net) Kill(ip string, dark bool) {
+// Kill kills the processes of a host and closes their sockets. If powerOff is true, the host is powered off: it sends
+// nothing any more, and connections to it hang; else they are reset.
+func (n *Net) Kill(ip string, powerOff bool) {
 	n.mu.Lock()
-	n.poweredOff[ip] = dark
+	n.poweredOff[ip] = powerOff
 	for _, ended := range n.processEnded[ip] {
 		ended.Store(true)
 	}
 	delete(n.processEnded, ip)
 	var ended []*conn
 	for c := range n.conns {
-		if c.local == ip || c.remote == ip && !dark {
+		if c.local == ip || c.remote == ip && !powerOff {
 			ended = append(ended, c)
 		}
 	}
@@ -417,13 +417,13 @@
 }
 
 // sleepUnlocked sleeps and releases s.mu meanwhile.
-func (s *stream) sleepUnlocked(span time.Duration) {
-	if span == 0 {
+func (s *stream) sleepUnlocked(d time.Duration) {
+	if d == 0 {
 		return
 	}
 	s.mu.Unlock()
 	defer s.mu.Lock()
-	time.Sleep(span)
+	time.Sleep(d)
 }
 
 // readable reports whether there is something to read now, and if not, how long to wait before checking again. The caller
@@ -446,17 +446,17 @@
 	s := c.in
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for woken := false; ; {
-		there, wait := c.readable()
-		if slow := c.net.ProcessingDelay(c.local); there && !woken && slow.BeforeRead > 0 {
-			woken = true
-			s.sleepUnlocked(slow.BeforeRead)
+	for delayed := false; ; {
+		readable, wait := c.readable()
+		if delay := c.net.ProcessingDelay(c.local); readable && !delayed && delay.BeforeRead > 0 {
+			delayed = true
+			s.sleepUnlocked(delay.BeforeRead)
 			continue
 		}
 		switch {
 		case s.err != nil:
 			return 0, s.err
-		case there:
+		case readable:
 			n := copy(b, s.segments[0].data)
 			if s.segments[0].data = s.segments[0].data[n:]; len(s.segments[0].data) == 0 {
 				s.segments = s.segments[1:]
@@ -495,10 +495,11 @@
 	return len(b), nil
 }
 
-// expire resets the connection if the link is down and bytes due to arrive by the given time are still in flight.
-func (c *conn) expire(sent time.Time) {
+// expire resets the connection if the link is down and bytes that should have arrived by the given time are still in
+// flight.
+func (c *conn) expire(arrival time.Time) {
 	c.out.mu.Lock()
-	late := len(c.out.segments) > 0 && !c.out.segments[0].arrival.After(sent)
+	late := len(c.out.segments) > 0 && !c.out.segments[0].arrival.After(arrival)
 	c.out.mu.Unlock()
 	if late && !c.net.passes(c.local, c.remote) {
 		c.abort(errReset)
--- a/internal/virtual/virtual.go
+++ b/internal/virtual/virtual.go
@@ -96,8 +96,8 @@
 }
 
 // New returns an empty network at time 0.
-func New(seed uint64, w Conditions) *Net {
-	return &Net{Conditions: w, rng: rand.New(rand.NewPCG(seed, 0x5ea5)), endpoints: map[string]*endpoint{},
+func New(seed uint64, conditions Conditions) *Net {
+	return &Net{Conditions: conditions, rng: rand.New(rand.NewPCG(seed, 0x5ea5)), endpoints: map[string]*endpoint{},
 		blockedLinks: map[[2]string]bool{}, partitions: map[string]int{}, counts: map[string]*Counts{}}
 }
 
@@ -119,7 +119,7 @@
 // Kill removes the node at an address. Packets in flight to it are lost.
 func (n *Net) Kill(addr string) { delete(n.endpoints, addr) }
 
-// Running reports whether there is a node at an address.
+// Running reports whether a node runs at an address.
 func (n *Net) Running(addr string) bool { return n.endpoints[addr] != nil }
 
 // Pause gives a node no turn until Resume. Incoming packets are queued; those beyond the capacity are dropped.
@@ -207,7 +207,7 @@
 	n.now = end
 }
 
-// Poke gives the node at an address a turn now, as after a call by its application.
+// Wake gives the node at an address a turn now, as after a call by its application.
 func (n *Net) Wake(addr string) {
 	if p := n.endpoints[addr]; p != nil && !p.paused {
 		n.runTurn(p, nil)
