--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -22,4 +22,4 @@
 }
 
 // ErrMismatch means that hunks were made from another base, or are damaged.
-var ErrMismatch = errors.New("the patch does not fit")
+var ErrMismatch = errors.New("the hunks do not match the base")
--- a/internal/delta/hunks.go
+++ b/internal/delta/hunks.go
@@ -18,8 +18,8 @@
 	hashPrime    = 0x9e3779b97f4a7c15
 )
 
-// Hunks returns the hunks that turn base into next. It first takes off the common prefix and suffix, which are cheap to find, and
-// then looks for ranges of the base that have moved in the middle.
+// Hunks returns the hunks that turn base into next. It first splits off the common prefix and suffix, which are cheap to find, and
+// then searches the rest for ranges of the base that have moved.
 func Hunks(base, next []byte) []Hunk {
 	prefix := commonPrefix(base, next)
 	suffix := commonSuffix(base[prefix:], next[prefix:])
@@ -56,23 +56,23 @@
 }
 
 func commonPrefix(a, b []byte) int {
-	most := min(len(a), len(b))
-	for at := range most {
+	length := min(len(a), len(b))
+	for at := range length {
 		if a[at] != b[at] {
 			return at
 		}
 	}
-	return most
+	return length
 }
 
 func commonSuffix(a, b []byte) int {
-	most := min(len(a), len(b))
-	for at := range most {
+	length := min(len(a), len(b))
+	for at := range length {
 		if a[len(a)-1-at] != b[len(b)-1-at] {
 			return at
 		}
 	}
-	return most
+	return length
 }
 
 // hunksBetween returns the hunks for the middle of the new text: first the common prefix of the given length, then rest, which
@@ -155,15 +155,15 @@
 	return hash
 }
 
-// hashAt returns the hash of the window that starts at an offset. It is cheap if the previous call was for the offset before.
-func (r *rollingHash) hashAt(text []byte, place int) uint64 {
-	if r.known && place == r.next {
-		left, entered := text[place-1], text[place+r.size-1]
+// hashAt returns the hash of the window that starts at an offset. It is cheap if the previous call was for the preceding offset.
+func (r *rollingHash) hashAt(text []byte, at int) uint64 {
+	if r.known && at == r.next {
+		left, entered := text[at-1], text[at+r.size-1]
 		r.hash = (r.hash-(uint64(left)+1)*r.power)*hashPrime + uint64(entered) + 1
 	} else {
-		r.hash = r.hashOf(text[place : place+r.size])
+		r.hash = r.hashOf(text[at : at+r.size])
 	}
-	r.known, r.next = true, place+1
+	r.known, r.next = true, at+1
 	return r.hash
 }
 
--- a/internal/sections/sections.go
+++ b/internal/sections/sections.go
@@ -27,7 +27,7 @@
 var ErrMalformed = errors.New("not a document of sections")
 
 // ErrMismatch means that a patch was made from another document, or is damaged.
-var ErrMismatch = errors.New("the patch of sections does not fit")
+var ErrMismatch = errors.New("the patch does not match the document")
 
 // Section is a named part of a document with its own version.
 type Section struct {
@@ -137,13 +137,13 @@
 	return s, rest, err
 }
 
-// readField reads a length and a body of that length, at most `most` bytes.
-func readField(text []byte, most uint64) (body, rest []byte, err error) {
+// readField reads a length and a body of that length, which must not exceed maxSize.
+func readField(text []byte, maxSize uint64) (body, rest []byte, err error) {
 	length, rest, err := readUvarint(text)
 	if err != nil {
 		return nil, nil, err
 	}
-	if length > most || length > uint64(len(rest)) {
+	if length > maxSize || length > uint64(len(rest)) {
 		return nil, nil, errors.Wrapf(ErrMalformed, "a length of %d", length)
 	}
 	return rest[:length:length], rest[length:], nil
