--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -16,12 +16,12 @@
 
 const (
 	initialDivisor = 6                       // at first one in this many instances loads at a time, because concurrent loads slow each other down
-	firstPollDelay = 350 * time.Millisecond  // from an instance's acceptance of an order to the first poll
+	firstPollDelay = 350 * time.Millisecond  // from the time an instance accepts an order to the first poll
 	pollInterval   = 150 * time.Millisecond  // between later polls
 	orderTimeout   = 8 * time.Second         // an order that is not complete by then is sent again
 	silenceTimeout = time.Second             // an instance that does not reply for longer frees its place for another
-	rampUpAfter    = 2500 * time.Millisecond // after this time more instances load at a time,
-	rampUpInterval = 500 * time.Millisecond  // and more again after each such interval
+	rampUpAfter    = 2500 * time.Millisecond // after this time more instances may load at a time
+	rampUpInterval = 500 * time.Millisecond  // the number rises again after each such interval
 	retryDelay     = 300 * time.Millisecond  // before an instance that failed to accept an order is ordered again
 )
 
@@ -87,13 +87,13 @@
 	running := p.countRunning(all)
 	slices.SortStableFunc(lagging, p.compareUrgency)
 	for _, i := range lagging {
-		f := p.pending[i.ID]
+		pending := p.pending[i.ID]
 		switch {
-		case f == nil && now.After(p.retryAt[i.ID]) && len(p.pending) < maxConcurrentLoads(running, now.Sub(since(i.VersionOf(p.model)))):
+		case pending == nil && now.After(p.retryAt[i.ID]) && len(p.pending) < maxConcurrentLoads(running, now.Sub(since(i.VersionOf(p.model)))):
 			p.pending[i.ID] = &pendingOrder{version: version, orderedAt: now, lastReply: now, pollDue: now.Add(firstPollDelay)}
 			order = append(order, i)
-		case f != nil && f.accepted && !now.Before(f.pollDue):
-			f.pollDue = now.Add(pollInterval)
+		case pending != nil && pending.accepted && !now.Before(pending.pollDue):
+			pending.pollDue = now.Add(pollInterval)
 			pollDue = append(pollDue, i)
 		}
 	}
--- a/internal/rollout/rollout_test.go
+++ b/internal/rollout/rollout_test.go
@@ -24,8 +24,8 @@
 // at returns a function that reports the same naming time for every version.
 func at(moment time.Time) func(int64) time.Time { return func(int64) time.Time { return moment } }
 
-// TestRolloutReachesAllInstances simulates a rollout in which one order is refused, one is lost by a restart and one instance goes away. All other
-// instances must reach the new version, with no more concurrent loads than allowed.
+// TestRolloutReachesAllInstances simulates a rollout in which one order is refused, one is lost by a restart and one instance goes
+// away. All other instances must reach the new version, with no more concurrent loads than allowed.
 func TestRolloutReachesAllInstances(t *testing.T) {
 	all := fleetOf(12)
 	p := New("m")
@@ -38,7 +38,7 @@
 		if now.Sub(start) > 20*time.Second {
 			t.Fatalf("%d instances still run the old version after 20 s", len(Lagging(all, "m", 2)))
 		}
-		order, look := p.Plan(now, at(start), all, 2)
+		order, poll := p.Plan(now, at(start), all, 2)
 		for _, i := range order {
 			orders[i.ID]++
 			switch {
@@ -54,7 +54,7 @@
 		if now.Sub(start) < rampUpAfter && len(loading) > 2 {
 			t.Fatalf("%d instances load at a time after %v", len(loading), now.Sub(start))
 		}
-		for _, i := range look {
+		for _, i := range poll {
 			since, loads := loading[i.ID]
 			switch {
 			case !loads:
@@ -77,11 +77,11 @@
 func TestConcurrentLoadsIncreaseOverTime(t *testing.T) {
 	last := 0
 	for _, elapsed := range []time.Duration{0, rampUpAfter, rampUpAfter + rampUpInterval + 1, rampUpAfter + 10*rampUpInterval} {
-		most := maxConcurrentLoads(72, elapsed)
-		if most < last {
-			t.Errorf("after %v %d instances may load at a time, fewer than %d before", elapsed, most, last)
+		allowed := maxConcurrentLoads(72, elapsed)
+		if allowed < last {
+			t.Errorf("after %v %d instances may load at a time, fewer than %d before", elapsed, allowed, last)
 		}
-		last = most
+		last = allowed
 	}
 	if maxConcurrentLoads(72, 0) != 12 || last != 72 || maxConcurrentLoads(0, 0) != 1 {
 		t.Errorf("%d instances may load at a time at first and %d at last", maxConcurrentLoads(72, 0), last)
@@ -115,7 +115,7 @@
 	start := time.Unix(0, 0)
 	ordered := map[string]time.Duration{}
 	for now := start; now.Before(start.Add(2400 * time.Millisecond)); now = now.Add(50 * time.Millisecond) {
-		order, look := p.Plan(now, at(start), all, 2)
+		order, poll := p.Plan(now, at(start), all, 2)
 		for _, i := range order {
 			if _, again := ordered[i.ID]; !again {
 				ordered[i.ID] = now.Sub(start)
@@ -123,7 +123,7 @@
 			p.Accepted(i.ID, now)
 			all[indexOf(all, i.ID)].State = instances.Draining // as the instance's record says while it loads
 		}
-		for _, i := range look {
+		for _, i := range poll {
 			if i.ID == "i00" {
 				p.NoReply(i.ID, now)
 				continue
--- a/internal/weights/weights_test.go
+++ b/internal/weights/weights_test.go
@@ -27,22 +27,22 @@
 		for newest < 6 && c.at >= float64(3*(newest-1)) {
 			newest++
 			named = append(named, Naming{Version: newest})
-			if news := l.Learn(at(float64(3*(newest-2))), "m", newest, named[newest-2:]); !slices.Equal(news, []int64{newest}) {
-				t.Errorf("Learn of version %d returned %v as new", newest, news)
+			if added := l.Learn(at(float64(3*(newest-2))), "m", newest, named[newest-2:]); !slices.Equal(added, []int64{newest}) {
+				t.Errorf("Learn of version %d returned %v as new", newest, added)
 			}
 		}
 		if got := l.MinVersion(at(c.at), "m"); got != c.oldest {
 			t.Errorf("after %v s the oldest allowed version is %d, want %d", c.at, got, c.oldest)
 		}
-		if by := l.StartDeadline("m", 1); c.at < 5.1 && !by.Equal(at(5.6)) {
-			t.Errorf("after %v s the start deadline on version 1 is %v, want 5.6s", c.at, by.Sub(start))
+		if deadline := l.StartDeadline("m", 1); c.at < 5.1 && !deadline.Equal(at(5.6)) {
+			t.Errorf("after %v s the start deadline on version 1 is %v, want 5.6s", c.at, deadline.Sub(start))
 		}
 	}
 	if got := l.MinVersion(at(100), "another"); got != 1 {
 		t.Errorf("a model without a named version: oldest allowed version is %d", got)
 	}
-	if by := l.StartDeadline("m", 6); !by.IsZero() {
-		t.Errorf("the newest version has a start deadline of %v", by.Sub(start))
+	if deadline := l.StartDeadline("m", 6); !deadline.IsZero() {
+		t.Errorf("the newest version has a start deadline of %v", deadline.Sub(start))
 	}
 }
 
