--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -86,18 +86,18 @@
 
 // TestIsolationHash checks that the hash depends on the set of isolated tenants and on nothing else.
 func TestIsolationHash(t *testing.T) {
-	with := func(tenants string) uint64 {
+	hashWith := func(tenants string) uint64 {
 		c, err := Parse([]byte(`{"version":1,"tenants":[` + tenants + `]}`))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return c.IsolationHash()
 	}
-	one := with(`{"name":"a","api_keys":["1"],"isolated":true},{"name":"b","api_keys":["2"]}`)
-	if one != with(`{"name":"b","api_keys":["2","3"],"priority":4},{"name":"a","api_keys":["1"],"isolated":true}`) {
+	one := hashWith(`{"name":"a","api_keys":["1"],"isolated":true},{"name":"b","api_keys":["2"]}`)
+	if one != hashWith(`{"name":"b","api_keys":["2","3"],"priority":4},{"name":"a","api_keys":["1"],"isolated":true}`) {
 		t.Error("the hash depends on API keys, priorities or the order of tenants")
 	}
-	if one == with(`{"name":"a","api_keys":["1"],"isolated":true},{"name":"b","api_keys":["2"],"isolated":true}`) {
+	if one == hashWith(`{"name":"a","api_keys":["1"],"isolated":true},{"name":"b","api_keys":["2"],"isolated":true}`) {
 		t.Error("another isolated tenant does not change the hash")
 	}
 }
