--- a/internal/cluster/alive_test.go
+++ b/internal/cluster/alive_test.go
@@ -118,8 +118,8 @@
 	if again := n.Members(); &again[0] != &listed[0] {
 		t.Error("the list was rebuilt, though the members only renewed their records")
 	}
-	if made := testing.AllocsPerRun(100, func() { n.Members() }); made > 0 {
-		t.Errorf("listing the members again makes %v allocations", made)
+	if allocs := testing.AllocsPerRun(100, func() { n.Members() }); allocs > 0 {
+		t.Errorf("listing the members again makes %v allocations", allocs)
 	}
 }
 
@@ -176,7 +176,7 @@
 	sent.to = nil
 	n.SendWorkNote([]byte("abc"), true)
 	slices.Sort(sent.to)
-	if different := len(slices.Compact(slices.Clone(sent.to))); different != len(f.members) || len(sent.to) != different {
-		t.Errorf("a wide note went to %d brokers, %d of them distinct", len(sent.to), different)
+	if distinct := len(slices.Compact(slices.Clone(sent.to))); distinct != len(f.members) || len(sent.to) != distinct {
+		t.Errorf("a wide note went to %d brokers, %d of them distinct", len(sent.to), distinct)
 	}
 }
--- a/internal/cluster/announce.go
+++ b/internal/cluster/announce.go
@@ -52,8 +52,8 @@
 	return c
 }
 
-// applyInlineValue rebuilds a value that came with its announcement and stores it. It returns false if the base of the
-// difference is not here.
+// applyInlineValue rebuilds a value that came with its announcement and stores it. It returns false if this broker does
+// not have the base of the difference.
 func (n *Node) applyInlineValue(m *peerlink.Announced) bool {
 	before, _ := n.Known()
 	if m.Chosen == nil || before.Value.Sequence != m.Chosen.From || len(before.Value.Members.Sets) == 0 {
@@ -107,8 +107,8 @@
 }
 
 // fetchRegister fetches the newest register value that another broker knows. Only one fetch runs at a time, since two
-// copies would share the link. If it fails, other brokers are queried, and reconciliation delivers the value in the
-// end. push says whether the value is then offered to other brokers.
+// copies would share the link. If it fails, other brokers are queried, and reconciliation delivers the value
+// eventually. push says whether the value is then offered to other brokers.
 func (n *Node) fetchRegister(from string, push bool) {
 	if !n.fetchingRegister.CompareAndSwap(false, true) {
 		return
@@ -142,8 +142,8 @@
 	return reply
 }
 
-// restorePayloads rebuilds the payload of a register value among the records of a reply. It returns false if the
-// patch's base is no longer here.
+// restorePayloads rebuilds the payload of a register value among the records of a reply. It returns false if this
+// broker no longer has the patch's base.
 func (n *Node) restorePayloads(reply *peerlink.Message) bool {
 	for at, r := range reply.Records.Records {
 		known, ok := r.Body.(register.Known)
--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -41,14 +41,14 @@
 	registerKey = "control"
 
 	exchangeInterval       = 300 * time.Millisecond // interval between reconciliations with one random peer
-	startupExchanges       = 60                     // maximum number of exchanges right after a start,
-	startupSpacing         = 60 * time.Millisecond  // and the interval between two of them
+	startupExchanges       = 60                     // maximum number of exchanges right after a start
+	startupSpacing         = 60 * time.Millisecond  // interval between the exchanges right after a start
 	pushDelay              = 3 * time.Millisecond   // records that arrive within this time are pushed together
 	pushFanout             = 4                      // number of peers that a new record is pushed or offered to
 	offerGrace             = 150 * time.Millisecond // time for an offered record to arrive by another way before it is fetched
 	callTimeout            = 600 * time.Millisecond
-	renewInterval          = time.Second           // minimum interval between renewals of a member's record;
-	renewIntervalPerMember = 20 * time.Millisecond // a large fleet uses this much per member instead
+	renewInterval          = time.Second           // minimum interval between renewals of a member's record
+	renewIntervalPerMember = 20 * time.Millisecond // in a large fleet the interval is this much per member instead
 	maxMissedRenewals      = 4                     // number of missed renewals after which a member counts as gone
 	forgetAfter            = 60 * time.Second      // a member that has been gone for longer is removed
 	maxDropped             = 4096
--- a/internal/cluster/founding.go
+++ b/internal/cluster/founding.go
@@ -14,11 +14,11 @@
 )
 
 // This file handles the first start of the whole system. No setting names the machines that hold the register, so the
-// brokers discover them: the machines with a disk that have met become its first members. Two groups must not each
-// found a register, so a single-decree consensus round among the seeds decides the set; the seeds are the same for all
-// brokers at the first start. The seeds' acceptors live in memory, and only in processes that were started with the
-// bootstrap flag. A process marks its disk when it first opens it, so a process that is started a second time, with or
-// without the flag, does not answer for promises that it has lost.
+// brokers discover them: the machines with a disk that have found each other become its first members. Two groups must
+// not each found a register, so a single-decree consensus round among the seeds decides the set; the seeds are the same
+// for all brokers at the first start. The seeds' acceptors live in memory, and only in processes that were started with
+// the bootstrap flag. A process marks its disk when it first opens it, so a process that is started a second time, with
+// or without the flag, does not answer for promises that it has lost.
 
 const (
 	foundingDisk       = 0                      // disk identity of acceptors in memory
@@ -86,7 +86,7 @@
 			continue
 		}
 		if core[0] != n.self.IP && time.Since(since) < 2*foundingSettleTime {
-			continue // the member with the lowest address founds; the others step in later if it does not
+			continue // the member with the lowest address founds the register; the others do so later if it does not
 		}
 		n.proposeFirstMembers(ctx)
 		time.Sleep(foundingRetry)
@@ -137,13 +137,13 @@
 }
 
 func (n *Node) firstMembers() register.Members {
-	var met []voters.Machine
+	var found []voters.Machine
 	for _, member := range n.Members() {
 		if member.Core {
-			met = append(met, voters.Machine{Replica: register.Replica{Address: member.IP, Disk: member.Disk}, Zone: member.Zone, Region: member.Region})
+			found = append(found, voters.Machine{Replica: register.Replica{Address: member.IP, Disk: member.Disk}, Zone: member.Zone, Region: member.Region})
 		}
 	}
-	return register.Single(voters.Initial(met)...)
+	return register.Single(voters.Initial(found)...)
 }
 
 // installFirstMembers makes every first member store the value that names them. The register exists once all of them
--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -257,7 +257,7 @@
 }
 
 // exchange reconciles with one random peer, with a neighbor in the relay tree, or with a seed. A seed is used while
-// the view is empty, and now and then otherwise.
+// the view is empty, and occasionally otherwise.
 func (n *Node) exchange(context.Context) {
 	n.mu.Lock()
 	peer := ""
--- a/internal/cluster/payloads.go
+++ b/internal/cluster/payloads.go
@@ -127,7 +127,7 @@
 	return text
 }
 
-// apply rebuilds a payload from a patch. It returns false if the patch is invalid or its base is not here.
+// apply rebuilds a payload from a patch. It returns false if the patch is invalid or its base is not cached.
 func (p *payloads) apply(text []byte) ([]byte, bool) {
 	patch, err := sections.UnmarshalPatch(text)
 	if err != nil {
@@ -160,7 +160,7 @@
 }
 
 // unpack restores the payload of a value. It returns false if the payload is unreadable or the patch's base is not
-// here.
+// cached.
 func (p *payloads) unpack(v *register.Value, patch []byte) bool {
 	if patch != nil {
 		payload, made := p.apply(patch)
--- a/internal/cluster/relay.go
+++ b/internal/cluster/relay.go
@@ -32,15 +32,15 @@
 	order []string
 }
 
-func (t tree) place(address string) (int, bool) { return slices.BinarySearch(t.order, address) }
+func (t tree) index(address string) (int, bool) { return slices.BinarySearch(t.order, address) }
 
-func parentOf(place int) int { return (place - 1) / relayFanout }
+func parentOf(index int) int { return (index - 1) / relayFanout }
 
-// path returns the addresses on the way from one place to another, without the start.
+// path returns the addresses on the path from one index to another, without the start.
 func (t tree) path(from, to int) (out []string) {
 	var up, down []int
 	for from != to {
-		if from > to { // the later place cannot be an ancestor of the other
+		if from > to { // the higher index cannot be an ancestor of the other
 			from = parentOf(from)
 			up = append(up, from)
 		} else {
@@ -48,38 +48,38 @@
 			to = parentOf(to)
 		}
 	}
-	for _, place := range up {
-		out = append(out, t.order[place])
+	for _, at := range up {
+		out = append(out, t.order[at])
 	}
-	for _, place := range slices.Backward(down) {
-		out = append(out, t.order[place])
+	for _, at := range slices.Backward(down) {
+		out = append(out, t.order[at])
 	}
 	return out
 }
 
 // neighbors returns the parent and the children of an address.
 func (t tree) neighbors(address string) (out []string) {
-	place, known := t.place(address)
+	at, known := t.index(address)
 	if !known {
 		return nil
 	}
-	if place > 0 {
-		out = append(out, t.order[parentOf(place)])
+	if at > 0 {
+		out = append(out, t.order[parentOf(at)])
 	}
-	for child := relayFanout*place + 1; child <= relayFanout*place+relayFanout && child < len(t.order); child++ {
+	for child := relayFanout*at + 1; child <= relayFanout*at+relayFanout && child < len(t.order); child++ {
 		out = append(out, t.order[child])
 	}
 	return out
 }
 
-// split groups addresses by the next hop that a call for them takes. The next hop is the first of the addresses on the
-// path, and the first in its group.
+// split groups addresses by the next hop that a call for them takes. The next hop is the first address on the path that
+// is to be reached itself, and the first in its group.
 func (t tree) split(self string, to []string) [][]string {
 	wanted := make(map[string]bool, len(to))
 	for _, address := range to {
 		wanted[address] = true
 	}
-	from, member := t.place(self)
+	from, selfKnown := t.index(self)
 	byHead := map[string]int{}
 	var groups [][]string
 	for _, address := range to {
@@ -87,12 +87,12 @@
 			continue
 		}
 		head := address
-		if place, known := t.place(address); known && member {
-			path := t.path(from, place)
+		if target, known := t.index(address); known && selfKnown {
+			path := t.path(from, target)
 			head = path[slices.IndexFunc(path, func(hop string) bool { return wanted[hop] })]
 		}
-		at, begun := byHead[head]
-		if !begun {
+		at, exists := byHead[head]
+		if !exists {
 			at = len(groups)
 			byHead[head] = at
 			groups = append(groups, []string{head})
--- a/internal/cluster/relay_test.go
+++ b/internal/cluster/relay_test.go
@@ -22,12 +22,12 @@
 	for _, size := range []int{1, 2, 5, 6, 24, 300} {
 		all := newTestTree(size)
 		for _, root := range all.order {
-			hops, calls, most := map[string]int{root: 0}, map[string]int{}, 0
-			var pass func(from string, to []string)
-			pass = func(from string, to []string) {
+			hops, calls, maxHops := map[string]int{root: 0}, map[string]int{}, 0
+			var relay func(from string, to []string)
+			relay = func(from string, to []string) {
 				for _, group := range all.split(from, to) {
 					head := group[0]
-					if _, had := hops[head]; had {
+					if _, visited := hops[head]; visited {
 						t.Fatalf("%d brokers, from %s: %s is called twice", size, root, head)
 					}
 					hops[head] = hops[from] + 1
@@ -35,11 +35,11 @@
 					if !slices.Contains(all.neighbors(from), head) {
 						t.Fatalf("%d brokers: %s calls %s, which is no neighbor", size, from, head)
 					}
-					most = max(most, hops[head])
-					pass(head, group[1:])
+					maxHops = max(maxHops, hops[head])
+					relay(head, group[1:])
 				}
 			}
-			pass(root, slices.DeleteFunc(slices.Clone(all.order), func(ip string) bool { return ip == root }))
+			relay(root, slices.DeleteFunc(slices.Clone(all.order), func(ip string) bool { return ip == root }))
 			if len(hops) != size {
 				t.Fatalf("%d brokers, from %s: %d are reached", size, root, len(hops))
 			}
@@ -48,8 +48,8 @@
 					t.Fatalf("%d brokers, from %s: %s makes %d calls", size, root, ip, n)
 				}
 			}
-			if most > 10 {
-				t.Fatalf("%d brokers, from %s: %d hops", size, root, most)
+			if maxHops > 10 {
+				t.Fatalf("%d brokers, from %s: %d hops", size, root, maxHops)
 			}
 		}
 	}
--- a/internal/cluster/replica.go
+++ b/internal/cluster/replica.go
@@ -17,7 +17,7 @@
 const diskBusyTimeout = 300 * time.Millisecond
 
 // replica is this machine's acceptor with its durable state. One call at a time uses it; other calls give up after
-// diskBusyTimeout, so a disk that hangs blocks nothing but itself.
+// diskBusyTimeout, so a disk that hangs does not block them.
 type replica struct {
 	turn     chan struct{}
 	acceptor register.Acceptor
--- a/internal/cluster/rounds.go
+++ b/internal/cluster/rounds.go
@@ -27,7 +27,7 @@
 // ErrNoMembers means that this broker does not know yet which replicas hold the register.
 var ErrNoMembers = errors.New("the register's replicas are not known yet")
 
-// errSuperseded means that an attempt met a higher ballot.
+// errSuperseded means that an acceptor has promised a higher ballot than that of the attempt.
 var errSuperseded = errors.New("a newer attempt has a higher ballot")
 
 // Known returns the newest chosen value that this broker has, and a channel that is closed when a newer one arrives.
@@ -55,7 +55,7 @@
 
 // propose repeats attempts until a value is chosen or the context ends. Attempts of one broker run one after another.
 func (n *Node) propose(ctx context.Context, change register.Change) (register.Value, error) {
-	asked := time.Now()
+	queuedAt := time.Now()
 	if !n.takeTurn(ctx) {
 		return register.Value{}, ErrNoQuorum
 	}
@@ -67,7 +67,7 @@
 		if len(members.Sets) == 0 {
 			return register.Value{}, ErrNoMembers
 		}
-		if n.failedSince(asked) {
+		if n.failedSince(queuedAt) {
 			return register.Value{}, ErrNoQuorum
 		}
 		value, err := n.round(ctx, members, known, change)
@@ -95,12 +95,12 @@
 
 func (n *Node) endTurn() { <-n.proposalTurn }
 
-// failedSince reports whether an attempt that began after this moment found no majority. A proposal that was queued
+// failedSince reports whether an attempt that began after the given time found no majority. A proposal that was queued
 // behind such an attempt fails with it and does not try again.
-func (n *Node) failedSince(asked time.Time) bool {
+func (n *Node) failedSince(start time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.lastFailedAttempt.After(asked)
+	return n.lastFailedAttempt.After(start)
 }
 
 func (n *Node) recordFailedAttempt(begun time.Time) {
@@ -124,9 +124,9 @@
 	defer cancel()
 	r := register.NewRound(n.nextBallot(known.Ballot), members, known, change)
 	answers := make(chan answer, 64)
-	ask := func(m peerlink.Message, to register.Replica) { go n.callReplica(ctx, m, to, answers) }
+	send := func(m peerlink.Message, to register.Replica) { go n.callReplica(ctx, m, to, answers) }
 	for _, m := range r.Prepares() {
-		ask(peerlink.Message{Prepare: &m}, m.To)
+		send(peerlink.Message{Prepare: &m}, m.To)
 	}
 	for r.Phase == register.Preparing || r.Phase == register.Accepting {
 		select {
@@ -140,10 +140,10 @@
 			}
 			accepts := r.Promise(*a.promise)
 			for _, m := range accepts {
-				ask(peerlink.Message{Accept: &m}, m.To)
+				send(peerlink.Message{Accept: &m}, m.To)
 			}
 			for _, m := range r.Prepares() {
-				ask(peerlink.Message{Prepare: &m}, m.To)
+				send(peerlink.Message{Prepare: &m}, m.To)
 			}
 		}
 	}
@@ -224,7 +224,7 @@
 	return n.acceptLocally(*m.Accept)
 }
 
-// nextBallot returns a ballot above all that this broker has met. The proposer number is random for each process.
+// nextBallot returns a ballot above all that this broker has seen. The proposer number is random for each process.
 func (n *Node) nextBallot(known register.Ballot) register.Ballot {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -248,16 +248,16 @@
 		return register.Value{}, ErrNoMembers
 	}
 	begun := time.Now()
-	look := n.inspect(ctx, known, (*register.QuorumRead).Done)
+	read := n.inspect(ctx, known, (*register.QuorumRead).Done)
 	switch {
-	case !look.Done():
-		n.logger.Info().Uint64("sequence", known.Value.Sequence).Int("answered", look.AnswerCount()).Dur("took", time.Since(begun)).
+	case !read.Done():
+		n.logger.Info().Uint64("sequence", known.Value.Sequence).Int("answered", read.AnswerCount()).Dur("took", time.Since(begun)).
 			Msg("no majority of the replicas answered a read")
 		return register.Value{}, ErrNoQuorum
-	case look.StillNewest():
+	case read.StillNewest():
 		return known.Value, nil
 	}
-	if newest, chosen := look.NewestChosen(); chosen {
+	if newest, chosen := read.NewestChosen(); chosen {
 		n.publishKnown(newest)
 		return newest.Value, nil
 	}
@@ -273,33 +273,33 @@
 // by a majority of the previous voters, so every majority contains a voter that knows of it.
 func (n *Node) VotersCurrent(ctx context.Context) bool {
 	known, _ := n.Known()
-	look := n.inspect(ctx, known, (*register.QuorumRead).MajorityAnswered)
-	if !look.MajorityAnswered() {
+	read := n.inspect(ctx, known, (*register.QuorumRead).MajorityAnswered)
+	if !read.MajorityAnswered() {
 		return false
 	}
-	met, any := look.HighestSeen()
-	return !any || met.Members.Equal(known.Value.Members)
+	highest, found := read.HighestSeen()
+	return !found || highest.Members.Equal(known.Value.Members)
 }
 
 // inspect queries the replicas for the values that they hold, until enough reports true or every replica has answered.
 func (n *Node) inspect(ctx context.Context, known register.Known, enough func(*register.QuorumRead) bool) *register.QuorumRead {
 	ctx, cancel := context.WithTimeout(ctx, roundTimeout)
 	defer cancel()
-	look := register.NewQuorumRead(known)
-	asked := look.Requests()
-	answers := make(chan answer, len(asked))
-	for _, m := range asked {
+	read := register.NewQuorumRead(known)
+	requests := read.Requests()
+	answers := make(chan answer, len(requests))
+	for _, m := range requests {
 		go n.callReplica(ctx, peerlink.Message{Prepare: &m}, m.To, answers)
 	}
-	for range asked {
+	for range requests {
 		select {
 		case <-ctx.Done():
-			return look
+			return read
 		case a := <-answers:
-			if look.Receive(*a.promise); enough(look) {
-				return look
+			if read.Receive(*a.promise); enough(read) {
+				return read
 			}
 		}
 	}
-	return look
+	return read
 }
--- a/internal/cluster/voting.go
+++ b/internal/cluster/voting.go
@@ -200,7 +200,7 @@
 func (n *Node) changeMembers(ctx context.Context, what string, change register.Change) bool {
 	value, err := n.propose(ctx, change)
 	if err != nil {
-		n.logger.Info().Err(err).Msg(what + ", but not yet")
+		n.logger.Info().Err(err).Msg(what + ": not done yet")
 		return false
 	}
 	n.logger.Info().Strs("voters", value.Members.Addresses()).Uint64("sequence", value.Sequence).Msg(what)
