--- a/internal/dissemination/dissemination.go
+++ b/internal/dissemination/dissemination.go
@@ -1,8 +1,8 @@
-// Package dissemination is an epidemic store of small records that all brokers share. New records are pushed to a few
-// peers at once; anti-entropy in the background compares digests and repairs what a push missed. The newest version of
-// a record wins.
+// Package dissemination provides a store of small records that all brokers replicate by epidemic gossip. New records are
+// pushed to a few peers at once; background anti-entropy compares digests and delivers records that a push missed. The
+// newest version of a record wins.
 //
-// The package has no I/O, clock or goroutine.
+// The package does no I/O, reads no clock and starts no goroutines.
 package dissemination
 
 import (
@@ -53,7 +53,7 @@
 	return out
 }
 
-// Renewer is a body that can be a mere renewal: it changes nothing but confirms that its subject is alive.
+// Renewer is a body that may be a renewal, which changes nothing and only confirms that its subject is alive.
 type Renewer interface {
 	// Renews reports whether the body has the same content as an earlier body of the record. earlier is nil if there was
 	// none.
@@ -218,8 +218,8 @@
 }
 
 // ForgetDropped limits the number of remembered dropped records.
-func (s *Store) ForgetDropped(most int) {
-	for len(s.dropped) > most {
+func (s *Store) ForgetDropped(limit int) {
+	for len(s.dropped) > limit {
 		for id := range maps.Keys(s.dropped) {
 			delete(s.dropped, id)
 			break
--- a/internal/peersampling/peersampling.go
+++ b/internal/peersampling/peersampling.go
@@ -2,7 +2,7 @@
 // addresses. Brokers exchange samples of their views, so the views stay random, the fleet stays connected, and the
 // cost does not grow with the fleet.
 //
-// The package has no I/O, clock or goroutine.
+// The package does no I/O, reads no clock and starts no goroutines.
 package peersampling
 
 import (
