--- a/internal/gobpool/gobpool.go
+++ b/internal/gobpool/gobpool.go
@@ -1,10 +1,10 @@
 // Package gobpool encodes and decodes the gob streams of many connections with a few shared encoders and decoders.
 //
 // An encoder or decoder of encoding/gob belongs to one stream. It analyzes its types anew and keeps the result, tens
-// of KB, as long as the stream is open. Two streams differ only in the type definitions that they have carried,
-// though. So all encoders of a pool define the same types before their first message, and one decoder can read all
+// of KB, as long as the stream is open. However, two streams differ only in the type definitions that they have
+// carried. So all encoders of a pool define the same types before their first message, and one decoder can read all
 // streams that begin with exactly these definitions. On the wire the streams are ordinary gob streams. A stream that
-// begins otherwise, from another release, gets its own decoder. The package does no I/O.
+// begins with other definitions, such as one from another release, gets its own decoder. The package does no I/O.
 package gobpool
 
 import (
@@ -146,7 +146,7 @@
 
 // Stream is the state of a stream that is being read.
 type Stream struct {
-	begun      bool
+	started    bool
 	ownDecoder *decoder // nil as long as the stream has carried exactly the pool's definitions
 }
 
@@ -166,8 +166,8 @@
 	if s.ownDecoder != nil {
 		return s.ownDecoder.decode(message, value)
 	}
-	first := !s.begun
-	s.begun = true
+	first := !s.started
+	s.started = true
 	rest := message
 	if first {
 		rest = bytes.TrimPrefix(message, p.definitions)
--- a/internal/gobpool/gobpool_test.go
+++ b/internal/gobpool/gobpool_test.go
@@ -64,12 +64,12 @@
 
 // pooled returns an endpoint that uses the pools.
 func pooled(t *testing.T, encoders *Encoders, decoders *Decoders) endpoint {
-	begun, stream := false, &Stream{}
+	started, stream := false, &Stream{}
 	return endpoint{
 		write: func(m *message) []byte {
 			var frame []byte
-			if !begun {
-				frame, begun = append(frame, encoders.Definitions()...), true
+			if !started {
+				frame, started = append(frame, encoders.Definitions()...), true
 			}
 			frame, err := encoders.Append(frame, m, m.Content)
 			if err != nil {
@@ -142,23 +142,23 @@
 func TestStreamAllocations(t *testing.T) {
 	encoders, decoders := newPools(t)
 	random := rand.New(rand.NewPCG(1, 1))
-	made := testing.AllocsPerRun(200, func() {
+	pooledAllocs := testing.AllocsPerRun(200, func() {
 		a, b := pooled(t, encoders, decoders), pooled(t, encoders, decoders)
 		sent, got := randomMessage(random), message{}
 		if err := b.read(a.write(&sent), &got); err != nil {
 			t.Fatal(err)
 		}
 	})
-	alone := testing.AllocsPerRun(200, func() {
+	plainAllocs := testing.AllocsPerRun(200, func() {
 		a, b := plain(t), plain(t)
 		sent, got := randomMessage(random), message{}
 		if err := b.read(a.write(&sent), &got); err != nil {
 			t.Fatal(err)
 		}
 	})
-	t.Logf("a stream with one message makes %v allocations, %v with its own encoder and decoder", made, alone)
-	if made > alone/4 {
-		t.Errorf("a stream with one message makes %v allocations, %v with its own encoder and decoder", made, alone)
+	t.Logf("a stream with one message makes %v allocations, %v with its own encoder and decoder", pooledAllocs, plainAllocs)
+	if pooledAllocs > plainAllocs/4 {
+		t.Errorf("a stream with one message makes %v allocations, %v with its own encoder and decoder", pooledAllocs, plainAllocs)
 	}
 }
 
--- a/internal/peerlink/link.go
+++ b/internal/peerlink/link.go
@@ -119,7 +119,7 @@
 	}
 	c.traffic.received[m.kind()].add(frameHeader + c.frame.Len())
 	if c.frame.Cap() > maxKeptBuffer {
-		c.frame = bytes.Buffer{} // the connection may stay idle for long
+		c.frame = bytes.Buffer{} // the connection may stay idle for a long time
 	}
 	return m, nil
 }
--- a/internal/peerlink/message.go
+++ b/internal/peerlink/message.go
@@ -27,7 +27,7 @@
 
 	Patched   *Patched
 	Announced *Announced
-	Lacks     bool // in a reply: the base of the call's patch or the requested value is not here
+	Lacks     bool // in a reply: the replying broker lacks the base of the patch in the call, or the announced value
 
 	Delta     *Delta
 	Has       *delta.Sum // checksum of a payload that the caller has; the reply may hold a patch on it
