--- a/internal/controlstate/encoding.go
+++ b/internal/controlstate/encoding.go
@@ -52,7 +52,7 @@
 		switch section.Name {
 		case configurationSection:
 			if section.Version > math.MaxInt64 {
-				return State{}, errors.Wrapf(ErrMalformed, "version %d", section.Version)
+				return State{}, errors.Wrapf(ErrMalformed, "configuration version %d is out of range", section.Version)
 			}
 			s.Version, s.Config, in.rest = int64(section.Version), section.Body, nil
 		case ordersSection:
@@ -65,7 +65,7 @@
 			in.rest = nil // a section that a later release added
 		}
 		if in.failed || len(in.rest) > 0 {
-			return State{}, errors.Wrapf(ErrMalformed, "section %s", section.Name)
+			return State{}, errors.Wrapf(ErrMalformed, "invalid section %s", section.Name)
 		}
 		if section.Name != configurationSection {
 			s.sectionVersions[section.Name] = section.Version
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -128,9 +128,9 @@
 // dropFinished removes pending orders that are complete, belong to an instance that is gone or to another version, or have timed
 // out.
 func (p *Planner) dropFinished(now time.Time, lagging []instances.Instance, version int64) {
-	for id, f := range p.pending {
+	for id, order := range p.pending {
 		lags := slices.ContainsFunc(lagging, func(i instances.Instance) bool { return i.ID == id })
-		if !lags || f.version != version || now.Sub(f.orderedAt) > orderTimeout {
+		if !lags || order.version != version || now.Sub(order.orderedAt) > orderTimeout {
 			delete(p.pending, id)
 		}
 	}
@@ -138,22 +138,22 @@
 
 // Accepted records that an instance has accepted its order.
 func (p *Planner) Accepted(id string, now time.Time) {
-	if f := p.pending[id]; f != nil {
-		f.accepted, f.pollDue, f.lastReply = true, now.Add(firstPollDelay), now
+	if order := p.pending[id]; order != nil {
+		order.accepted, order.pollDue, order.lastReply = true, now.Add(firstPollDelay), now
 	}
 }
 
 // StillLoading records a reply that an instance is still loading.
 func (p *Planner) StillLoading(id string, now time.Time) {
-	if f := p.pending[id]; f != nil {
-		f.lastReply = now
+	if order := p.pending[id]; order != nil {
+		order.lastReply = now
 	}
 }
 
 // NoReply records that an instance did not reply to a poll. After silenceTimeout it counts as failed, since it may have crashed and
 // other instances must not wait for it.
 func (p *Planner) NoReply(id string, now time.Time) {
-	if f := p.pending[id]; f != nil && now.Sub(f.lastReply) > silenceTimeout {
+	if order := p.pending[id]; order != nil && now.Sub(order.lastReply) > silenceTimeout {
 		p.Failed(id, now)
 	}
 }
--- a/internal/sections/sections.go
+++ b/internal/sections/sections.go
@@ -111,13 +111,13 @@
 			return Document{}, err
 		}
 		if n := len(d.sections); n > 0 && d.sections[n-1].Name >= s.Name {
-			return Document{}, errors.Wrapf(ErrMalformed, "section %q", s.Name)
+			return Document{}, errors.Wrapf(ErrMalformed, "section %q is duplicate or out of order", s.Name)
 		}
 		d.sections = append(d.sections, s)
 		d.sums = append(d.sums, delta.SumOf(s.Body))
 	}
 	if len(rest) > 0 {
-		return Document{}, errors.Wrapf(ErrMalformed, "%d bytes too many", len(rest))
+		return Document{}, errors.Wrapf(ErrMalformed, "%d trailing bytes", len(rest))
 	}
 	d.sum = d.computeSum()
 	return d, nil
@@ -144,7 +144,7 @@
 		return nil, nil, err
 	}
 	if length > maxSize || length > uint64(len(rest)) {
-		return nil, nil, errors.Wrapf(ErrMalformed, "a length of %d", length)
+		return nil, nil, errors.Wrapf(ErrMalformed, "invalid length %d", length)
 	}
 	return rest[:length:length], rest[length:], nil
 }
@@ -153,7 +153,7 @@
 func readUvarint(text []byte) (n uint64, rest []byte, err error) {
 	n, size := binary.Uvarint(text)
 	if size <= 0 || size > 1 && text[size-1] == 0 {
-		return 0, nil, errors.Wrap(ErrMalformed, "a number")
+		return 0, nil, errors.Wrap(ErrMalformed, "invalid number")
 	}
 	return n, text[size:], nil
 }
