--- a/internal/cluster/gossip.go
+++ b/internal/cluster/gossip.go
@@ -77,25 +77,25 @@
 		}()
 	}
 	groups := n.relayTree().split(n.self.IP, others)
-	passed := make(chan int, len(groups))
+	relayed := make(chan int, len(groups))
 	for _, group := range groups {
-		go func() { passed <- n.relayGroup(ctx, m, group) }()
+		go func() { relayed <- n.relayGroup(ctx, m, group) }()
 	}
-	has := map[string]bool{n.self.IP: true}
-	delivery := Delivery{Alive: len(alive), Quorum: n.quorum(has)}
+	confirmedBy := map[string]bool{n.self.IP: true}
+	delivery := Delivery{Alive: len(alive), Quorum: n.quorum(confirmedBy)}
 	for range len(voters) + len(groups) {
 		if enough(delivery) {
 			return delivery
 		}
 		select {
 		case ip := <-confirmations:
-			has[ip] = true
+			confirmedBy[ip] = true
 			if slices.Contains(alive, ip) {
 				delivery.Confirmed++
 			}
-			delivery.Quorum = n.quorum(has)
+			delivery.Quorum = n.quorum(confirmedBy)
 		case <-failures:
-		case confirmed := <-passed:
+		case confirmed := <-relayed:
 			delivery.Confirmed += confirmed
 		case <-ctx.Done():
 			return delivery
@@ -130,9 +130,9 @@
 
 // quorum reports whether the machines at these addresses form a majority of the voters, in both sets during a
 // membership change.
-func (n *Node) quorum(has map[string]bool) bool {
+func (n *Node) quorum(addresses map[string]bool) bool {
 	known, _ := n.Known()
-	return known.Value.Members.Majority(func(r register.Replica) bool { return has[r.Address] })
+	return known.Value.Members.Majority(func(r register.Replica) bool { return addresses[r.Address] })
 }
 
 // putAndPush stores records that may be new and pushes the new ones to peers.
--- a/internal/cluster/payloads.go
+++ b/internal/cluster/payloads.go
@@ -107,10 +107,10 @@
 		return nil
 	}
 	p.mu.Lock()
-	for _, made := range p.patches {
-		if made.base == base && made.result == next.Sum() {
+	for _, cached := range p.patches {
+		if cached.base == base && cached.result == next.Sum() {
 			p.mu.Unlock()
-			return made.text
+			return cached.text
 		}
 	}
 	p.mu.Unlock()
@@ -163,9 +163,9 @@
 // cached.
 func (p *payloads) unpack(v *register.Value, patch []byte) bool {
 	if patch != nil {
-		payload, made := p.apply(patch)
+		payload, ok := p.apply(patch)
 		v.Payload = payload
-		return made
+		return ok
 	}
 	payload, err := p.packing.Unpack(v.Payload)
 	if err != nil {
--- a/internal/cluster/replica.go
+++ b/internal/cluster/replica.go
@@ -42,7 +42,7 @@
 	}
 	store, contents, err := slots.Open(disk)
 	if errors.Is(err, slots.ErrDamaged) {
-		logger.Error().Err(err).Msg("the replica's disk has lost something; it goes on empty, under another identity")
+		logger.Error().Err(err).Msg("the replica's disk has lost something; the replica starts empty, with a new identity")
 	} else if err != nil && !errors.Is(err, slots.ErrEmpty) {
 		return nil, errors.Wrap(err, "open the register's replica")
 	}
--- a/internal/cluster/rounds.go
+++ b/internal/cluster/rounds.go
@@ -261,10 +261,10 @@
 		n.publishKnown(newest)
 		return newest.Value, nil
 	}
-	looked := time.Since(begun)
+	readDuration := time.Since(begun)
 	value, err := n.propose(ctx, func(present register.Value) (register.Value, bool, error) { return present, true, nil })
-	n.logger.Info().Err(err).Uint64("sequence", known.Value.Sequence).Uint64("newest", value.Sequence).Dur("looked", looked).
-		Dur("took", time.Since(begun)).Msg("a read completed the choice of a newer value than the known one")
+	n.logger.Info().Err(err).Uint64("sequence", known.Value.Sequence).Uint64("newest", value.Sequence).Dur("looked", readDuration).
+		Dur("took", time.Since(begun)).Msg("a read found a newer value that was undecided and completed its round")
 	return value, err
 }
 
--- a/internal/cluster/voting.go
+++ b/internal/cluster/voting.go
@@ -65,8 +65,8 @@
 	return slices.ContainsFunc(known.Value.Quorums(), func(set []register.Replica) bool { return slices.Contains(set, n.replica.id()) })
 }
 
-// reviewVoters makes the membership change that is due, if there is one and this voter is the one to make it. It
-// returns the time since when a change is due, zero if none is.
+// reviewVoters makes the membership change that is due, if there is one and it is this voter's turn. It returns the time
+// since when a change has been due, or zero if none is due.
 func (n *Node) reviewVoters(ctx context.Context, dueSince time.Time) time.Time {
 	known, _ := n.Known()
 	present, learners := n.replicas(known)
@@ -83,12 +83,12 @@
 	if !known.Value.Reconfiguring() {
 		n.changeMembers(ctx, "the voters change", register.Reconfigure(known.Value.Members, next))
 	}
-	n.settleMembers(ctx)
+	n.completeMembershipChange(ctx)
 	return dueSince
 }
 
-// settleMembers completes a membership change.
-func (n *Node) settleMembers(ctx context.Context) {
+// completeMembershipChange completes a membership change.
+func (n *Node) completeMembershipChange(ctx context.Context) {
 	for range 2 { // the first pass reduces the members to the new set, the second proposes the value to that set alone
 		if known, _ := n.Known(); !known.Value.Reconfiguring() {
 			return
