--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -16,12 +16,12 @@
 
 const (
 	initialDivisor = 6                       // at first one in this many instances loads at a time, because concurrent loads slow each other down
-	firstPollDelay = 350 * time.Millisecond  // from an instance's acceptance of an order to the first poll
+	firstPollDelay = 350 * time.Millisecond  // from the time an instance accepts an order to the first poll
 	pollInterval   = 150 * time.Millisecond  // between later polls
 	orderTimeout   = 8 * time.Second         // an order that is not complete by then is sent again
 	silenceTimeout = time.Second             // an instance that does not reply for longer frees its place for another
-	rampUpAfter    = 2500 * time.Millisecond // after this time more instances load at a time,
-	rampUpInterval = 500 * time.Millisecond  // and more again after each such interval
+	rampUpAfter    = 2500 * time.Millisecond // after this time more instances may load at a time
+	rampUpInterval = 500 * time.Millisecond  // the number rises again after each such interval
 	retryDelay     = 300 * time.Millisecond  // before an instance that failed to accept an order is ordered again
 )
 
@@ -87,13 +87,13 @@
 	running := p.countRunning(all)
 	slices.SortStableFunc(lagging, p.compareUrgency)
 	for _, i := range lagging {
-		f := p.pending[i.ID]
+		pending := p.pending[i.ID]
 		switch {
-		case f == nil && now.After(p.retryAt[i.ID]) && len(p.pending) < maxConcurrentLoads(running, now.Sub(since(i.VersionOf(p.model)))):
+		case pending == nil && now.After(p.retryAt[i.ID]) && len(p.pending) < maxConcurrentLoads(running, now.Sub(since(i.VersionOf(p.model)))):
 			p.pending[i.ID] = &pendingOrder{version: version, orderedAt: now, lastReply: now, pollDue: now.Add(firstPollDelay)}
 			order = append(order, i)
-		case f != nil && f.accepted && !now.Before(f.pollDue):
-			f.pollDue = now.Add(pollInterval)
+		case pending != nil && pending.accepted && !now.Before(pending.pollDue):
+			pending.pollDue = now.Add(pollInterval)
 			pollDue = append(pollDue, i)
 		}
 	}
@@ -128,9 +128,9 @@
 // dropFinished removes pending orders that are complete, belong to an instance that is gone or to another version, or have timed
 // out.
 func (p *Planner) dropFinished(now time.Time, lagging []instances.Instance, version int64) {
-	for id, f := range p.pending {
+	for id, order := range p.pending {
 		lags := slices.ContainsFunc(lagging, func(i instances.Instance) bool { return i.ID == id })
-		if !lags || f.version != version || now.Sub(f.orderedAt) > orderTimeout {
+		if !lags || order.version != version || now.Sub(order.orderedAt) > orderTimeout {
 			delete(p.pending, id)
 		}
 	}
@@ -138,22 +138,22 @@
 
 // Accepted records that an instance has accepted its order.
 func (p *Planner) Accepted(id string, now time.Time) {
-	if f := p.pending[id]; f != nil {
-		f.accepted, f.pollDue, f.lastReply = true, now.Add(firstPollDelay), now
+	if order := p.pending[id]; order != nil {
+		order.accepted, order.pollDue, order.lastReply = true, now.Add(firstPollDelay), now
 	}
 }
 
 // StillLoading records a reply that an instance is still loading.
 func (p *Planner) StillLoading(id string, now time.Time) {
-	if f := p.pending[id]; f != nil {
-		f.lastReply = now
+	if order := p.pending[id]; order != nil {
+		order.lastReply = now
 	}
 }
 
 // NoReply records that an instance did not reply to a poll. After silenceTimeout it counts as failed, since it may have crashed and
 // other instances must not wait for it.
 func (p *Planner) NoReply(id string, now time.Time) {
-	if f := p.pending[id]; f != nil && now.Sub(f.lastReply) > silenceTimeout {
+	if order := p.pending[id]; order != nil && now.Sub(order.lastReply) > silenceTimeout {
 		p.Failed(id, now)
 	}
 }
