--- a/internal/configuration/patch.go
+++ b/internal/configuration/patch.go
@@ -92,7 +92,7 @@
 	}
 	slices.Sort(unknown)
 	for _, list := range unknown {
-		findings.Add(part+"."+list, "is not a list of named items")
+		findings.Add(part+"."+list, "is no list of items with names")
 	}
 }
 
--- a/internal/controlstate/controlstate.go
+++ b/internal/controlstate/controlstate.go
@@ -24,7 +24,7 @@
 var ErrConflict = errors.New("another version is in force")
 
 // ErrForgotten means that an order builds on so old a version that the state no longer records whether it was accepted.
-var ErrForgotten = errors.New("the order is too old to tell whether it was accepted")
+var ErrForgotten = errors.New("the order is too old to tell whether it was taken")
 
 // ErrStaleVersion means that a configuration's version is not above the one in force.
 var ErrStaleVersion = errors.New("the version is not above the one in force")
--- a/internal/planted/control.go
+++ b/internal/planted/control.go
@@ -25,8 +25,8 @@
 
 // controlFaults each disable one rule of docs/control.md.
 var controlFaults = []Fault{
-	{"control: an even number of voters", votersFile, "	needed := min(t.MinVoters(), staying+len(able))\n", "	needed := min(t.MinVoters()+1, staying+len(able))\n	if needed%2 == 0 {\n		return needed\n	}\n", "", ""},
-	{"control: only the minimum number of voters", votersFile, "fillBySpread(nil, met, largestOdd(len(met)))", "fillBySpread(nil, met, largestOdd(min(3, len(met))))", "largestOdd(staying+settled)", "largestOdd(needed+0*settled)"},
+	{"control: an even number of voters", votersFile, "	needed := min(t.MinVoters(), staying+len(candidates))\n", "	needed := min(t.MinVoters()+1, staying+len(candidates))\n	if needed%2 == 0 {\n		return needed\n	}\n", "", ""},
+	{"control: only the minimum number of voters", votersFile, "fillBySpread(nil, found, largestOdd(len(found)))", "fillBySpread(nil, found, largestOdd(min(3, len(found))))", "largestOdd(staying+settled)", "largestOdd(needed+0*settled)"},
 	{"control: seat added for a member that has not settled", votersFile, "return m.Settled })", "return m.Settled || true })", "", ""},
 	{"control: seat taken from a silent member", votersFile, "return m.Departed })", "return m.Health == Silent })", "", ""},
 	{"control: leaving without handing over the seat", votersFile, "return h >= Leaving", "return h > Leaving", "", ""},
@@ -62,7 +62,7 @@
 	{"control: earlier renewal brings a displaced instance back", registryFile, "max(firstDisplaced, e.Epoch+1)", "e.Epoch", "", ""},
 	{"control: drain confirmed by former voters", routerControlFile, " || !b.node.VotersCurrent(ctx)", "", "", ""},
 	{"control: relay waits for a broker that does not answer", relayFile, "if inFlight == 0 && len(group) > 0 {", "if inFlight == 0 && len(group) > 0 && false {", "		case <-hedge:\n			call()\n", "		case <-hedge:\n"},
-	{"control: publisher sends a record to all brokers itself", relayFile, "	from, member := t.place(self)\n", "	from, member := t.place(self)\n	member = false\n", "", ""},
+	{"control: publisher sends a record to all brokers itself", relayFile, "	from, selfKnown := t.index(self)\n", "	from, selfKnown := t.index(self)\n	selfKnown = false\n", "", ""},
 	{"control: patch applied to a value of another sequence", announceFile, " || before.Value.Sequence != m.Chosen.From", "", "", ""},
 	{"control: section left out of the checksum", sectionsFile, "		hash.Write(d.sums[at][:])", "		_ = at", "", ""},
 	{"control: version of a section not increased", stateFile, "s.sectionVersions[section]+1)", "s.sectionVersions[section])", "", ""},
