--- a/internal/fence/fence.go
+++ b/internal/fence/fence.go
@@ -1,5 +1,5 @@
-// Package fence checks fencing tokens where the effects of a lease land: it stores the highest token seen in a
-// file and rejects lower ones. This covers what no lease can guarantee, such as a machine that was suspended
+// Package fence checks fencing tokens at the resource that a lease protects: it stores the highest token seen in
+// a file and rejects lower ones. This covers what no lease can guarantee, such as a machine that was suspended
 // with a write under way (Kleppmann, "How to do distributed locking", 2016).
 package fence
 
@@ -16,7 +16,7 @@
 )
 
 // ErrStale means that a higher token has been seen, so the lease of the caller's token is no longer held.
-var ErrStale = errors.New("a higher fencing number has been seen")
+var ErrStale = errors.New("a higher fencing token has been seen")
 
 // Guard stores the highest token in a file. Several processes may use one file at once.
 type Guard struct{ path string }
@@ -24,8 +24,8 @@
 // New returns the guard of a file, which the first Accept creates.
 func New(path string) *Guard { return &Guard{path} }
 
-// Accept takes a token that is at least as high as all before it, and makes it durable before it returns. For a
-// lower one it returns ErrStale. The guarded change must be made in the function do, if any: it runs before an
+// Accept accepts a token that is at least as high as all earlier ones, and makes it durable before it returns.
+// For a lower one it returns ErrStale. The guarded change must be made in the function do, if any: it runs before an
 // Accept of any other caller or process can continue.
 func (g *Guard) Accept(number uint64, do func() error) error {
 	lock, err := os.OpenFile(g.path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
--- a/internal/lease/acquire.go
+++ b/internal/lease/acquire.go
@@ -100,8 +100,8 @@
 // two concurrent attempts always has the higher one.
 func (c *Machine) nextEpoch(epoch uint64) uint64 {
 	n := uint64(len(c.roster))
-	mine, _ := slices.BinarySearch(c.roster, c.self)
-	return epoch + 1 + (uint64(mine)+n-(epoch+1)%n)%n
+	selfIndex, _ := slices.BinarySearch(c.roster, c.self)
+	return epoch + 1 + (uint64(selfIndex)+n-(epoch+1)%n)%n
 }
 
 // majorityFreeAt returns when a majority of the voters may be free, by their replies. It returns the current
--- a/internal/lease/copy.go
+++ b/internal/lease/copy.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// Clone returns an independent copy with its own source of randomness. A state explorer runs one state in
-// several ways from there.
+// Clone returns an independent copy with its own source of randomness, so that a state explorer can continue
+// from one state in several ways.
 func (c *Machine) Clone(random func() float64) *Machine {
 	d := *c
 	d.outputs, d.random = nil, random
@@ -27,7 +27,7 @@
 	return &d
 }
 
-// Digest adds to a hash everything that decides the behaviour from the time now on: two machines of one member
+// Digest adds to a hash all state that determines the behaviour from the time now on: two machines of one member
 // with equal digests behave alike. Member names are replaced by their aliases, so that symmetric states have
 // one digest.
 func (c *Machine) Digest(h hash.Hash64, now float64, alias func(string) byte) {
@@ -98,8 +98,8 @@
 	}
 }
 
-// times adds times relative to now, rounded to a hundredth of a millisecond, because sums in another order
-// differ by less than a thousandth. Times long past are all equal.
+// times adds times relative to now, rounded to a hundredth of a millisecond, because sums computed in another
+// order differ by less than a thousandth. Times long past are all equal.
 func (w digest) times(all ...float64) {
 	for _, at := range all {
 		w.numbers(uint64(int64(math.Round(max(at-w.now, -1e6) * 100))))
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -95,7 +95,7 @@
 	Counts Counts
 
 	self            string
-	boot            uint64
+	boot            uint64 // number of this process
 	roster          []string
 	rules           Rules
 	epochFloor      uint64
@@ -121,14 +121,15 @@
 // New returns the state machine of a member without a disk. The roster names all voters, this member among
 // them, and is the same at all of them. The epoch floor is a fencing token that no earlier holder can have
 // exceeded, such as the wall clock in milliseconds: this voter may have forgotten its grants, so it grants only
-// higher epochs. The function random returns numbers in [0, 1).
+// higher epochs. The number boot differs for each process of the member. The function random returns numbers
+// in [0, 1).
 func New(self string, boot uint64, roster []string, rules Rules, epochFloor uint64, random func() float64) *Machine {
 	c := &Machine{self: self, boot: boot, roster: slices.Clone(roster), rules: rules, epochFloor: epochFloor,
 		forgottenNoteAt: Never, leases: map[string]*lease{}, outbox: map[string][]Message{}, random: random}
 	slices.Sort(c.roster)
 	c.roster = slices.Compact(c.roster)
-	for _, t := range rules.Fixed {
-		c.addLease(t).fixed = true
+	for _, spec := range rules.Fixed {
+		c.addLease(spec).fixed = true
 	}
 	return c
 }
@@ -172,17 +173,17 @@
 		NoteNth: l.note.nth, NoteAt: l.note.at, Data: l.note.data, Blank: l.blank}
 }
 
-func (c *Machine) addLease(t Spec) *lease {
-	l := &lease{Spec: t, vote: vote{epoch: c.epochFloor, until: Never, blank: Never, note: note{at: Never}}, newestNote: note{at: Never}, blankUntil: Never, idleSince: c.now, barredUntil: Never}
+func (c *Machine) addLease(spec Spec) *lease {
+	l := &lease{Spec: spec, vote: vote{epoch: c.epochFloor, until: Never, blank: Never, note: note{at: Never}}, newestNote: note{at: Never}, blankUntil: Never, idleSince: c.now, barredUntil: Never}
 	if !c.memoryComplete && c.started {
 		l.blank = c.startedAt
 	}
 	// A lease of this name with a note may have been forgotten, so its next holder must not conclude that no
 	// note was lost.
 	l.blank = max(l.blank, c.forgottenNoteAt)
-	c.leases[t.Name] = l
-	at, _ := slices.BinarySearch(c.names, t.Name)
-	c.names = slices.Insert(c.names, at, t.Name)
+	c.leases[spec.Name] = l
+	at, _ := slices.BinarySearch(c.names, spec.Name)
+	c.names = slices.Insert(c.names, at, spec.Name)
 	return l
 }
 
@@ -342,7 +343,7 @@
 	}
 	for _, name := range c.names {
 		l := c.leases[name]
-		// Batches renewals: one that is due soon is sent with one that is due now.
+		// Renewals are batched: one that is due soon is sent along with one that is due now.
 		early := 0.0
 		if renewalDue && l.held {
 			early = earlyRenewFraction * l.Term
@@ -373,7 +374,7 @@
 		}
 		// The epoch never follows this member's clock to get above the floor of voters that have restarted: a
 		// fast clock would run days ahead of the wall clocks that floors come from, and after a loss of all
-		// memory the fencing tokens would go back.
+		// memory the fencing tokens would decrease.
 		l.ballot = c.nextEpoch(max(l.epoch, l.highestRefused))
 		l.fence = l.ballot
 	}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -16,7 +16,7 @@
 type testCluster struct {
 	t           *testing.T
 	now         float64
-	cores       map[string]*Machine
+	machines    map[string]*Machine
 	partitioned map[string]bool
 	out         []Output // all outputs but messages and records
 	disks       map[string][]Record
@@ -34,22 +34,22 @@
 }
 
 func newTestCluster(t *testing.T, withDisks bool) *testCluster {
-	v := &testCluster{t: t, now: 1000, cores: map[string]*Machine{}, partitioned: map[string]bool{}, disks: map[string][]Record{}, unflushed: map[string]uint64{}}
+	v := &testCluster{t: t, now: 1000, machines: map[string]*Machine{}, partitioned: map[string]bool{}, disks: map[string][]Record{}, unflushed: map[string]uint64{}}
 	for i, name := range trio {
 		v.start(name, uint64(i+1), 0, withDisks, true)
 	}
 	return v
 }
 
-func (v *testCluster) start(name string, boot, floor uint64, withDisk, sound bool) {
-	v.cores[name] = New(name, boot, trio, rules(), floor, alwaysHalf)
+func (v *testCluster) start(name string, boot, floor uint64, withDisk, complete bool) {
+	v.machines[name] = New(name, boot, trio, rules(), floor, alwaysHalf)
 	if withDisk {
-		v.cores[name].Restore(v.disks[name], sound)
+		v.machines[name].Restore(v.disks[name], complete)
 	}
 }
 
 func (v *testCluster) step(name string, in ...Input) {
-	for _, o := range v.cores[name].Step(v.now, in) {
+	for _, o := range v.machines[name].Step(v.now, in) {
 		switch m := o.(type) {
 		case Send:
 			for _, x := range m.Messages {
@@ -72,14 +72,14 @@
 func (v *testCluster) run(forMs float64) {
 	for end := v.now + forMs; v.now < end; v.now += 10 {
 		for _, name := range trio {
-			if c := v.cores[name]; c != nil && c.Due() <= v.now {
+			if c := v.machines[name]; c != nil && c.Due() <= v.now {
 				v.step(name)
 			}
 		}
 	}
 }
 
-func (v *testCluster) view(name string) View { return v.cores[name].Views()[0] }
+func (v *testCluster) view(name string) View { return v.machines[name].Views()[0] }
 
 // last returns the newest output of a type.
 func last[T any](v *testCluster) (x T) {
@@ -104,8 +104,8 @@
 	assert.Equal(t, 1000.0, held.Blank, "the voters may have forgotten notes from before their start")
 	v.step("a", Write{"x", firstEpoch, []byte("first")})
 	assert.Equal(t, uint64(firstEpoch), last[Noted](v).Fence)
-	assert.True(t, v.cores["a"].Valid("x", firstEpoch, v.now))
-	assert.False(t, v.cores["a"].Valid("x", 0, v.now))
+	assert.True(t, v.machines["a"].Valid("x", firstEpoch, v.now))
+	assert.False(t, v.machines["a"].Valid("x", 0, v.now))
 	written := v.now
 	v.run(3000)
 	require.True(t, v.view("a").Held, "the holder renews it")
@@ -187,7 +187,7 @@
 	v.run(3000)
 	assert.True(t, v.view("a").Held)
 	assert.Equal(t, uint64(firstEpoch), v.view("a").Epoch)
-	holder, _ := v.cores["b"].Holder("x")
+	holder, _ := v.machines["b"].Holder("x")
 	assert.Equal(t, "a", holder)
 	v.step("a", Drop{Lease: "x", Fence: firstEpoch})
 	v.step("b", Want{Lease: "x", On: true})
@@ -242,7 +242,7 @@
 	assert.Greater(t, held.Fence, uint64(firstEpoch))
 	assert.Less(t, held.NoteAt, restarted)
 	// A snapshot restores the same state as the records.
-	v.disks["b"] = v.cores["b"].Records()
+	v.disks["b"] = v.machines["b"].Records()
 	v.start("b", 20, 0, true, true)
 	v.step("b")
 	assert.Equal(t, held.Fence, v.view("b").Epoch)
@@ -278,19 +278,19 @@
 	v.step("a", Want{Lease: "m1", Term: 500, On: true}, Want{Lease: "m2", Term: 2000, On: true}, Want{Lease: "m3", Term: 2001, On: true},
 		Want{Lease: "x", On: true})
 	v.run(20)
-	assert.Len(t, v.cores["b"].Views(), 3, "the term of m3 is too long")
-	holder, until := v.cores["b"].Holder("m2")
+	assert.Len(t, v.machines["b"].Views(), 3, "the term of m3 is too long")
+	holder, until := v.machines["b"].Holder("m2")
 	assert.Equal(t, "a", holder)
 	assert.Greater(t, until, v.now+1900)
 	for i := range 3 {
 		v.step("c", Want{Lease: fmt.Sprint("n", i), Term: 500, On: true})
 	}
 	v.run(100)
-	assert.Len(t, v.cores["b"].Views(), 4)
+	assert.Len(t, v.machines["b"].Views(), 4)
 	v.step("b", Received{"a", Message{Kind: Request, Lease: "one more", Epoch: 1e9, Term: 10}})
-	assert.Equal(t, 1, v.cores["b"].Counts.Full)
+	assert.Equal(t, 1, v.machines["b"].Counts.Full)
 	var epoch uint64
-	for _, w := range v.cores["a"].Views() {
+	for _, w := range v.machines["a"].Views() {
 		if w.Held {
 			epoch = max(epoch, w.Epoch)
 			v.step("a", Write{w.Lease, w.Epoch, []byte("n")})
@@ -304,7 +304,7 @@
 	v.run(25000)
 	for _, name := range trio {
 		v.step(name)
-		assert.Len(t, v.cores[name].Views(), 1, "idle leases are forgotten, the fixed one is not")
+		assert.Len(t, v.machines[name].Views(), 1, "idle leases are forgotten, the fixed one is not")
 	}
 	v.step("b", Want{Lease: "m1", Term: 500, On: true})
 	v.run(20)
@@ -322,7 +322,7 @@
 	v.partitioned["a"], v.partitioned["b"] = false, false
 	rnd := rand.New(rand.NewPCG(1, 1))
 	for _, name := range trio {
-		v.cores[name].random = rnd.Float64
+		v.machines[name].random = rnd.Float64
 	}
 	v.run(1500)
 	assert.True(t, v.view("a").Held != v.view("b").Held, "exactly one of them holds it")
@@ -336,7 +336,7 @@
 	v.step("a", Want{Lease: "x", On: true})
 	v.run(20)
 	require.True(t, v.view("a").Held)
-	c := v.cores["b"]
+	c := v.machines["b"]
 	for name, r := range map[string]Received{
 		"an unknown member":                            {"z", Message{Kind: Request, Lease: "x", Epoch: 1e6, Term: 1000}},
 		"an unknown kind":                              {"a", Message{Kind: 9, Lease: "x"}},
@@ -360,7 +360,7 @@
 	w.step("c", Want{Lease: "x", On: true})
 	require.True(t, w.view("c").Held, "a and c")
 	// A grant for an earlier process of the same member has no effect.
-	a := w.cores["a"]
+	a := w.machines["a"]
 	a.Step(w.now, []Input{Want{Lease: "x", On: true}})
 	l := a.leases["x"]
 	l.round, l.ballot, l.fence = &round{seq: 5, sentAt: w.now, term: 1000, grants: map[string]grant{"a": {}}, refusals: map[string]float64{}}, 500, 500
@@ -375,12 +375,12 @@
 func TestConcurrentCandidates(t *testing.T) {
 	v := newTestCluster(t, true)
 	v.partitioned["c"] = true
-	asks := map[string][]Output{}
+	requests := map[string][]Output{}
 	for _, name := range []string{"b", "a"} {
-		asks[name] = v.cores[name].Step(v.now, []Input{Want{Lease: "x", On: true}})
+		requests[name] = v.machines[name].Step(v.now, []Input{Want{Lease: "x", On: true}})
 	}
 	for _, name := range []string{"b", "a"} {
-		for _, o := range asks[name] {
+		for _, o := range requests[name] {
 			switch x := o.(type) {
 			case Store:
 				v.step(name, Stored{x.Number})
--- a/internal/lease/messages.go
+++ b/internal/lease/messages.go
@@ -16,17 +16,17 @@
 	Kind  Kind
 	Lease string
 	Epoch uint64
-	Boot  uint64 // process number of the requester
-	Seq   uint64 // of the request
-	Term  float64
+	Boot  uint64  // process number of the requester
+	Seq   uint64  // of the request
+	Term  float64 // in ms
 	Note  *Note   // the newest note that the sender knows of
 	Sure  bool    // in a request: it is a holder's renewal, and Note and Blank come from a majority
 	Blank float64 // age before which notes may exist that the sender does not know of
-	Wait  float64
+	Wait  float64 // in a refusal: ms until this voter may grant a request
 }
 
 // Note is data that a holder leaves for later holders. The newer of two notes has the later epoch, or the
-// higher count in the same epoch.
+// higher Nth in the same epoch.
 type Note struct {
 	Epoch, Nth uint64
 	Age        float64 // ms since the write
--- a/internal/lease/views.go
+++ b/internal/lease/views.go
@@ -15,8 +15,8 @@
 		return c.startedAt
 	}
 	term := c.rules.MaxTerm
-	for _, t := range c.rules.Fixed {
-		term = max(term, t.Term)
+	for _, spec := range c.rules.Fixed {
+		term = max(term, spec.Term)
 	}
 	return c.startedAt + c.voterTerm(term)
 }
--- a/internal/lease/voting.go
+++ b/internal/lease/voting.go
@@ -8,7 +8,7 @@
 	}
 	reply := Message{Kind: Refuse, Lease: l.Name, Epoch: l.epoch, Boot: m.Boot, Seq: m.Seq, Blank: -1}
 	same := l.holder == from && l.boot == m.Boot
-	quiet := c.graceUntil(l)
+	graceEnd := c.graceUntil(l)
 	if b := l.round; l.holder == c.self && l.boot == c.boot && !l.held && b != nil && !b.finished && from != c.self && m.Epoch > l.epoch {
 		// Of two concurrent attempts the one with the higher epoch wins at once. When candidates only waited
 		// random delays, and each kept its own vote for longer than the delay, they refused each other for up
@@ -18,10 +18,10 @@
 	}
 	switch {
 	case c.diskFailed:
-	case c.now < quiet:
+	case c.now < graceEnd:
 		// The floor counts only from the first grant on: two floors of one voter lie a term apart, and wall
 		// clocks may differ by that much.
-		reply.Wait, reply.Epoch = quiet-c.now, 0
+		reply.Wait, reply.Epoch = graceEnd-c.now, 0
 	case l.until > c.now && !same:
 		if reply.Wait = l.until - c.now; !l.confirmed {
 			// An attempt ends soon, with a majority or without. Candidates that waited for the end of each
