--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -407,11 +407,11 @@
 // the partition they could take each other's turns, so a side has to be unchanged for a while first.
 func (c *Scheduler) slot(it *item, from float64, side, n int) float64 {
 	period := it.duty.Period
-	elsewhere := 2*(n-side) > n
+	majorityElsewhere := 2*(n-side) > n
 	from = max(from, c.now)
 	x := (from+c.clockOffset)/period - it.phase
 	for r := math.Floor(x); r < math.Floor(x)+float64(4*n+4); r++ {
-		if elsewhere && math.Mod(math.Abs(r), 2) != 0 {
+		if majorityElsewhere && math.Mod(math.Abs(r), 2) != 0 {
 			continue
 		}
 		if r < math.Floor(x) || x > r+slotFraction {
@@ -437,35 +437,35 @@
 func (c *Scheduler) updateView(living []Member) {
 	living = slices.Clone(living)
 	slices.SortFunc(living, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
-	was := map[string]float64{}
+	oldWeights := map[string]float64{}
 	for _, w := range c.living {
-		was[w.Name] = w.Weight
+		oldWeights[w.Name] = w.Weight
 	}
-	is := map[string]float64{}
-	var fresh []Member
+	newWeights := map[string]float64{}
+	var changed []Member
 	for _, w := range living {
-		is[w.Name] = w.Weight
+		newWeights[w.Name] = w.Weight
 		c.names[hash(w.Name)] = w.Name
-		if old, known := was[w.Name]; !known || old != w.Weight {
-			fresh = append(fresh, w)
+		if old, known := oldWeights[w.Name]; !known || old != w.Weight {
+			changed = append(changed, w)
 		}
 	}
 	if len(living) > len(c.living) {
 		c.nextSyncAt = min(c.nextSyncAt, max(c.now, c.lastSyncAt+minSyncIntervalMs)) // the records of the side that has joined are not known here
 	}
-	sideBefore, sure := c.side(), c.sideMembers
+	sideBefore, membersBefore := c.side(), c.sideMembers
 	c.living = living
 	c.countSide()
-	if !maps.Equal(sure, c.sideMembers) {
+	if !maps.Equal(membersBefore, c.sideMembers) {
 		c.sideSince = c.now
 	}
 	for _, d := range c.dutyList {
 		for _, it := range d.order {
-			weight, lives := is[it.owner]
-			if !lives || weight != was[it.owner] {
+			weight, lives := newWeights[it.owner]
+			if !lives || weight != oldWeights[it.owner] {
 				c.assign(it, living, true)
 			} else {
-				c.assign(it, fresh, false)
+				c.assign(it, changed, false)
 			}
 		}
 	}
@@ -478,13 +478,13 @@
 		}
 	}
 	for h, name := range c.names {
-		if _, lives := is[name]; !lives && name != c.self && len(c.names) > 2*len(living)+len(c.roster)+64 {
+		if _, lives := newWeights[name]; !lives && name != c.self && len(c.names) > 2*len(living)+len(c.roster)+64 {
 			delete(c.names, h)
 		}
 	}
 }
 
-// countSide computes which members are on this member's side.
+// countSide computes which members are on this member's side of a possible partition.
 func (c *Scheduler) countSide() {
 	c.sideMembers, c.sideSize = map[string]bool{}, 0
 	for _, w := range c.living {
@@ -499,11 +499,11 @@
 	}
 }
 
-// assign gives an item to the claimant with the highest score, either afresh or compared with its present
-// owner.
-func (c *Scheduler) assign(it *item, claimants []Member, anew bool) {
+// assign gives an item to the claimant with the highest score. Unless fromScratch is set, the present owner
+// competes with them.
+func (c *Scheduler) assign(it *item, claimants []Member, fromScratch bool) {
 	owner, best, of := it.owner, it.score, mix(it.duty.hash, it.hash)
-	if anew {
+	if fromScratch {
 		owner, best = "", -1
 	}
 	for _, w := range claimants {
--- a/internal/duties/gossipqueue.go
+++ b/internal/duties/gossipqueue.go
@@ -25,30 +25,30 @@
 	return gossipQueue{byItem: map[*item]*update{}, bySends: [][]*update{nil}}
 }
 
-func (t *gossipQueue) put(n *update) {
-	t.drop(n.it)
-	t.byItem[n.it] = n
-	t.bySends[0] = append(t.bySends[0], n)
+func (q *gossipQueue) put(n *update) {
+	q.drop(n.it)
+	q.byItem[n.it] = n
+	q.bySends[0] = append(q.bySends[0], n)
 }
 
-func (t *gossipQueue) drop(it *item) {
-	if old := t.byItem[it]; old != nil {
+func (q *gossipQueue) drop(it *item) {
+	if old := q.byItem[it]; old != nil {
 		old.superseded = true
-		delete(t.byItem, it)
-		t.compact()
+		delete(q.byItem, it)
+		q.compact()
 	}
 }
 
 // compact removes superseded updates when they outnumber those that still count.
-func (t *gossipQueue) compact() {
-	held := 0
-	for _, s := range t.bySends {
-		held += len(s)
+func (q *gossipQueue) compact() {
+	queued := 0
+	for _, s := range q.bySends {
+		queued += len(s)
 	}
-	if held <= 2*len(t.byItem)+64 {
+	if queued <= 2*len(q.byItem)+64 {
 		return
 	}
-	for i, s := range t.bySends {
+	for i, s := range q.bySends {
 		kept := s[:0]
 		for _, n := range s {
 			if !n.superseded {
@@ -56,43 +56,43 @@
 			}
 		}
 		clear(s[len(kept):])
-		t.bySends[i] = kept
+		q.bySends[i] = kept
 	}
 }
 
-// take calls give with the next updates until it returns false. Each update is sent the given number of times
+// take calls send with the next updates until it returns false. Each update is sent the given number of times
 // in all.
-func (t *gossipQueue) take(times int, give func(*update) bool) {
-	for len(t.bySends) < times {
-		t.bySends = append(t.bySends, nil)
+func (q *gossipQueue) take(times int, send func(*update) bool) {
+	for len(q.bySends) < times {
+		q.bySends = append(q.bySends, nil)
 	}
 	var sent []sentUpdate
-	for i := 0; i < len(t.bySends); i++ {
-		for s := t.bySends[i]; len(s) > 0; s = t.bySends[i] {
+	for i := 0; i < len(q.bySends); i++ {
+		for s := q.bySends[i]; len(s) > 0; s = q.bySends[i] {
 			n := s[len(s)-1]
-			if !n.superseded && !give(n) {
-				t.requeue(sent, times)
+			if !n.superseded && !send(n) {
+				q.requeue(sent, times)
 				return
 			}
 			s[len(s)-1] = nil
-			t.bySends[i] = s[:len(s)-1]
+			q.bySends[i] = s[:len(s)-1]
 			if !n.superseded {
 				sent = append(sent, sentUpdate{n, i + 1})
 			}
 		}
 	}
-	t.requeue(sent, times)
+	q.requeue(sent, times)
 }
 
 // requeue pushes sent updates on the stacks of their new number of sends, the newest on top again. It drops
 // those that were sent often enough.
-func (t *gossipQueue) requeue(sent []sentUpdate, times int) {
+func (q *gossipQueue) requeue(sent []sentUpdate, times int) {
 	for k := len(sent) - 1; k >= 0; k-- {
 		n, i := sent[k].update, sent[k].sends
 		if i >= times {
-			delete(t.byItem, n.it)
+			delete(q.byItem, n.it)
 		} else {
-			t.bySends[i] = append(t.bySends[i], n)
+			q.bySends[i] = append(q.bySends[i], n)
 		}
 	}
 }
--- a/internal/tasks/holds.go
+++ b/internal/tasks/holds.go
@@ -11,7 +11,8 @@
 	"gullstair/internal/lease"
 )
 
-// Hold is an input: a request by hand at this member for a lease on one of Holders slots of a name.
+// Hold is an input: a manual request at this member for a lease on one of Holders slots of a name. Manual leases
+// belong to no task.
 type Hold struct {
 	ID      uint64 // unique at this member
 	Name    string
@@ -71,7 +72,7 @@
 	nextSearch float64 // time of the next search for a free slot
 }
 
-// Holds manages the leases that are held by hand at one member. It is not safe for concurrent use.
+// Holds manages the manual leases of one member. It is not safe for concurrent use.
 type Holds struct {
 	self     string
 	holderOf func(lease string) (holder string, until float64)
@@ -81,7 +82,7 @@
 	outputs  []Output
 }
 
-// IsManual reports whether a lease is one that is held by hand.
+// IsManual reports whether a lease is a manual one.
 func IsManual(lease string) bool { return strings.HasPrefix(lease, "hold/") }
 
 // HoldLease returns the name of the lease for a slot of a hold.
@@ -124,7 +125,7 @@
 		switch v := x.(type) {
 		case Hold:
 			if len(h.all) >= maxHolds {
-				h.outputs = append(h.outputs, Revoked{v.ID, "too many leases are held by hand at this broker"})
+				h.outputs = append(h.outputs, Revoked{v.ID, "too many manual leases at this broker"})
 				continue
 			}
 			v.Holders = max(1, v.Holders)
@@ -150,15 +151,15 @@
 			}
 		case Order:
 			if x := h.findByLease(v.Lease); x != nil && x.held && v.Do == Release {
-				h.outputs = append(h.outputs, Revoked{x.ID, "an operator has it released"}, Answer{v.ID, true, ""})
+				h.outputs = append(h.outputs, Revoked{x.ID, "released by an operator"}, Answer{v.ID, true, ""})
 			} else if x != nil && x.held {
-				h.outputs = append(h.outputs, Answer{v.ID, false, "a lease that is held by hand can only be released"})
+				h.outputs = append(h.outputs, Answer{v.ID, false, "a manual lease can only be released"})
 			} else {
 				h.outputs = append(h.outputs, Answer{v.ID, false, "this broker does not hold that lease"})
 			}
 		case Leave:
 			for _, x := range h.all {
-				h.outputs = append(h.outputs, Revoked{x.ID, "this broker ends"})
+				h.outputs = append(h.outputs, Revoked{x.ID, "this broker is shutting down"})
 			}
 		}
 	}
--- a/internal/tasks/tasks.go
+++ b/internal/tasks/tasks.go
@@ -34,7 +34,7 @@
 	At      Schedule // by the wall clock
 	Term    float64  // term of its leases
 	Holders int      // number of slots: members that may run it at once, each with occurrences of its own
-	CatchUp bool     // missed occurrences are made up for by a single one; otherwise they are skipped
+	CatchUp bool     // a single occurrence replaces all missed ones; otherwise they are skipped
 	Timeout float64  // longest run of an occurrence; 0 means as long as the lease is held
 	Prefer  []string // members that run it while they live, in order of preference
 }
@@ -286,7 +286,7 @@
 		case Leave:
 			c.leaving = true
 			for _, s := range c.slots {
-				c.handOver(s, "this broker ends")
+				c.handOver(s, "this broker is shutting down")
 			}
 		}
 	}
@@ -339,7 +339,7 @@
 	}
 	s.held, s.state = false, idle
 	for _, id := range s.pendingOrders {
-		c.reply(s, id, false, "the lease was lost before the order was noted")
+		c.reply(s, id, false, "the lease was lost before the order was stored")
 	}
 	s.pendingOrders = nil
 }
@@ -425,11 +425,11 @@
 		return
 	case o.Do == Release:
 		s.releasedUntil = c.now + releaseTerms*s.Term
-		c.handOver(s, "an operator has it handed on")
+		c.handOver(s, "handed over by an operator")
 		c.reply(s, o.ID, true, "")
 		return
 	default:
-		c.reply(s, o.ID, false, "there is no such order")
+		c.reply(s, o.ID, false, "unknown order")
 		return
 	}
 	s.log.Order = o.ID
--- a/internal/tasks/tasks_test.go
+++ b/internal/tasks/tasks_test.go
@@ -26,8 +26,8 @@
 }
 
 const (
-	name = "task/t/0"
-	noon = 1796126400000.0 // 2026-12-01 12:00 UTC
+	leaseName = "task/t/0"
+	noon      = 1796126400000.0 // 2026-12-01 12:00 UTC
 )
 
 func newTestMember(t *testing.T, task Task) *testMember {
@@ -47,7 +47,7 @@
 			}
 		case lease.Write:
 			s.note, s.writtenAt = v.Data, s.now
-			s.step(lease.Noted{Lease: name, Fence: s.fence, Until: s.now + 1000})
+			s.step(lease.Noted{Lease: leaseName, Fence: s.fence, Until: s.now + 1000})
 		case lease.Drop:
 			s.held = false
 		}
@@ -57,7 +57,7 @@
 func (s *testMember) hold(blank float64) {
 	s.held = true
 	s.fence++
-	s.step(lease.Held{Lease: name, Fence: s.fence, Until: s.now + 1000, Note: s.note, NoteAt: s.writtenAt, Blank: blank})
+	s.step(lease.Held{Lease: leaseName, Fence: s.fence, Until: s.now + 1000, Note: s.note, NoteAt: s.writtenAt, Blank: blank})
 }
 
 // restart replaces the scheduler as another process or member would: only the note is kept.
@@ -77,7 +77,7 @@
 		for _, o := range out {
 			if b, is := o.(Begin); is {
 				begun = append(begun, s.now-noon)
-				s.step(Ended{Lease: name, Fence: b.Fence, Code: 3})
+				s.step(Ended{Lease: leaseName, Fence: b.Fence, Code: 3})
 			}
 		}
 	}
@@ -133,23 +133,23 @@
 			return append(begun, s.run(2*minute)...)
 		}, []float64{minute}},
 		"paused across a new holder, and resumed": {Task{Every: minute}, func(s *testMember) []float64 {
-			s.step(Order{ID: 1, Lease: name, Do: Pause})
+			s.step(Order{ID: 1, Lease: leaseName, Do: Pause})
 			s.run(3 * minute)
 			s.restart(0, lease.Never)
 			begun := s.run(3 * minute)
-			s.step(Order{ID: 2, Lease: name, Do: Resume})
+			s.step(Order{ID: 2, Lease: leaseName, Do: Resume})
 			return append(begun, s.run(1.5*minute)...)
 		}, []float64{7 * minute}},
 		"triggered, the same order twice": {Task{At: parseSchedule(t, "5 12 * * *")}, func(s *testMember) []float64 {
-			s.step(Order{ID: 1, Lease: name, Do: Trigger})
+			s.step(Order{ID: 1, Lease: leaseName, Do: Trigger})
 			n := 0
 			for _, o := range s.out {
 				if b, is := o.(Begin); is {
 					n++
-					s.step(Ended{Lease: name, Fence: b.Fence})
+					s.step(Ended{Lease: leaseName, Fence: b.Fence})
 				}
 			}
-			s.step(Order{ID: 1, Lease: name, Do: Trigger})
+			s.step(Order{ID: 1, Lease: leaseName, Do: Trigger})
 			assert.Equal(t, 1, n)
 			s.out = nil
 			return s.run(6 * minute)
@@ -188,26 +188,26 @@
 	s.out = nil
 	s.step(Membership{Majority: true, Rank: func(string) []string { return []string{"b", "a"} }})
 	assert.True(t, s.held, "an occurrence runs")
-	s.step(Order{ID: 4, Lease: name, Do: Release})
-	assert.Contains(t, s.out, Cancel{name, s.fence, "an operator has it handed on"})
+	s.step(Order{ID: 4, Lease: leaseName, Do: Release})
+	assert.Contains(t, s.out, Cancel{leaseName, s.fence, "handed over by an operator"})
 	assert.True(t, s.held)
-	s.step(Ended{Lease: name, Fence: s.fence, Code: 143, Why: "cancelled"})
+	s.step(Ended{Lease: leaseName, Fence: s.fence, Code: 143, Why: "cancelled"})
 	assert.False(t, s.held)
 	log, _ := ReadLog(s.note)
 	assert.Equal(t, [2]any{143, "cancelled"}, [2]any{log.Code, log.Why})
 	s.out = nil
-	s.step(lease.Noted{Lease: name, Fence: s.fence, Until: s.now + 1e6}, Order{ID: 5, Lease: name, Do: Trigger})
+	s.step(lease.Noted{Lease: leaseName, Fence: s.fence, Until: s.now + 1e6}, Order{ID: 5, Lease: leaseName, Do: Trigger})
 	assert.Equal(t, []Output{Answer{5, false, "this broker does not hold that lease"}}, s.out)
 	s = newTestMember(t, Task{Every: minute})
 	s.now += minute
 	s.step()
 	s.out = nil
-	s.step(lease.Lost{Lease: name, Fence: s.fence})
-	assert.Equal(t, []Output{Cancel{name, s.fence, "its lease was lost"}}, s.out)
+	s.step(lease.Lost{Lease: leaseName, Fence: s.fence})
+	assert.Equal(t, []Output{Cancel{leaseName, s.fence, "its lease was lost"}}, s.out)
 }
 
-// For leases held by hand, free slots are requested first and no slot twice at one member; a hold that does not
-// close cleanly is left to expire.
+// For manual leases, free slots are requested first and no slot twice at one member; the lease of a hold that is
+// not closed cleanly is left to expire.
 func TestHolds(t *testing.T) {
 	taken := map[string]float64{"hold/m/0": 5000}
 	h := NewHolds("a", func(l string) (string, float64) {
@@ -223,7 +223,7 @@
 	taken = map[string]float64{"hold/m/1": 9000}
 	assert.Equal(t, []Output{lease.Want{Lease: "hold/m/1"}, lease.Want{Lease: "hold/m/0", Term: 1000, On: true}}, h.Step(600, 600, nil), "slot 0 is free now")
 	assert.Equal(t, []Output{Extended{2, 1900}}, h.Step(700, 700, []Input{lease.Renewed{Lease: "hold/m/2", Fence: 7, Until: 1900}}))
-	assert.Equal(t, []Output{Revoked{2, "an operator has it released"}, Answer{9, true, ""}}, h.Step(701, 701, []Input{Order{9, "hold/m/2", Release}}))
+	assert.Equal(t, []Output{Revoked{2, "released by an operator"}, Answer{9, true, ""}}, h.Step(701, 701, []Input{Order{9, "hold/m/2", Release}}))
 	assert.Equal(t, []Output{lease.Want{Lease: "hold/m/2"}, lease.Drop{Lease: "hold/m/2", Fence: 7, LetExpire: true}}, h.Step(702, 702, []Input{Close{ID: 2}}))
 	h.Step(703, 703, []Input{lease.Held{Lease: "hold/m/0", Fence: 8, Until: 1700}})
 	assert.Equal(t, []Output{lease.Want{Lease: "hold/m/0"}, Revoked{1, "its lease was lost"}}, h.Step(704, 704, []Input{lease.Lost{Lease: "hold/m/0", Fence: 8}}))
@@ -231,5 +231,5 @@
 	for i := range maxHolds + 1 {
 		out = h.Step(800, 800, []Input{Hold{ID: uint64(i), Name: time.Duration(i).String(), Term: 1000}})
 	}
-	assert.Equal(t, Revoked{maxHolds, "too many leases are held by hand at this broker"}, out[0])
+	assert.Equal(t, Revoked{maxHolds, "too many manual leases at this broker"}, out[0])
 }
