--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -141,14 +141,14 @@
 	case r.TruncatedBytes > 0:
 		incomplete("%d bytes of a torn tail were cut", r.TruncatedBytes)
 	case fresh || currentPlace != recordedPlace:
-		incomplete("it is a copy: the place that its records name is another one")
+		incomplete("it is a copy: its place file is not the one that its records name")
 	case changed && touched-last > int64(maxChangeDelay):
 		incomplete("its files were changed %v after the last record", time.Duration(touched-last).Round(time.Second))
 	case earlierReason != "":
 		// A process that found records missing and ended before its grace period was over has left a log that
 		// looks complete. Without this case the next process took it for complete, and the promises made before
 		// the loss did not bind it.
-		incomplete("an earlier process found something missing and ended before that had run out: %s", earlierReason)
+		incomplete("an earlier process found something missing and ended before its grace period was over: %s", earlierReason)
 	}
 	d.incompleteReason = f.Why
 	return f, d.append(entry[R]{Begun: time.Now().UnixNano(), Place: currentPlace, Doubt: d.incompleteReason})
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -59,7 +59,7 @@
 // A directory with missing records is not reported as complete, and one that cannot be read or written does not
 // open.
 func TestIncompleteOrUnreadable(t *testing.T) {
-	copied := func(t *testing.T, from, to string) {
+	copyDir := func(t *testing.T, from, to string) {
 		out, err := exec.Command("cp", "-a", from, to).CombinedOutput()
 		require.NoError(t, err, string(out))
 	}
@@ -70,13 +70,13 @@
 	}{
 		"an older copy restored": {func(t *testing.T, path string) string {
 			old := path + ".old"
-			copied(t, path, old)
+			copyDir(t, path, old)
 			d, _, err := Open[lease.Record](path, Votes)
 			require.NoError(t, err)
 			require.NoError(t, d.Store([]lease.Record{vote(3)}))
 			d.Close()
 			require.NoError(t, os.RemoveAll(path))
-			copied(t, old, path)
+			copyDir(t, old, path)
 			return path
 		}, "it is a copy", ""},
 		"its place file lost": {func(t *testing.T, path string) string {
--- a/internal/durable/queue.go
+++ b/internal/durable/queue.go
@@ -32,8 +32,8 @@
 	ended  sync.WaitGroup
 }
 
-// NewQueue returns a running queue. It calls stored when all records up to a number are durable. It calls lost
-// once when storing has failed; nothing is stored after that.
+// NewQueue returns a running queue. It calls stored when all records up to a number are durable. It calls
+// failed once when storing has failed; nothing is stored after that.
 func NewQueue[R any](sink Sink[R], stored func(upto uint64), failed func(error)) *Queue[R] {
 	q := &Queue[R]{sink: sink, in: make(chan Job[R], maxQueue), stop: make(chan struct{}), stored: stored, failed: failed}
 	q.ended.Go(q.run)
@@ -41,9 +41,9 @@
 }
 
 // Put queues a job. It blocks while the queue is full.
-func (q *Queue[R]) Put(o Job[R]) {
+func (q *Queue[R]) Put(job Job[R]) {
 	select {
-	case q.in <- o:
+	case q.in <- job:
 	case <-q.stop:
 	}
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -67,7 +67,7 @@
 // guards holds the guard processes of this process that may still exist.
 var guards = struct {
 	sync.Mutex
-	adopts bool
+	reaper bool
 	known  map[int]bool
 }{known: map[int]bool{}}
 
@@ -79,17 +79,17 @@
 		return fmt.Errorf("guard: %w", err)
 	}
 	guards.Lock()
-	guards.adopts = true
+	guards.reaper = true
 	guards.Unlock()
 	return nil
 }
 
-// killOrphans kills and reaps the processes in the list that dead guards have left to this process. It returns
-// their number.
+// killOrphans kills and reaps those of the listed processes that dead guards have left to this process. It
+// returns their number.
 func killOrphans(all map[int]process) (n int) {
 	guards.Lock()
 	defer guards.Unlock()
-	if !guards.adopts {
+	if !guards.reaper {
 		return 0
 	}
 	for pid, p := range all {
@@ -113,7 +113,7 @@
 		return Result{-1, "too late to begin: the lease is about to run out"}
 	}
 	if err := unix.Prctl(unix.PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0); err != nil {
-		return Result{-1, fmt.Sprintf("it could not be guarded: %v", err)}
+		return Result{-1, fmt.Sprintf("the command could not be guarded: %v", err)}
 	}
 	path, err := exec.LookPath(s.Argv[0])
 	if err != nil {
@@ -156,7 +156,7 @@
 
 func superviseUntilGone(s Spec, pid int, instructions <-chan Instruction, codes chan int, gone chan struct{}) Result {
 	began := BootTime()
-	r, until, termed, killed := Result{}, s.Deadline, false, false
+	r, until, sigtermSent, killed := Result{}, s.Deadline, false, false
 	limit := func() (at int64, why string) {
 		at, why = until, "its lease runs out"
 		if end := began + int64(s.Timeout) + int64(s.Grace); s.Timeout > 0 && end < at {
@@ -168,7 +168,7 @@
 	for {
 		at, why := limit()
 		next := at - int64(s.Grace)
-		if termed {
+		if sigtermSent {
 			next = at - int64(s.Lead)
 		}
 		timer := time.NewTimer(time.Duration(max(0, next-BootTime())))
@@ -196,8 +196,8 @@
 				instructions = nil // whoever sent deadlines is gone: the last one remains in force
 			} else if t.Cancel != "" && r.Why == "" {
 				r.Why = t.Cancel
-				if cut := BootTime() + int64(s.Grace); cut < until {
-					until = cut
+				if end := BootTime() + int64(s.Grace); end < until {
+					until = end
 				}
 			} else if r.Why == "" {
 				until = max(until, t.Deadline)
@@ -210,8 +210,8 @@
 				r.Why = why
 				until = min(until, at)
 			}
-			if !termed {
-				termed = true
+			if !sigtermSent {
+				sigtermSent = true
 				unix.Kill(-pid, unix.SIGTERM)
 			} else {
 				killed = true
@@ -272,12 +272,12 @@
 
 func killBelow(all map[int]process, parent, session int) (n int) {
 	for pid, p := range all {
-		below := !p.zombie && session > 1 && p.sid == session
-		for up, steps := p.ppid, 0; !p.zombie && !below && up > 1 && steps < 64; steps++ {
-			below = up == parent
-			up = all[up].ppid
+		matches := !p.zombie && session > 1 && p.sid == session
+		for ancestor, steps := p.ppid, 0; !p.zombie && !matches && ancestor > 1 && steps < 64; steps++ {
+			matches = ancestor == parent
+			ancestor = all[ancestor].ppid
 		}
-		if below && pid != os.Getpid() && pid != parent {
+		if matches && pid != os.Getpid() && pid != parent {
 			n++
 			unix.Kill(pid, unix.SIGKILL)
 		}
@@ -374,9 +374,9 @@
 		return nil, fmt.Errorf("guard: %w", err)
 	}
 	g := &Process{cmd: cmd, in: in, lead: s.Lead, until: s.Deadline, mark: s.Mark, done: make(chan struct{}), reset: make(chan struct{}, 1), result: Result{-1, "its guard was ended"}}
-	read := make(chan struct{})
+	outputRead := make(chan struct{})
 	go func() {
-		defer close(read)
+		defer close(outputRead)
 		lines := bufio.NewScanner(out)
 		for lines.Scan() {
 			word, rest, _ := strings.Cut(lines.Text(), " ")
@@ -393,13 +393,13 @@
 	}()
 	go g.backstop()
 	go func() {
-		<-read
+		<-outputRead
 		g.cmd.Wait()
 		// After the death of a guard, the kernel's death signal and these sweeps kill what is left.
 		g.mu.Lock()
-		child, whole := g.child, g.ended
+		child, reported := g.child, g.ended
 		g.mu.Unlock()
-		for clean := 0; !whole && clean < requiredCleanSweeps; clean++ {
+		for clean := 0; !reported && clean < requiredCleanSweeps; clean++ {
 			if g.sweep(child) > 0 {
 				clean = -1
 			}
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -69,21 +69,21 @@
 type Shutdown struct {
 	longest, patience float64
 	actions           Actions
-	leftAt            float64
+	drainStart        float64
 }
 
 // New starts a shutdown; see Plan for the arguments.
 func New(longest, patience float64) *Shutdown { return &Shutdown{longest: longest, patience: patience} }
 
 // Step returns the actions in force. The broker keeps serving even without open connections, because its
-// clients may have no other broker and an open listener costs nothing. Once clients are sent away they are not
-// called back.
+// clients may have no other broker and an open listener costs nothing. Once it sends clients away it does not
+// return to normal service.
 func (e *Shutdown) Step(s State) Actions {
 	m := Plan(e.longest, s.AnswerTime, e.patience)
 	if e.actions.Drain {
-		m.Reject = min(e.leftAt+inFlightWindow, m.Fail)
+		m.Reject = min(e.drainStart+inFlightWindow, m.Fail)
 	} else if s.Elapsed >= m.Drain {
-		e.actions.Drain, e.leftAt = true, s.Elapsed
+		e.actions.Drain, e.drainStart = true, s.Elapsed
 		m.Reject = min(s.Elapsed+inFlightWindow, m.Fail)
 	}
 	e.actions.Reject = e.actions.Reject || e.actions.Drain && s.Elapsed >= m.Reject
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -11,7 +11,7 @@
 func TestMoments(t *testing.T) {
 	for _, c := range []struct {
 		longest, answer, patience float64
-		leave, giveUp             float64
+		drain, fail               float64
 	}{
 		{300, 20, -1, 400, 600}, // connections that still arrive are served
 		{300, 5000, -1, 400, 600},
@@ -23,8 +23,8 @@
 		{4000, 100, 10000, 3000, 10000},
 	} {
 		m := Plan(c.longest, c.answer, c.patience)
-		assert.Equal(t, c.leave, m.Drain, "%+v", c)
-		assert.Equal(t, c.giveUp, m.Fail, "%+v", c)
+		assert.Equal(t, c.drain, m.Drain, "%+v", c)
+		assert.Equal(t, c.fail, m.Fail, "%+v", c)
 	}
 }
 
