--- a/internal/limitshare/accounts.go
+++ b/internal/limitshare/accounts.go
@@ -104,19 +104,19 @@
 	if !a.limit.Available {
 		return 0
 	}
-	gone := 0
+	notAlive := 0
 	for _, name := range c.rules.Roster {
 		if name != c.rules.Self && c.alive != nil && !c.alive[name] {
-			gone++
+			notAlive++
 		}
 	}
-	most := float64(gone) * a.limit.Alone // each of them may be in a partition of its own
+	bound := float64(notAlive) * a.limit.Alone // each of them may be in a partition of its own
 	for i := range a.loans {
 		if l := &a.loans[i]; !l.share.none() && now >= l.end-expiryMarginMs && now < c.loanEnd(a, l) {
-			most += share(max(l.share[rateIndex], l.share[burstIndex]))
+			bound += share(max(l.share[rateIndex], l.share[burstIndex]))
 		}
 	}
-	return most
+	return bound
 }
 
 // Accounts returns the number of accounts kept.
--- a/internal/limitshare/homes.go
+++ b/internal/limitshare/homes.go
@@ -79,21 +79,21 @@
 	if int64(i) < Whole%int64(n) {
 		even++
 	}
-	pieces := func(size float64) int64 {
-		whole := math.Floor(size)
-		mine := math.Floor(whole / float64(n))
-		if float64(i) < whole-mine*float64(n) {
+	wholeUnits := func(size float64) int64 {
+		units := math.Floor(size)
+		mine := math.Floor(units / float64(n))
+		if float64(i) < units-mine*float64(n) {
 			mine++
 		}
 		if i == 0 {
-			mine += size - whole
+			mine += size - units
 		}
 		return int64(mine / size * Whole)
 	}
 	if l.Kind == Stock {
-		return Part{rateIndex: pieces(l.Size)}
+		return Part{rateIndex: wholeUnits(l.Size)}
 	}
-	return Part{even, pieces(l.Burst)}
+	return Part{even, wholeUnits(l.Burst)}
 }
 
 // owners ranks the members for a key by rendezvous hashing and returns the first n, or all of them if n is 0.
--- a/internal/limitshare/limitshare.go
+++ b/internal/limitshare/limitshare.go
@@ -164,27 +164,27 @@
 	maxLendersAsked    = 4      // lenders asked for more in one round
 	maxBorrowers       = 8      // members that one lends to at the same time
 	expiryMarginMs     = 2.0    // a borrower treats a loan as ended this long before its end
-	headroom           = 1.05   // factor on demand that a member needs,
-	lowTokensHeadroom  = 1.3    // and factor if its bucket has fallen
-	lowTokens          = 0.25   // below this share
-	slack              = 1.15   // factor on its need that a member keeps before it returns borrowed shares
-	fastMs             = 200.0  // averaging time of the demand at high rates,
-	slowMs             = 2000.0 // and at low rates
-	gridMs             = 20.0
-	evictionIntervalMs = 500.0
+	headroom           = 1.05   // a member needs a share for this multiple of its demand
+	lowTokensHeadroom  = 1.3    // the same multiple while its bucket is low
+	lowTokens          = 0.25   // a bucket below this fraction of its size is low
+	slack              = 1.15   // a member returns borrowed shares above this multiple of its need
+	fastMs             = 200.0  // averaging time of the fast average of the demand, for high rates
+	slowMs             = 2000.0 // averaging time of the slow one, for low rates
+	gridMs             = 20.0   // due times of accounts are rounded up to multiples of this
+	evictionIntervalMs = 500.0  // least time between two evictions of idle accounts
 	// tokenTolerance is the part of a token that may be missing: a fifth of a burst of five has to count as a token though shares are rounded.
 	tokenTolerance  = 1e-6
 	onceTermMs      = 60.0 // validity of tokens granted for one scan; the same at all members
 	onceWaitMs      = 25.0 // longest time that a scan waits for such tokens
 	maxPendingOnces = 64   // scans of one key that wait at the same time
 	maxOnceTries    = 3    // owners asked for the tokens of one scan
-	minLoanDemand   = 1.0  // scans of a key in a term: below this nothing is borrowed and each scan asks for its own tokens;
-	maxOnceDemand   = 6.0  // above this loans suffice, and grants for single scans would only use up shares that loans need
+	minLoanDemand   = 1.0  // scans of a key in a term: below this nothing is borrowed, and each scan asks for its own tokens
+	maxOnceDemand   = 6.0  // scans of a key in a term: above this loans suffice, and grants for single scans would only use up shares that loans need
 	decayMs         = 1.0  // least time between two updates of the decaying averages
 	idleTerms       = 5.0  // terms after which an unused account is removed
-	retryJitter     = 0.25
+	retryJitter     = 0.25 // retry times are extended by a random part of up to this fraction
 	maxKeyLength    = 120
-	never           = -1e15
+	never           = -1e15 // a time before all others, in ms
 )
 
 type limit struct {
@@ -193,7 +193,7 @@
 	sizeState
 }
 
-// debt is what this member lent to a process of another member: newShare until newUntil and, if it is larger, oldShare until oldUntil.
+// debt is what this member lent to a process of another member: newShare until newUntil, and at least oldShare until oldUntil.
 type debt struct {
 	to                 string
 	boot, seq          uint64
@@ -226,7 +226,7 @@
 	open           bool // the newest ask is not answered yet
 	shortfalls     int  // consecutive asks that were granted less than asked, or not answered
 	nextIncreaseAt float64
-	silentSince    float64 // since when asks are unanswered; never: they are answered
+	silentSince    float64 // time since which asks are unanswered; never: they are answered
 }
 
 // account is the state of one key of one limit.
@@ -259,16 +259,16 @@
 	changeAt               float64
 	onceShares             []onceShare   // grants received for single scans
 	pendingOnces           []pendingOnce // pending asks for single scans
-	noOnceUntil            float64       // owners had no tokens; no owner is asked for a single scan before this time
+	noOnceUntil            float64       // no owner is asked for a single scan before this time, since owners had no tokens
 }
 
-// single is a share that an owner granted for one scan.
+// onceShare is a share that an owner granted for one scan.
 type onceShare struct {
 	share Part
 	until float64
 }
 
-// once is a pending ask for the tokens of one scan.
+// pendingOnce is a pending ask for the tokens of one scan.
 type pendingOnce struct {
 	seq   uint64
 	sent  float64
@@ -333,8 +333,8 @@
 	return c.start + c.lenderTerm(l)
 }
 
-// homeUsableAt returns from when the home shares of a limit may be used: until then an earlier process of this member may have lent them, if its marks
-// are not known.
+// homeUsableAt returns when the home shares of a limit become usable. Unless the marks of the earlier process are known, it may have lent them until
+// then.
 func (c *Core) homeUsableAt(l *limit) float64 {
 	if c.complete {
 		return c.start
--- a/internal/limitshare/loans.go
+++ b/internal/limitshare/loans.go
@@ -117,22 +117,22 @@
 	if n := len(a.loans); n > 0 {
 		first = min(int(c.random()*float64(n)), n-1)
 	}
-	for _, again := range [2]bool{false, true} { // lenders that granted their last ask in full come first
+	for _, short := range [2]bool{false, true} { // lenders that granted their last ask in full come first
 		for k := range a.loans {
 			l := &a.loans[(first+k)%len(a.loans)]
-			if again != (l.shortfalls > 0) {
+			if short != (l.shortfalls > 0) {
 				continue
 			}
 			want := l.share
-			for q := range want {
-				if float64(have[q]) > slack*float64(missing[q]) {
-					want[q] = int64(float64(l.share[q]) * float64(missing[q]) / float64(have[q]))
+			for dim := range want {
+				if float64(have[dim]) > slack*float64(missing[dim]) {
+					want[dim] = int64(float64(l.share[dim]) * float64(missing[dim]) / float64(have[dim]))
 				}
 			}
-			if again && now < a.nextShortLenderAt {
+			if short && now < a.nextShortLenderAt {
 				// Lenders that fell short are tried one at a time, so that the number of messages does not grow with the members when all are short.
 			} else if !l.open && now >= l.nextIncreaseAt && asked < maxLendersAsked && !left.none() {
-				if again {
+				if short {
 					a.nextShortLenderAt = now + renewAfter*term
 				}
 				more := left.min(each)
@@ -141,9 +141,9 @@
 			}
 			switch {
 			case l.open && want.none() && missing.none():
-				l.open = now < l.sentAt+askTimeout*term // no share is needed any more, so a later answer is ignored
+				l.open = now < l.sentAt+askTimeout*term // no share is needed any more, so an answer after the timeout is ignored
 			case l.open:
-				// Retry a lender that does not answer, with growing intervals: it may be dead, or this member partitioned off.
+				// Retry a lender that does not answer, with growing intervals: it may be dead, or this member may be partitioned.
 				if l.silentSince > never && (!l.share.none() && now >= l.sentAt+askTimeout*term || now >= l.sentAt+min(2*term, max(askTimeout*term, (now-l.silentSince)/2))) {
 					c.sendAsk(a, l, want, now)
 				}
@@ -221,15 +221,15 @@
 
 // sendAsk asks a lender for a share and reports the most of its current loan that is used from now on.
 func (c *Core) sendAsk(a *account, l *loan, want Part, now float64) {
-	give := 0.0
+	returned := 0.0
 	if want.less(l.share) {
-		give = c.reduceLoan(a, l, want, now)
+		returned = c.reduceLoan(a, l, want, now)
 	}
 	c.seq++
 	l.seq, l.sentAt, l.asked, l.open = c.seq, now, want.max(l.share), true
 	l.nextIncreaseAt = now + minAskInterval*a.limit.Term
 	c.outbox[l.from] = append(c.outbox[l.from], Message{Kind: Ask, Limit: a.limit.Name, Key: a.key, Boot: c.rules.Boot, Seq: l.seq, Have: l.share,
-		Share: l.asked, Tokens: give})
+		Share: l.asked, Tokens: returned})
 }
 
 // reduceLoan reduces the used part of a loan as far as open scans allow, and returns the tokens that no longer fit into the bucket.
@@ -363,14 +363,14 @@
 		})
 		order = order[:maxBorrowers]
 	}
-	for q := range need {
-		left := max(0, a.home[q]-need[q])
+	for dim := range need {
+		left := max(0, a.home[dim]-need[dim])
 		slices.SortFunc(order, func(x, y int) int {
-			return cmp.Or(cmp.Compare(a.debts[x].want[q], a.debts[y].want[q]), cmp.Compare(a.debts[x].to, a.debts[y].to))
+			return cmp.Or(cmp.Compare(a.debts[x].want[dim], a.debts[y].want[dim]), cmp.Compare(a.debts[x].to, a.debts[y].to))
 		})
 		for k, i := range order {
-			out[i][q] = min(a.debts[i].want[q], left/int64(len(order)-k))
-			left -= out[i][q]
+			out[i][dim] = min(a.debts[i].want[dim], left/int64(len(order)-k))
+			left -= out[i][dim]
 		}
 	}
 	return out
--- a/internal/limitshare/marks.go
+++ b/internal/limitshare/marks.go
@@ -60,7 +60,7 @@
 }
 
 const (
-	markSteps       = 8    // marks are rounded up by one of so many steps of the home share
+	markSteps       = 8    // a mark is rounded up by one step: the home share divided by this
 	markTerms       = 10.0 // terms after which a mark that is too high is lowered
 	maxPendingSends = 4096 // answers that wait for the disk; further ones are dropped, as datagrams may be
 )
@@ -140,8 +140,8 @@
 
 // inheritMark records what the previous process may have lent of an account as a debt that is never returned early.
 func (c *Core) inheritMark(a *account) {
-	m, was := c.inherited[accountID{a.limit.number, a.key}]
-	if !was {
+	m, found := c.inherited[accountID{a.limit.number, a.key}]
+	if !found {
 		return
 	}
 	a.mark = m.most
@@ -203,15 +203,15 @@
 // markStored sends the answers whose records are durable by now.
 func (c *Core) markStored(upto uint64) {
 	c.stored = max(c.stored, upto)
-	left := c.pendingSends[:0]
+	remaining := c.pendingSends[:0]
 	for _, w := range c.pendingSends {
 		if w.number <= c.stored {
 			c.outbox[w.to] = append(c.outbox[w.to], w.m)
 		} else {
-			left = append(left, w)
+			remaining = append(remaining, w)
 		}
 	}
-	c.pendingSends = left
+	c.pendingSends = remaining
 }
 
 // storeTrust stores the checksum of the rules once all loans that an earlier process may have granted under other rules have ended.
--- a/internal/limitshare/orders.go
+++ b/internal/limitshare/orders.go
@@ -60,7 +60,7 @@
 	at     float64
 }
 
-const minQuestionIntervalMs = 50.0 // least interval between two questions to one member that its reports cause
+const minQuestionIntervalMs = 50.0 // least interval between two questions to a member that its own reports give rise to
 
 const gossipIntervalMs = 1000.0 // interval at which a member sends its report to one random member
 
@@ -111,7 +111,7 @@
 	}
 }
 
-// adoptOrder takes an order over if it is newer than the known one.
+// adoptOrder adopts an order if it is newer than the known one, and reports whether it did.
 func (c *Core) adoptOrder(l *limit, o Order, asof float64) bool {
 	s := &l.sizeState
 	if !newer(o, s.order) {
@@ -166,18 +166,18 @@
 	s := &l.sizeState
 	s.memberSizes[from] = size{w.Size, w.Burst}
 	c.recomputeHomes(l, now)
-	news, unsure, q := false, false, s.questions[from]
+	adopted, unsure, q := false, false, s.questions[from]
 	if o := w.Order; o != nil {
 		// The delay of a message is unknown. The duration of an order that raises the limit counts from when the question was sent that this report
 		// answers: the order must not end late.
 		asof := now
-		if more := l.raisesLimit(*o); more && w.Echo > 0 && w.Echo == q.number {
+		if raises := l.raisesLimit(*o); raises && w.Echo > 0 && w.Echo == q.number {
 			asof = q.at
 		} else {
-			unsure = more && newer(*o, s.order)
+			unsure = raises && newer(*o, s.order)
 		}
 		if !unsure {
-			news = c.adoptOrder(l, *o, asof)
+			adopted = c.adoptOrder(l, *o, asof)
 		}
 		s.knownVersions[from] = max(s.knownVersions[from], o.Version)
 	}
@@ -186,7 +186,7 @@
 		c.outbox[from] = append(c.outbox[from], c.sizeReport(l, from, now, max(1, w.Asked)))
 	}
 	switch {
-	case news:
+	case adopted:
 		c.broadcastSize(l, now)
 	case unsure && (q.number == 0 || now >= q.at+minQuestionIntervalMs):
 		// Not at each report: two members that ask back at once would exchange questions without end.
@@ -194,7 +194,7 @@
 	}
 }
 
-const maxOrderMs = 31 * 24 * 3600 * 1000.0 // ms
+const maxOrderMs = 31 * 24 * 3600 * 1000.0 // longest duration of an order
 
 func validSize(x float64) bool { return x > 0 && x <= 1e12 }
 
@@ -217,7 +217,7 @@
 	c.broadcastSize(l, now)
 }
 
-// gossip sends this member's reports to one random member, so that all converge after a partition and started members learn of orders.
+// gossip sends this member's reports to one random member, so that all converge after a partition and newly started members learn of orders.
 func (c *Core) gossip(now float64) {
 	n := len(c.rules.Roster)
 	if at, is := slices.BinarySearch(c.rules.Roster, c.rules.Self); !is || n < 2 {
--- a/internal/limitshare/taking.go
+++ b/internal/limitshare/taking.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Take decides on an incoming scan, given all limits that apply to it. It consumes from all of them or from none. What it takes of a Stock limit has to
-// be returned by Done; the scan ends after lasts ms at the latest.
+// Take decides on an incoming scan, given all limits that apply to it. It takes from all of them or from none. What it takes of a Stock limit has to be
+// returned by Done. The scan ends after at most lasts ms.
 func (c *Core) Take(now float64, uses []Use, lasts float64) Verdict {
 	return c.take(now, uses, lasts, false)
 }
@@ -144,7 +144,7 @@
 	return cost <= a.limit.Burst && c.sendOnce(a, pendingOnce{owner: int(c.random()*float64(len(a.loans))) % len(a.loans), cost: cost}, now)
 }
 
-// sendOnce asks the next owner that is responsive.
+// sendOnce asks the next responsive owner for the tokens of one scan, and reports whether there is one.
 func (c *Core) sendOnce(a *account, o pendingOnce, now float64) bool {
 	n := toParts(o.cost / a.limit.Burst)
 	for i := range 2 * len(a.loans) {
@@ -153,8 +153,8 @@
 		if a.rank >= 0 && rank >= a.rank {
 			rank++
 		}
-		// Owners whose home share can hold the tokens come first: if the burst is smaller than the number of owners, most have none, and random choice often
-		// got three refusals.
+		// Owners whose home share can hold the tokens come first: if the burst is smaller than the number of owners, most have none, and a random choice
+		// often led to three refusals.
 		able := a.limit.home(rank, len(a.loans)+1)[burstIndex] >= n || i >= len(a.loans)
 		if l := &a.loans[o.owner]; l.silentSince == never && able {
 			c.seq++
@@ -305,11 +305,11 @@
 	if a.slowDemand*slowMs/1000 < 0.02 {
 		return Part{} // no demand any more
 	}
-	room := headroom
+	factor := headroom
 	if a.tokens < lowTokens*c.bucketSize(a) {
-		room = lowTokensHeadroom
+		factor = lowTokensHeadroom
 	}
-	n := d * room * (1 + c.rules.Drift) / a.limit.Size
+	n := d * factor * (1 + c.rules.Drift) / a.limit.Size
 	// A bucket below one whole token admits no scan.
 	return Part{toParts(n), toParts(max(n, (1-tokenTolerance/10)/a.limit.Burst))}
 }
