--- a/internal/memberactor/memberactor.go
+++ b/internal/memberactor/memberactor.go
@@ -1,5 +1,5 @@
 // Package memberactor runs the state machine of package memberstate in an actor: one goroutine that feeds it datagrams, the clock and the broker's inputs, and
-// carries out its outputs. It does network I/O by the carrier and stores records by its sinks.
+// carries out its outputs. It does network I/O through the carrier and stores records in the sinks of its Callbacks.
 package memberactor
 
 import (
@@ -23,10 +23,11 @@
 
 const (
 	mailboxSize = 512
-	maxBatch    = 64
+	maxBatch    = 64 // most inputs of one Step
 	// snapshotAfter is the number of stored records after which a snapshot replaces the log.
 	snapshotAfter = 4096
-	leaveTimeout  = 3 * time.Second
+	// leaveTimeout bounds how long Stop waits until the member has left.
+	leaveTimeout = 3 * time.Second
 )
 
 // Callbacks holds the callbacks into the broker. None of them may block the actor.
@@ -53,11 +54,11 @@
 
 // Actor runs one broker's member. It is safe for concurrent use.
 type Actor struct {
-	core    *memberstate.Core
-	carrier *gossip.Carrier
-	now     func() float64
-	work    Callbacks
-	log     zerolog.Logger
+	core      *memberstate.Core
+	carrier   *gossip.Carrier
+	now       func() float64
+	callbacks Callbacks
+	log       zerolog.Logger
 
 	mail               chan memberstate.Input
 	stateRequests      chan chan State
@@ -73,7 +74,7 @@
 
 	mu     sync.Mutex
 	orders map[uint64]chan tasks.Answer // orders that wait for an answer
-	holds  map[uint64]chan<- any        // receivers of events on leases held by hand
+	holds  map[uint64]chan<- any        // receivers of the events of manual leases
 }
 
 // State is the state shown on the control socket.
@@ -98,18 +99,18 @@
 }
 
 // Start starts the actor and serves the carrier's port.
-func Start(plan memberstate.Plan, carrier *gossip.Carrier, now func() float64, work Callbacks, log zerolog.Logger) *Actor {
-	a := &Actor{core: memberstate.New(plan), carrier: carrier, now: now, work: work, log: log,
+func Start(plan memberstate.Plan, carrier *gossip.Carrier, now func() float64, callbacks Callbacks, log zerolog.Logger) *Actor {
+	a := &Actor{core: memberstate.New(plan), carrier: carrier, now: now, callbacks: callbacks, log: log,
 		wake: make(chan struct{}, 1), mail: make(chan memberstate.Input, mailboxSize), stateRequests: make(chan chan State), stop: make(chan struct{}),
 		orders: map[uint64]chan tasks.Answer{}, holds: map[uint64]chan<- any{}}
-	if work.Votes != nil {
-		a.votes = durable.NewQueue(work.Votes, func(upto uint64) { a.send(lease.Stored{Upto: upto}) }, func(err error) {
+	if callbacks.Votes != nil {
+		a.votes = durable.NewQueue(callbacks.Votes, func(upto uint64) { a.send(lease.Stored{Upto: upto}) }, func(err error) {
 			a.log.Error().Err(err).Msg("votes on leases can't be stored: this broker grants no leases until it restarts")
 			a.send(lease.DiskLost{})
 		})
 	}
-	if work.Orders != nil {
-		a.storeOrders = durable.NewQueue(work.Orders, func(uint64) {}, func(err error) {
+	if callbacks.Orders != nil {
+		a.storeOrders = durable.NewQueue(callbacks.Orders, func(uint64) {}, func(err error) {
 			a.log.Error().Err(err).Msg("operators' orders on stores can't be stored: after a restart this broker learns of them only from other brokers")
 		})
 	}
@@ -182,7 +183,7 @@
 	}
 }
 
-// Hold requests a lease by hand. The channel receives its events: tasks.Granted, tasks.Extended and tasks.Revoked. It has to be buffered, since
+// Hold requests a manual lease. The channel receives its events: tasks.Granted, tasks.Extended and tasks.Revoked. It has to be buffered, since
 // sending does not block: an Extended that does not fit is skipped, and the loss of any other event ends the hold.
 func (a *Actor) Hold(h tasks.Hold, events chan<- any) {
 	a.mu.Lock()
@@ -246,7 +247,7 @@
 				more = false
 			}
 		}
-		a.apply(a.core.Step(a.now(), a.work.Wall(), batch))
+		a.apply(a.core.Step(a.now(), a.callbacks.Wall(), batch))
 		if a.votes == nil {
 			continue
 		}
@@ -267,29 +268,29 @@
 		case memberstate.Send:
 			a.carrier.Send(v.Addr, v.Envelope)
 		case duties.Turn:
-			a.work.Turn(v.Duty, v.Item)
+			a.callbacks.Turn(v.Duty, v.Item)
 		case duties.Reported:
-			a.work.Heard(v.Duty, v.Item, v.By, v.Age, v.Report)
+			a.callbacks.Heard(v.Duty, v.Item, v.By, v.Age, v.Report)
 		case verdicts.Verdict:
-			a.work.Verdict(v)
+			a.callbacks.Verdict(v)
 		case verdicts.Stored:
 			if a.storeOrders == nil {
 				break
 			}
 			a.ordersStored++
 			if o := (durable.Job[verdicts.Stored]{Number: a.ordersStored, Record: v}); a.ordersStored%snapshotAfter == 0 {
-				a.storeOrders.Put(durable.Job[verdicts.Stored]{All: a.core.Stores.Orders(a.work.Wall())})
+				a.storeOrders.Put(durable.Job[verdicts.Stored]{All: a.core.Stores.Orders(a.callbacks.Wall())})
 			} else {
 				a.storeOrders.Put(o)
 			}
 		case memberstate.Note:
-			a.work.Note(v.Data)
+			a.callbacks.Note(v.Data)
 		case tasks.Begin:
-			a.work.Begin(v)
+			a.callbacks.Begin(v)
 		case tasks.Extend:
-			a.work.Extend(v)
+			a.callbacks.Extend(v)
 		case tasks.Cancel:
-			a.work.Cancel(v)
+			a.callbacks.Cancel(v)
 		case tasks.Granted:
 			a.notifyHold(v.ID, v)
 		case tasks.Extended:
--- a/internal/memberstate/codec.go
+++ b/internal/memberstate/codec.go
@@ -27,7 +27,8 @@
 
 var errSize = errors.New("msgpack: an announced size exceeds the message")
 
-// checkSizes walks a message and rejects sizes that exceed it: the library allocates as many elements as are announced, and a few bytes can announce 4 billion.
+// checkSizes walks a message and rejects sizes that exceed it: the library allocates as many elements as are announced, and a few bytes can announce
+// four billion.
 func checkSizes(data []byte) error {
 	for left := uint64(1); left > 0; left-- { // elements still to read
 		if len(data) == 0 {
--- a/internal/memberstate/memberstate.go
+++ b/internal/memberstate/memberstate.go
@@ -1,5 +1,5 @@
-// Package memberstate combines the state machines of one member: membership, duties (who does which item when), leases and their tasks (what only one member
-// may do at a time), limits and verdicts on stores. Like them it does no I/O and reads no clock. It routes messages to them, passes the results of one to the
+// Package memberstate combines the state machines of one member: membership, duties (which member does which item when), leases and their tasks (what only
+// one member may do at a time), limits, and verdicts on stores. Like them it does no I/O and reads no clock. It routes messages to them, passes the results of one to the
 // others, and resolves members' addresses.
 package memberstate
 
@@ -30,10 +30,10 @@
 	Timing      membership.Timing
 	Duties      []duties.Duty
 	Tasks       []tasks.Task
-	Longest     float64           // ms; the longest term of a lease that is held by hand; 0: no such leases
+	Longest     float64           // ms; the longest term of a manual lease; 0: no such leases
 	LeasesMost  int               // most leases kept besides those of tasks
 	Drift       float64           // bound on the relative clock drift
-	Floor       uint64            // a fencing number that no earlier holder has exceeded
+	Floor       uint64            // a fencing token that no earlier holder has exceeded
 	Votes       *Votes            // nil: votes are not stored
 	Seed        uint64            // seed of the random numbers
 	Limits      Limits            // nil: no limits are shared
@@ -83,8 +83,8 @@
 // Leave makes this member release everything it holds and announce to the others that it leaves.
 type Leave struct{}
 
-// Output is a Send, Note, verdicts.Verdict, verdicts.Stored, duties.Turn, duties.Heard, membership.Changed, lease.Store, or one of tasks: Begin, Extend, Cancel, Answer, Granted,
-// Extended and Revoked.
+// Output is a Send, Note, verdicts.Verdict, verdicts.Stored, duties.Turn, duties.Reported, membership.Changed, lease.Store, tasks.Begin, tasks.Extend, tasks.Cancel, tasks.Answer,
+// tasks.Granted, tasks.Extended or tasks.Revoked.
 type Output any
 
 // Send is an envelope to send.
@@ -134,11 +134,11 @@
 	maxOrders          = 64
 	orderRetryMs       = 250.0  // ms between two attempts to reach a lease's holder
 	orderTimeoutMs     = 1500.0 // ms
-	maxMessageBytes    = 1100   // most bytes of leases' or limits' messages in one envelope
+	maxMessageBytes    = 1100   // most bytes of messages of leases or limits in one envelope
 	limitOverheadBytes = 80     // size of a limit's message without its names
 )
 
-const sendsPerLog = 2 // how often a record is forwarded, times the decimal logarithm of the number of members
+const sendsPerLog = 2 // a record is forwarded this many times the decimal logarithm of the number of members
 
 // New creates a member that knows only its plan.
 func New(p Plan) *Core {
@@ -147,20 +147,20 @@
 		c.addrs = map[string]string{}
 	}
 	roster := slices.Sorted(maps.Keys(p.Roster))
-	chance := rand.New(rand.NewPCG(p.Seed, p.Boot^0x1ea5e))
+	random := rand.New(rand.NewPCG(p.Seed, p.Boot^0x1ea5e))
 	c.Members = membership.New(membership.Member{Name: p.Name, Addr: p.Addr, Boot: p.Boot,
 		Incarnation: p.Incarnation, Weight: p.Weight}, p.Timing, p.Seed, dutyPiggyback{c})
 	c.Duties = duties.New(p.Name, roster, p.Duties, p.Seed)
 	c.Tasks = tasks.New(p.Name, p.Tasks)
 	fixed := c.Tasks.Leases()
 	c.Leases = lease.New(p.Name, p.Boot, roster, lease.Rules{Drift: p.Drift, MaxTerm: p.Longest, MaxLeases: len(fixed) + p.LeasesMost,
-		Fixed: fixed}, p.Floor, chance.Float64)
+		Fixed: fixed}, p.Floor, random.Float64)
 	if p.Votes != nil {
 		c.Leases.Restore(p.Votes.Records, p.Votes.Sound)
 	}
 	c.Holds = tasks.NewHolds(p.Name, c.Leases.Holder)
 	if p.Verdicts != nil {
-		c.Stores = verdicts.New(*p.Verdicts, chance.Float64)
+		c.Stores = verdicts.New(*p.Verdicts, random.Float64)
 	}
 	c.orders = map[uint64]*pendingOrder{}
 	return c
@@ -367,7 +367,7 @@
 	}
 }
 
-// sendLeases packs leases' messages into as few envelopes as possible.
+// sendLeases packs messages of leases into as few envelopes as possible.
 func (c *Core) sendLeases(s lease.Send) {
 	for begin, size, i := 0, 0, 0; i <= len(s.Messages); i++ {
 		n := 0
@@ -382,7 +382,7 @@
 	}
 }
 
-// sendLimits packs limits' messages into as few envelopes as possible.
+// sendLimits packs messages of limits into as few envelopes as possible.
 func (c *Core) sendLimits(s limitshare.Send) {
 	for begin, size, i := 0, 0, 0; i <= len(s.Messages); i++ {
 		n := 0
@@ -433,10 +433,10 @@
 	return n
 }
 
-// acceptOrder queues an operator's order. It is sent to the lease's holder repeatedly until that one answers.
+// acceptOrder queues an operator's order, which is sent to the lease's holder repeatedly until the holder answers.
 func (c *Core) acceptOrder(o tasks.Order) {
 	if len(c.orders) >= maxOrders {
-		c.out = append(c.out, tasks.Answer{ID: o.ID, Why: "too many orders are under way"})
+		c.out = append(c.out, tasks.Answer{ID: o.ID, Why: "too many orders are pending"})
 		return
 	}
 	c.orders[o.ID] = &pendingOrder{Order: o, nextTry: c.now, deadline: c.now + orderTimeoutMs}
@@ -453,7 +453,7 @@
 		case c.now >= o.deadline && holder == "":
 			c.finishOrder(tasks.Answer{ID: id, Why: "nobody is known to hold that lease"})
 		case c.now >= o.deadline:
-			c.finishOrder(tasks.Answer{ID: id, Why: fmt.Sprintf("no word from %s, who holds it: it may have been carried out or not", holder)})
+			c.finishOrder(tasks.Answer{ID: id, Why: fmt.Sprintf("no answer from %s, which holds the lease: the order may or may not have been carried out", holder)})
 		case holder == c.plan.Name:
 			l.addOrder(o.Order)
 		case holder != "":
