--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -125,8 +125,8 @@
 		e.successors(x.w, func(step string, v *world) {
 			e.result.Steps++
 			n := &node{x.n, step}
-			if two := e.conflict(v); two != "" {
-				e.fail = &node{n, two}
+			if conflict := e.conflict(v); conflict != "" {
+				e.fail = &node{n, conflict}
 				return
 			}
 			if e.visit(v) {
@@ -144,7 +144,7 @@
 	return e.result
 }
 
-// newCore starts a new process of a member. Its fencing floor is above all numbers granted within the bounds, as one taken from a wall clock would be.
+// newCore starts a new process of a member. Its epoch floor is above all epochs granted within the bounds, as one taken from a wall clock would be.
 func (e *explorer) newCore(i int, boot uint64, disk []lease.Record) *lease.Machine {
 	c := lease.New(names[i], boot, names[:], lease.Rules{Drift: e.bounds.Drift, MaxTerm: e.bounds.Term, MaxLeases: 1,
 		Fixed: []lease.Spec{{Name: leaseName, Term: e.bounds.Term}}}, 2*(boot-1), noRandom)
@@ -253,7 +253,7 @@
 	if e.bounds.Askers == 2 && e.bounds.Rates[0] == e.bounds.Rates[1] {
 		sum = min(sum, e.digest(w, [members]int{1, 0, 2})) // the two requesting members are interchangeable
 	}
-	if _, met := e.visited[sum]; met {
+	if _, seen := e.visited[sum]; seen {
 		return false
 	}
 	e.visited[sum] = struct{}{}
@@ -401,6 +401,6 @@
 }
 
 func describe(m lease.Message) string {
-	kind := [...]string{"nothing", "an ask", "a grant", "a refusal", "a release"}[min(int(m.Kind), 4)]
+	kind := [...]string{"nothing", "a request", "a grant", "a refusal", "a release"}[min(int(m.Kind), 4)]
 	return fmt.Sprintf("%s (epoch %d, process %d, no. %d)", kind, m.Epoch, m.Boot, m.Seq)
 }
--- a/internal/explore/explore_test.go
+++ b/internal/explore/explore_test.go
@@ -49,7 +49,7 @@
 			b.States, b.Ticks = maxStates, b.Ticks+*deep
 			begun := time.Now()
 			r := Explore(b)
-			t.Logf("%d states, %d steps, depth %d, whole %v, held %d times, %.1f s", r.States, r.Steps, r.Depth, r.Complete, r.Held, time.Since(begun).Seconds())
+			t.Logf("%d states, %d steps, depth %d, complete %v, held %d times, %.1f s", r.States, r.Steps, r.Depth, r.Complete, r.Held, time.Since(begun).Seconds())
 			require.Empty(t, r.Counterexample, "after %d states", r.States)
 			assert.Positive(t, r.Held)
 			assert.True(t, r.Complete || maxStates > 0, "not all states within the bounds were visited")
--- a/internal/verdicts/judge.go
+++ b/internal/verdicts/judge.go
@@ -10,14 +10,14 @@
 
 // Reasons for the verdict on a store, as given in Seen.Why.
 const (
-	reasonNone     = "nobody holds anything against it"
+	reasonNone     = "no observer reports a problem"
 	reasonFew      = "too few independent observers, or outcomes"
 	reasonZone     = "observers of one zone only"
 	reasonDenied   = "others see it well"
-	reasonTooMany  = "too many holders of its shards would rest"
+	reasonTooMany  = "too many holders of its shards would be excluded"
 	reasonAgreed   = "observers agree"
 	reasonOrder    = "an operator's order"
-	reasonUnlisted = "it is not on the list"
+	reasonUnlisted = "it is not on the list of stores"
 )
 
 // evidence summarizes the fresh reports on a store.
@@ -236,7 +236,7 @@
 	return at >= 0 && at < most
 }
 
-// Seen is the state of a store, for operators, that is not Well to some observer or has an operator's order.
+// Seen is the state, for operators, of a store that some observer reports as not Well or that has an operator's order.
 type Seen struct {
 	Store  string   `json:"store"`
 	Kind   string   `json:"kind"` // kind in force at this broker
@@ -248,7 +248,7 @@
 	Unseen int      `json:"unseen"` // observers whose reports on it are too old to count
 	Words  []Report `json:"words"`  // fresh reports, with their current ages
 	Wanted int      `json:"wanted"` // independent observers needed for a verdict
-	Zones  int      `json:"zones"`  // zones of which these observers have to be
+	Zones  int      `json:"zones"`  // number of zones that these observers must come from
 }
 
 // Seen lists the state of all such stores, sorted by name.
@@ -287,15 +287,15 @@
 			if o.Do == Drain {
 				s.Kind = "drained"
 			}
-			all := map[string]bool{}
+			members := map[string]bool{}
 			for _, m := range c.alive {
-				all[m.Name] = true
+				members[m.Name] = true
 			}
 			for _, name := range c.rules.Roster { // a partitioned member does not appear alive, but still runs
-				all[name] = true
+				members[name] = true
 			}
-			delete(all, c.rules.Self)
-			for name := range all {
+			delete(members, c.rules.Self)
+			for name := range members {
 				if c.orders.known[name][store] >= o.Version {
 					s.Told++
 				} else {
--- a/internal/verdicts/orders.go
+++ b/internal/verdicts/orders.go
@@ -48,8 +48,8 @@
 	maxOrders        = 256                     // most orders kept
 	maxOrderMs       = 31 * 24 * 3600 * 1000.0 // ms; the longest duration of an order
 	maxReasonLength  = 200                     // bytes
-	remindIntervalMs = 100.0                   // interval at which an unacknowledged order is sent again,
-	remindFor        = 3000.0                  // for this long; afterwards the full exchange delivers it
+	remindIntervalMs = 100.0                   // interval at which an unacknowledged order is sent again
+	remindFor        = 3000.0                  // ms for which it is sent again; afterwards the full exchange delivers it
 	tombstoneMs      = 600000.0                // ms for which an expired order is kept, so that an old message does not restore it
 )
 
@@ -59,8 +59,8 @@
 	Wall float64 // Unix ms as of which Left holds
 }
 
-// Restore loads stored orders, given the wall clock. The time since they were stored is subtracted; if the clock was set back nothing is, so an order never has
-// more time left than when it was stored. Call it before the first Step. A store may have several records, oldest first.
+// Restore loads stored orders, given the wall clock. The time since they were stored is subtracted, but nothing if the clock was set back, so an order never
+// has more time left than when it was stored. Call it before the first Step. A store may have several records, oldest first.
 func (c *Core) Restore(records []Stored, now, wall float64) {
 	c.now = max(c.now, now)
 	for _, r := range records {
@@ -165,7 +165,7 @@
 	c.adoptOrder(o)
 }
 
-// adoptOrder takes an order over if it is newer than the known one.
+// adoptOrder adopts an order if it is newer than the known one, and reports whether it did.
 func (c *Core) adoptOrder(o Order) bool {
 	x := c.orders.all[o.Store]
 	if x != nil && !o.newerThan(x.Order) || x == nil && len(c.orders.all) >= maxOrders {
@@ -191,7 +191,7 @@
 
 // handleOrders applies a member's orders and the versions that it knows.
 func (c *Core) handleOrders(from string, all []Order, known []Known) {
-	note := func(store string, version uint64) {
+	recordKnown := func(store string, version uint64) {
 		if len(store) > maxNameLength || c.orders.all[store] == nil {
 			return
 		}
@@ -207,13 +207,13 @@
 			continue
 		}
 		c.adoptOrder(o)
-		note(o.Store, o.Version)
+		recordKnown(o.Store, o.Version)
 		if x := c.orders.all[o.Store]; x != nil {
 			mine = append(mine, Known{o.Store, x.Version})
 		}
 	}
 	for _, k := range known {
-		note(k.Store, k.Version)
+		recordKnown(k.Store, k.Version)
 	}
 	if len(mine) > 0 && len(known) == 0 {
 		c.send(from, Message{Known: mine}) // acknowledges the orders to their sender
@@ -223,16 +223,16 @@
 // sendReminders sends orders to members that have not acknowledged them.
 func (c *Core) sendReminders() {
 	for _, m := range c.alive {
-		var some []Order
+		var unacknowledged []Order
 		for _, store := range slices.Sorted(maps.Keys(c.orders.all)) {
-			if x := c.orders.all[store]; c.now < x.remindUntil && c.orders.known[m.Name][store] < x.Version && len(some) < maxReportsPerMessage {
+			if x := c.orders.all[store]; c.now < x.remindUntil && c.orders.known[m.Name][store] < x.Version && len(unacknowledged) < maxReportsPerMessage {
 				o := x.Order
 				o.Left = max(0, x.until-c.now)
-				some = append(some, o)
+				unacknowledged = append(unacknowledged, o)
 			}
 		}
-		if len(some) > 0 {
-			c.send(m.Name, Message{Orders: some})
+		if len(unacknowledged) > 0 {
+			c.send(m.Name, Message{Orders: unacknowledged})
 		}
 	}
 }
--- a/internal/verdicts/tenants.go
+++ b/internal/verdicts/tenants.go
@@ -18,7 +18,7 @@
 	Tenant    string   `json:"tenant"`
 	Observers []string `json:"observers"` // brokers with a fresh report that they throttle it
 	Why       []string `json:"why"`       // limits that they name
-	Scans     int      `json:"scans"`     // scans that they rejected, as of their newest reports
+	Scans     int      `json:"scans"`     // scans rejected according to their newest reports
 	Age       float64  `json:"age"`       // ms since the newest report
 }
 
--- a/internal/verdicts/verdicts.go
+++ b/internal/verdicts/verdicts.go
@@ -148,20 +148,20 @@
 const (
 	// Window is the period that an observer's report covers, in ms.
 	Window = 8000.0
-	// Repeat is the interval at which a verdict other than Well is repeated, in ms: the module's exclusion of a store lasts as long.
+	// Repeat is the interval at which a verdict other than Well is repeated, in ms: the module excludes a store for that long.
 	Repeat               = 900.0
 	maxOutcomes          = 8       // outcomes kept for each store
 	sendIntervalMs       = 100.0   // interval at which pending reports are sent
 	exchangeIntervalMs   = 4000.0  // interval of the full exchange with one member
 	fanout               = 3       // members that get the pending reports
-	sendsPerLog          = 3       // how often a report is sent, times the decimal logarithm of the number of members
+	sendsPerLog          = 3       // a report is sent this many times the decimal logarithm of the number of members
 	repeatReportMs       = 1000.0  // least time between two reports without a change
 	maxBadShare          = 1.0 / 3 // share of the stores; an observer that reports more of them as bad is ignored
 	slowInRow            = 2       // slow outcomes in a row that an observer needs to report Slow: single slow ones occur by chance all the time
 	badInRowNeeded       = 3       // bad outcomes in a row, summed over all observers, needed for a verdict
 	maxWellShare         = 1.0 / 3 // ratio of observers that see the store well to those that see it bad, above which there is no verdict
-	pauseThresholdMs     = 100.0   // a member whose step is later than this was paused,
-	pauseEffectMs        = 1000.0  // and needs at most so long to read its queued input
+	pauseThresholdMs     = 100.0   // a member whose step is later than this was paused
+	pauseEffectMs        = 1000.0  // longest time that a member needs after a pause to read its queued input
 	maxReportsPerMessage = 8       // reports in one message
 	retention            = 3.0     // multiple of Fresh for which a report is kept, so that older ones are recognized as old
 )
@@ -216,8 +216,8 @@
 	nextExchange     float64
 	nextReview       float64
 	out              []Output
-	pauseLength      float64 // length of this member's last pause,
-	pauseEffectUntil float64 // until when incoming messages may have been queued during the pause
+	pauseLength      float64 // length of this member's last pause
+	pauseEffectUntil float64 // incoming messages before this time may have been queued during the pause
 }
 
 // New creates the state machine of a member without any reports. The function random returns numbers in [0, 1).
@@ -321,12 +321,12 @@
 	copy(o.kinds[1:], o.kinds[:])
 	o.times[0], o.kinds[0], o.count = c.now, v.Kind, min(o.count+1, maxOutcomes)
 	w := c.localReport(v.Store, o)
-	news := w.Kind != o.lastReport.Kind && (w.Kind != Well || o.lastReport.Kind > Well) || w.Kind.bad() && w.Bad != o.lastReport.Bad && w.Bad <= 3
+	changed := w.Kind != o.lastReport.Kind && (w.Kind != Well || o.lastReport.Kind > Well) || w.Kind.bad() && w.Bad != o.lastReport.Bad && w.Bad <= 3
 	// A store that stays well is reported if others report it as bad or slow: they need the contrary evidence.
-	if s := c.current[v.Store]; !news && c.now-o.reportedAt >= repeatReportMs {
-		news = w.Kind > Well || w.Kind == Well && (s != nil && s.Kind > Well || c.reportedUnhealthyByOthers(v.Store))
+	if s := c.current[v.Store]; !changed && c.now-o.reportedAt >= repeatReportMs {
+		changed = w.Kind > Well || w.Kind == Well && (s != nil && s.Kind > Well || c.reportedUnhealthyByOthers(v.Store))
 	}
-	if !news {
+	if !changed {
 		return
 	}
 	o.seq++
@@ -464,33 +464,33 @@
 
 // sendPending sends pending reports to some members, and orders to members that have not acknowledged them.
 func (c *Core) sendPending() {
-	var wait []*storedReport
+	var pending []*storedReport
 	for _, store := range slices.Sorted(maps.Keys(c.reports)) {
 		for _, by := range slices.Sorted(maps.Keys(c.reports[store])) {
 			if h := c.reports[store][by]; h.sendsLeft > 0 {
-				wait = append(wait, h)
+				pending = append(pending, h)
 			}
 		}
 	}
 	// Reports on stores come first, since verdicts depend on them; then those sent least often, then the newest.
-	slices.SortStableFunc(wait, func(a, b *storedReport) int {
+	slices.SortStableFunc(pending, func(a, b *storedReport) int {
 		if (a.Kind == Throttled) != (b.Kind == Throttled) {
 			return cmp.Compare(a.Kind, b.Kind)
 		}
 		return cmp.Or(cmp.Compare(b.sendsLeft, a.sendsLeft), cmp.Compare(b.outcomeAt, a.outcomeAt))
 	})
-	if len(wait) > 4*maxReportsPerMessage {
-		wait = wait[:4*maxReportsPerMessage]
+	if len(pending) > 4*maxReportsPerMessage {
+		pending = pending[:4*maxReportsPerMessage]
 	}
-	if len(wait) > 0 {
+	if len(pending) > 0 {
 		c.nextSend = c.now + sendIntervalMs
 	}
 	for _, m := range c.randomMembers(fanout) {
-		for some := range slices.Chunk(wait, maxReportsPerMessage) {
+		for some := range slices.Chunk(pending, maxReportsPerMessage) {
 			c.send(m.Name, Message{Words: c.withAges(some)})
 		}
 	}
-	for _, h := range wait {
+	for _, h := range pending {
 		h.sendsLeft--
 	}
 	c.sendReminders()
@@ -505,7 +505,7 @@
 	return words
 }
 
-// sendAll sends all fresh reports: by this, both sides converge after a network partition.
+// sendAll sends all fresh reports and all orders, so that both sides of a network partition converge after it.
 func (c *Core) sendAll(to string, ask bool) {
 	var fresh []*storedReport
 	for _, store := range slices.Sorted(maps.Keys(c.reports)) {
