--- a/internal/simulation/leases.go
+++ b/internal/simulation/leases.go
@@ -20,7 +20,7 @@
 	Weather virtual.Conditions
 }
 
-// LeaseWorld simulates lease cores without the rest of a member, with or without disks. Several members request every lease, and work runs under a lease
+// LeaseWorld simulates the state machines of package lease without the rest of a member, with or without disks. Several members request every lease, and work runs under a lease
 // for as long as it is held. The world checks at every moment of true time that at most one member considers itself the holder of a lease.
 type LeaseWorld struct {
 	Rules    LeaseRules
@@ -37,13 +37,13 @@
 	rates               map[string]float64
 	walls               map[string]float64 // offsets of the wall clocks, from which fencing floors come; they differ by less than the shortest term
 	boots               uint64
-	work                map[string]map[string][]*entitled // by lease and machine
-	fences              map[string]uint64                 // highest fencing number under which a member acted, by lease
+	work                map[string]map[string][]*activity // by lease and machine
+	fences              map[string]uint64                 // highest fencing token under which a member acted, by lease
 	recordedNotes       map[string]uint64                 // highest note number that a majority has recorded, by lease
 }
 
-// entitled is work that runs under a lease on a machine. It depends only on that machine's clock and outlives the member's process.
-type entitled struct {
+// activity is work that runs under a lease on a machine. It depends only on that machine's clock and outlives the member's process.
+type activity struct {
 	fence uint64
 	until float64 // by the machine's clock
 }
@@ -63,7 +63,7 @@
 // NewLeaseWorld creates a world without running members.
 func NewLeaseWorld(seed uint64, r LeaseRules) *LeaseWorld {
 	w := &LeaseWorld{Rules: r, Net: virtual.New(seed, r.Weather), members: map[string]*leaseNode{}, disks: map[string][]lease.Record{},
-		Rosters: map[string]int{}, rates: map[string]float64{}, walls: map[string]float64{}, work: map[string]map[string][]*entitled{}, fences: map[string]uint64{}, recordedNotes: map[string]uint64{}}
+		Rosters: map[string]int{}, rates: map[string]float64{}, walls: map[string]float64{}, work: map[string]map[string][]*activity{}, fences: map[string]uint64{}, recordedNotes: map[string]uint64{}}
 	for i := range r.Members {
 		w.rates[Name(i)] = 1 + r.Drift*(float64(w.Net.Rand().IntN(3))-1)
 		w.walls[Name(i)] = 150 * (float64(w.Net.Rand().IntN(3)) - 1)
@@ -78,12 +78,12 @@
 func (w *LeaseWorld) Start(i int) {
 	w.boots++
 	name, rules := Name(i), lease.Rules{Drift: w.Rules.Drift, MaxLeases: 8, Fixed: w.Rules.Fixed}
-	for _, t := range w.Rules.Named {
-		rules.MaxTerm = max(rules.MaxTerm, t.Term)
+	for _, spec := range w.Rules.Named {
+		rules.MaxTerm = max(rules.MaxTerm, spec.Term)
 	}
 	var roster []string
-	listed, some := w.Rosters[name]
-	if !some {
+	listed, limited := w.Rosters[name]
+	if !limited {
 		listed = w.Rules.Members
 	}
 	for j := range listed {
@@ -97,24 +97,24 @@
 	w.Net.Start(name, m, w.clock(name), w.rates[name])
 }
 
-// Kill ends the i-th member without a farewell. Writes that have not completed are lost.
+// Kill ends the i-th member without an announcement. Writes that have not completed are lost.
 func (w *LeaseWorld) Kill(i int) {
 	w.Net.Kill(Name(i))
 	delete(w.members, Name(i))
 }
 
 // Want has the i-th member start or stop requesting a lease.
-func (w *LeaseWorld) Want(i int, t lease.Spec, on bool) {
-	w.input(Name(i), lease.Want{Lease: t.Name, Term: t.Term, On: on})
+func (w *LeaseWorld) Want(i int, spec lease.Spec, on bool) {
+	w.input(Name(i), lease.Want{Lease: spec.Name, Term: spec.Term, On: on})
 }
 
-// Drop has the i-th member end its work and release a lease that it holds. With silent, the lease expires instead.
-func (w *LeaseWorld) Drop(i int, name string, silent bool) {
+// Drop has the i-th member end its work and release a lease that it holds. With letExpire, its work goes on and the lease expires instead.
+func (w *LeaseWorld) Drop(i int, name string, letExpire bool) {
 	if a := w.newest(name, Name(i)); a != nil && w.members[Name(i)] != nil {
-		if !silent {
+		if !letExpire {
 			a.until = math.Inf(-1)
 		}
-		w.input(Name(i), lease.Drop{Lease: name, Fence: a.fence, LetExpire: silent})
+		w.input(Name(i), lease.Drop{Lease: name, Fence: a.fence, LetExpire: letExpire})
 	}
 }
 
@@ -126,7 +126,7 @@
 }
 
 // newest returns the most recent work on a machine under a lease, or nil.
-func (w *LeaseWorld) newest(l, name string) *entitled {
+func (w *LeaseWorld) newest(l, name string) *activity {
 	if all := w.work[l][name]; len(all) > 0 {
 		return all[len(all)-1]
 	}
@@ -177,7 +177,7 @@
 			// Members pass ages on by their own clocks, each of which errs by the drift.
 			known := (v.Blank-1e6)/m.w.rates[m.name] + 10 + 2*m.w.Rules.Drift*max(0, m.w.Net.Now()-(v.Blank-1e6))
 			if n, got := m.w.recordedNotes[v.Lease], noteNumber(v.Note); got < n && float64(n) > known {
-				m.w.fault("%s holds %s under %d with note %d, but a majority recorded %d, and its core reports no lost note after %.0f", m.name, v.Lease,
+				m.w.fault("%s holds %s under %d with note %d, but a majority recorded %d, and its state machine reports no lost note after %.0f", m.name, v.Lease,
 					v.Fence, got, n, known)
 			}
 		case lease.Renewed:
@@ -232,10 +232,10 @@
 	}
 }
 
-// act begins work under a lease. It checks that nobody else considers itself the holder, by any machine's clock, and that fencing numbers increase.
+// act begins work under a lease. It checks that nobody else considers itself the holder, by any machine's clock, and that fencing tokens increase.
 func (w *LeaseWorld) act(name, l string, fence uint64, until float64) {
 	if w.work[l] == nil {
-		w.work[l] = map[string][]*entitled{}
+		w.work[l] = map[string][]*activity{}
 	}
 	if w.clock(name) < until {
 		if fence <= w.fences[l] {
@@ -243,8 +243,8 @@
 		}
 		w.fences[l] = max(w.fences[l], fence)
 	}
-	a := &entitled{fence, until}
-	w.work[l][name] = append(slices.DeleteFunc(w.work[l][name], func(o *entitled) bool { return w.clock(name) >= o.until }), a)
+	a := &activity{fence, until}
+	w.work[l][name] = append(slices.DeleteFunc(w.work[l][name], func(o *activity) bool { return w.clock(name) >= o.until }), a)
 	w.checkExclusive(a, name, l)
 }
 
@@ -257,7 +257,7 @@
 
 // checkExclusive checks for other holders when work begins or is extended. That suffices: if two holders overlap at any time, they overlap at the
 // moment when the later one began. Work of an earlier process of the same machine counts as work of another holder.
-func (w *LeaseWorld) checkExclusive(a *entitled, name, l string) {
+func (w *LeaseWorld) checkExclusive(a *activity, name, l string) {
 	if w.clock(name) >= a.until {
 		return
 	}
--- a/internal/simulation/leases_test.go
+++ b/internal/simulation/leases_test.go
@@ -11,7 +11,7 @@
 )
 
 // Under random faults, with all members requesting each lease, clocks at both ends of their drift, and with or without disks: a lease never has two
-// holders, fencing numbers increase, and no note that a majority recorded is lost. Once the faults end, each lease has a holder.
+// holders, fencing tokens increase, and no note that a majority recorded is lost. Once the faults end, each lease has a holder.
 func TestLeaseHistories(t *testing.T) {
 	t.Parallel()
 	held, plays := 0, 0
@@ -98,8 +98,8 @@
 	assert.Greater(t, held, 5*plays, "the histories must acquire leases often enough to prove anything")
 }
 
-// Fencing numbers must derive from wall clocks. A member with a fast monotonic clock acquires a lease again and again for two minutes; then all members lose
-// their memory at once and slower ones acquire it. Numbers derived from the monotonic clock would decrease here.
+// Fencing tokens must derive from wall clocks. A member with a fast monotonic clock acquires a lease again and again for two minutes; then all members lose
+// their memory at once, and one with a slower clock acquires it. Tokens derived from the monotonic clock would decrease here.
 func TestNumbersOutliveAllMemory(t *testing.T) {
 	t.Parallel()
 	terms := lease.Spec{Name: "x", Term: 400}
--- a/internal/simulation/limits.go
+++ b/internal/simulation/limits.go
@@ -42,8 +42,8 @@
 	Due() float64
 }
 
-// LimitWorld simulates members that share limits. Scans arrive at a rate that the caller sets with Demand. The world checks in true time what all members
-// together admit.
+// LimitWorld simulates members that share limits. Scans arrive at a rate that the caller sets with Demand. The world checks in true time that the members
+// together admit no more than the limits allow.
 type LimitWorld struct {
 	Rules       LimitRules
 	Net         *virtual.Net
@@ -110,8 +110,8 @@
 	w.Kill(i)
 	w.boots++
 	var roster []string
-	listed, some := w.Rosters[i]
-	if !some {
+	listed, limited := w.Rosters[i]
+	if !limited {
 		listed = w.Rules.Members
 	}
 	for j := range listed {
@@ -144,7 +144,7 @@
 	w.Net.Start(Name(i), n, w.clock(i), w.rates[i])
 }
 
-// Kill ends the i-th member without a farewell and drops its open scans. Of the writes in progress a random number, from the first, still completes.
+// Kill ends the i-th member without an announcement and drops its open scans. Of the writes in progress a random number, from the first, still completes.
 func (w *LimitWorld) Kill(i int) {
 	w.Net.Kill(Name(i))
 	if n := w.members[i]; n != nil {
@@ -477,8 +477,8 @@
 
 const reportInterval = 200.0
 
-// leader divides the limit at one member that holds a lease, as Doorman does. The world is a perfect lease service: the first member of living that runs
-// leads, and living lists the larger side of a partition first. A new leader waits for a term before it grants.
+// leader divides the limit at one member that holds a lease, as Doorman does. The world acts as a perfect lease service: the first running member of living is
+// the leader, and living lists the larger side of a partition first. A new leader waits for a term before it grants.
 type leader struct {
 	bucket
 	w            *LimitWorld
--- a/internal/simulation/limits_test.go
+++ b/internal/simulation/limits_test.go
@@ -109,7 +109,7 @@
 					w.Scan(i, []limitshare.Use{{Limit: 0, Key: "", Cost: 1}}, 10)
 				}
 			}
-			w.Net.Run(rapid.SampledFrom([]float64{900, 300, 1500, 20}).Draw(t, "wait")) // draws lean to what comes first
+			w.Net.Run(rapid.SampledFrom([]float64{900, 300, 1500, 20}).Draw(t, "wait")) // rapid prefers the first values
 		}
 		w.Net.Run(1000)
 		if len(w.Faults) > 0 {
@@ -128,7 +128,7 @@
 	return 0
 }
 
-// Escrow never exceeds the limit and uses at least as much of it as fixed shares, up to 4 points. The check can fail: it reports an excess when
+// Escrow never exceeds the limit and uses at most 4 percentage points less of it than fixed shares. The check can fail: it reports an excess when
 // each member applies the whole limit on its own.
 func TestWays(t *testing.T) {
 	t.Parallel()
--- a/internal/simulation/limitsplay.go
+++ b/internal/simulation/limitsplay.go
@@ -106,8 +106,8 @@
 }
 
 // Play simulates a day under a strategy.
-func Play(seed uint64, d Day, way Strategy) DayResult {
-	r := LimitRules{Members: d.Members, Drift: 0.01, Strategy: way, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1},
+func Play(seed uint64, d Day, strategy Strategy) DayResult {
+	r := LimitRules{Members: d.Members, Drift: 0.01, Strategy: strategy, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1},
 		Limits: []limitshare.Limit{{Name: "x", Kind: limitshare.Rate, Size: d.Size, Burst: max(d.Size/2, 1), Term: 1000}}}
 	w := NewLimitWorld(seed, r)
 	for i := range d.Members {
@@ -120,7 +120,7 @@
 		d.Faults(w)
 	}
 	uses := []limitshare.Use{{Limit: 0, Cost: 1}}
-	p := DayResult{Strategy: way, WorstUtilization: math.Inf(1)}
+	p := DayResult{Strategy: strategy, WorstUtilization: math.Inf(1)}
 	var at500, before int
 	taken := make([]int, d.Members)
 	messages := 0
@@ -130,7 +130,7 @@
 		}
 		return n
 	}
-	var follows []float64
+	var recoveries []float64
 	moved := math.Inf(1)
 	for now := 0.0; now < d.To; now += 100 {
 		if now == d.From {
@@ -162,7 +162,7 @@
 			p.By[k] = append(p.By[k], float64(n)*1000/SeriesStep)
 		}
 		if now >= moved && float64(w.Admitted-had) >= 0.9*d.Size/10 {
-			follows = append(follows, now+100-moved)
+			recoveries = append(recoveries, now+100-moved)
 			moved = math.Inf(1)
 		}
 	}
@@ -175,7 +175,7 @@
 		}
 		p.Sides = append(p.Sides, float64(n)/(d.Size*span)/(float64(len(side))/float64(d.Members)))
 	}
-	for _, f := range follows {
+	for _, f := range recoveries {
 		p.Recovery = max(p.Recovery, f)
 	}
 	p.Over = w.Excess
--- a/internal/simulation/measure.go
+++ b/internal/simulation/measure.go
@@ -36,15 +36,15 @@
 	// Traffic and false suspicions without failures.
 	w.Changes = nil
 	sent, bytes, turns := w.total()
-	rest := 300000.0
+	duration := 300000.0
 	if members > 100 {
-		rest = 60000
+		duration = 60000
 	}
-	w.Net.Run(rest)
+	w.Net.Run(duration)
 	s, b, t := w.total()
-	m.Messages = float64(s-sent) / float64(members) / rest * 1000
-	m.Bytes = float64(b-bytes) / float64(members) / rest * 1000
-	m.TurnsPerSecond = float64(t-turns) / float64(members) / rest * 1000
+	m.Messages = float64(s-sent) / float64(members) / duration * 1000
+	m.Bytes = float64(b-bytes) / float64(members) / duration * 1000
+	m.TurnsPerSecond = float64(t-turns) / float64(members) / duration * 1000
 	suspected, dead := map[[2]string]bool{}, map[[2]string]bool{}
 	for _, c := range w.Changes {
 		switch c.Member.State {
@@ -54,7 +54,7 @@
 			dead[[2]string{c.Member.Name, strconv.FormatUint(c.Member.Incarnation, 10)}] = true
 		}
 	}
-	hours := float64(members) * rest / 3600000
+	hours := float64(members) * duration / 3600000
 	m.FalseSuspicions, m.FalseDeaths = float64(len(suspected))/hours, float64(len(dead))/hours
 	var firsts, lasts []float64
 	for k := range kills {
--- a/internal/simulation/roster_test.go
+++ b/internal/simulation/roster_test.go
@@ -73,14 +73,14 @@
 		}
 		assert.Greater(t, held, 7*int(rosterRuns))
 		assert.Positive(t, broken, "a change by four members at once")
-		t.Logf("disks %v: held %d times; four members at once broke it in %d of %d", disk, held, broken, rosterRuns)
+		t.Logf("disks %v: held %d times; changes by four members at once produced violations in %d of %d runs", disk, held, broken, rosterRuns)
 	}
 }
 
 // simulateLimitRosters simulates roster changes under load, from five to seven members and down to three, in the order of docs/limits.md: remaining members
 // restart with the new list one after the other, joining members start after them, and leaving members end before them. In the other order nothing
 // keeps the sum of the home shares within the limit. It returns the violations and the number of admitted scans.
-func simulateLimitRosters(seed uint64, right bool) (faults []string, taken int) {
+func simulateLimitRosters(seed uint64, documentedOrder bool) (faults []string, taken int) {
 	chance := rand.New(rand.NewPCG(seed, 29))
 	w := NewLimitWorld(seed, LimitRules{Members: 7, Drift: 0.05, Strategy: Escrow, Most: 64, Disk: seed%3 == 0, Fsync: 2, Weather: virtual.Conditions{Delay: 1, Jitter: 10, Loss: 0.02},
 		Limits: []limitshare.Limit{{Name: "rate", Size: 100, Burst: 8, Term: 500, Owners: int(seed%2) * 4}, {Name: "open", Kind: limitshare.Stock, Size: 9, Term: 500}}})
@@ -105,7 +105,7 @@
 				w.Net.Run(400 * chance.Float64())
 			}
 		}
-		if right == (to < from) {
+		if documentedOrder == (to < from) {
 			others()
 		}
 		if chance.IntN(2) == 0 {
@@ -118,7 +118,7 @@
 			start(i, to)
 			w.Net.Run(1500 * chance.Float64())
 		}
-		if right == (to > from) {
+		if documentedOrder == (to > from) {
 			others()
 		}
 		w.Net.Run(2500)
@@ -140,5 +140,5 @@
 	}
 	assert.Greater(t, taken, 1000*int(rosterRuns))
 	assert.Positive(t, broken, "the other order must exceed the limit")
-	t.Logf("%d scans taken; the other order passed a limit in %d of %d", taken, broken, rosterRuns)
+	t.Logf("%d scans admitted; the other order exceeded a limit in %d of %d runs", taken, broken, rosterRuns)
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -61,7 +61,7 @@
 			began++
 		}
 	}
-	assert.GreaterOrEqual(t, began, 6, "the fenced duty in 130 s")
+	assert.GreaterOrEqual(t, began, 6, "the fenced task in 130 s")
 	// Probes are spread over time: no second has more than three times its share.
 	perSecond := map[int]int{}
 	for _, v := range w.Visits {
@@ -170,13 +170,13 @@
 			store, wait := w.LongestGap(from - 10000)
 			assert.Less(t, wait, c.most*10000, "%s, seed %d: %s", c.name, seed, store)
 			assert.Positive(t, len(w.Effects))
-			assert.Greater(t, w.Effects[len(w.Effects)-1].At, w.Net.Now()-35000, "%s: the fenced duty goes on", c.name)
+			assert.Greater(t, w.Effects[len(w.Effects)-1].At, w.Net.Now()-35000, "%s: the fenced task goes on", c.name)
 		}
 	}
 }
 
 // The holder pauses for long in the middle of its work and still believes in its lease when it resumes. Its worker ends by the end of the term, another
-// member takes over, and nothing happens under the old fencing number after that.
+// member takes over, and nothing happens under the old fencing token after that.
 func TestPausedHolder(t *testing.T) {
 	t.Parallel()
 	for seed := uint64(1); seed <= 5; seed++ {
@@ -196,7 +196,7 @@
 		w.Net.Run(40000)
 		assert.Empty(t, w.Judge(), "seed %d", seed)
 		for _, e := range w.Effects {
-			assert.False(t, e.By == last.By && e.Fence == last.Fence && e.At > last.At+1.02*r.Term, "no effect under the old fencing number")
+			assert.False(t, e.By == last.By && e.Fence == last.Fence && e.At > last.At+1.02*r.Term, "no effect under the old fencing token")
 		}
 	}
 }
@@ -325,12 +325,12 @@
 	for _, s := range w.Stores()[10:25] {
 		w.Unresponsive[s] = true
 	}
-	var fresh []string
+	var added []string
 	for i := range 10 {
-		fresh = append(fresh, fmt.Sprintf("n-%d", i))
+		added = append(added, fmt.Sprintf("n-%d", i))
 	}
 	w.Net.Run(5000)
-	w.List(append(append([]string{}, w.Stores()[10:]...), fresh...))
+	w.List(append(append([]string{}, w.Stores()[10:]...), added...))
 	from := w.Net.Now()
 	w.Net.Run(50000)
 	assert.Empty(t, w.Judge())
@@ -394,28 +394,28 @@
 		faults := rapid.IntRange(1, 6).Draw(t, "faults")
 		for range faults {
 			i := rapid.IntRange(0, r.Members-1).Draw(t, "whom")
-			for_ := rapid.Float64Range(100, 25000).Draw(t, "for")
+			span := rapid.Float64Range(100, 25000).Draw(t, "for")
 			switch rapid.SampledFrom([]string{"split", "cut", "pause", "crash", "deaf", "leave"}).Draw(t, "fault") {
 			case "split":
-				drawnSplit(t, w.Net, r.Members, rapid.IntRange(2, 3).Draw(t, "sides"), for_)
+				drawnSplit(t, w.Net, r.Members, rapid.IntRange(2, 3).Draw(t, "sides"), span)
 			case "cut":
 				j := rapid.IntRange(0, r.Members-1).Draw(t, "from")
 				w.Net.Cut(Name(j), Name(i))
-				w.Net.After(for_, func() { w.Net.Heal(Name(j), Name(i)) })
+				w.Net.After(span, func() { w.Net.Heal(Name(j), Name(i)) })
 			case "pause":
 				w.Net.Pause(Name(i))
-				w.Net.After(for_, func() { w.Net.Resume(Name(i)) })
+				w.Net.After(span, func() { w.Net.Resume(Name(i)) })
 			case "crash":
 				w.Kill(i)
-				w.Net.After(for_, func() { w.Start(i) })
+				w.Net.After(span, func() { w.Start(i) })
 			case "leave": // possibly in the middle of its work; it is killed later at the latest
 				w.Leave(i)
-				w.Net.After(for_, func() { w.Start(i) })
+				w.Net.After(span, func() { w.Start(i) })
 			case "deaf":
 				for j := range r.Members {
 					w.Net.Cut(Name(j), Name(i))
 				}
-				w.Net.After(for_, func() {
+				w.Net.After(span, func() {
 					for j := range r.Members {
 						w.Net.Heal(Name(j), Name(i))
 					}
@@ -426,12 +426,12 @@
 		w.Net.Run(26000) // past the end of the last fault
 		w.Net.Conditions.Loss = min(w.Net.Conditions.Loss, 0.05)
 		w.Net.Run(30000)
-		well := w.Net.Now()
+		healthySince := w.Net.Now()
 		w.Net.Run(4 * r.Period)
 		if faults := w.Judge(); len(faults) > 0 {
 			t.Fatalf("%v", faults)
 		}
-		if store, wait := w.LongestGap(well); wait > 3*r.Period || math.IsNaN(wait) {
+		if store, wait := w.LongestGap(healthySince); wait > 3*r.Period || math.IsNaN(wait) {
 			t.Fatalf("%s went without a probe for %.0f ms after the last fault", store, wait)
 		}
 		for i := range r.Members {
--- a/internal/simulation/spread.go
+++ b/internal/simulation/spread.go
@@ -56,10 +56,10 @@
 			if len(zones) >= 2 {
 				enough = min(enough, w.Net.Now())
 			}
-			resting := 0
+			excluding := 0
 			for m := range members {
 				if v := w.Applied(m, s); v.Kind >= verdicts.Fails {
-					resting++
+					excluding++
 					newest := math.Inf(-1)
 					for o := range members {
 						newest = max(newest, w.lastFailure[o][s])
@@ -67,7 +67,7 @@
 					x.Oldest = max(x.Oldest, w.Net.Now()-newest)
 				}
 			}
-			if resting == members {
+			if excluding == members {
 				all = w.Net.Now()
 			}
 		}
@@ -83,24 +83,24 @@
 		w.Fails = func(int, int) bool { return false }
 		w.Net.Run(12000)
 		// An order that expires.
-		given := w.Net.Now()
+		orderedAt := w.Net.Now()
 		w.Order(n%members, verdicts.Set{Store: storeName(s), Do: verdicts.Drain, For: 6000, Reason: "measured"})
-		x.Order = max(x.Order, w.agreed(s, given))
+		x.Order = max(x.Order, w.timeToDrain(s, orderedAt))
 		w.Net.Run(8000)
 		// A partition into halves with an order on one side.
 		w.Net.Split(Names(0, members/2), Names(members/2, members))
 		w.Order(0, verdicts.Set{Store: storeName(s), Do: verdicts.Drain, For: 30000, Reason: "measured"})
 		w.Net.Run(6000)
 		w.Net.Split()
-		x.Heal = max(x.Heal, w.agreed(s, w.Net.Now()))
+		x.Heal = max(x.Heal, w.timeToDrain(s, w.Net.Now()))
 		w.Order(0, verdicts.Set{Store: storeName(s), Do: verdicts.Clear, Reason: "over"})
 		w.Net.Run(6000)
 	}
 	return x
 }
 
-// agreed returns the time from a moment until all members apply a drain of the store.
-func (w *VerdictWorld) agreed(store int, from float64) float64 {
+// timeToDrain returns the time from a moment until all members apply a drain of the store.
+func (w *VerdictWorld) timeToDrain(store int, from float64) float64 {
 	for w.Net.Now() < from+20000 {
 		n := 0
 		for m := range w.members {
--- a/internal/simulation/takeover.go
+++ b/internal/simulation/takeover.go
@@ -35,20 +35,20 @@
 	var all []float64
 	for range tries {
 		w.Net.Run(3*term + term*w.Net.Rand().Float64())
-		who := slices.IndexFunc(Names(0, voters), func(n string) bool { return n == w.Holder("x") })
-		if who < 0 {
+		holder := slices.IndexFunc(Names(0, voters), func(n string) bool { return n == w.Holder("x") })
+		if holder < 0 {
 			t.Missed++
 			continue
 		}
 		begun := w.Net.Now()
 		if orderly {
-			w.Drop(who, "x", false)
-			w.Want(who, r.Fixed[0], false)
+			w.Drop(holder, "x", false)
+			w.Want(holder, r.Fixed[0], false)
 		} else {
-			w.Kill(who)
+			w.Kill(holder)
 		}
 		for w.Net.Now()-begun < 10*term {
-			if h := w.Holder("x"); h != "" && h != Name(who) {
+			if h := w.Holder("x"); h != "" && h != Name(holder) {
 				break
 			}
 			w.Net.Run(max(0.5, term/2000))
@@ -59,9 +59,9 @@
 			all = append(all, w.Net.Now()-begun)
 		}
 		if !orderly {
-			w.Start(who)
+			w.Start(holder)
 		}
-		w.Want(who, r.Fixed[0], true)
+		w.Want(holder, r.Fixed[0], true)
 	}
 	slices.Sort(all)
 	if len(all) > 0 {
--- a/internal/simulation/verdicts.go
+++ b/internal/simulation/verdicts.go
@@ -57,8 +57,8 @@
 	inbox      []verdicts.Input
 	applied    map[string]verdicts.Verdict // applied verdicts by store
 	avoidUntil []float64                   // by store: until when the member avoids it after a failure of its own
-	// liar makes the member report the opposite of each outcome.
-	liar bool
+	// inverted makes the member report the opposite of each outcome.
+	inverted bool
 }
 
 // NewVerdictWorld creates a world with all members running.
@@ -92,7 +92,7 @@
 	w.scheduleScans(k)
 }
 
-// Kill ends a member without a farewell.
+// Kill ends a member without an announcement.
 func (w *VerdictWorld) Kill(i int) {
 	w.Net.Kill(Name(i))
 	w.members[i] = nil
@@ -177,7 +177,7 @@
 		k.avoidUntil[store] = now + avoidDuration
 		w.lastFailure[k.i][store] = now
 	}
-	if k.liar {
+	if k.inverted {
 		kind = verdicts.Well + verdicts.Fails - kind
 	}
 	k.input(verdicts.Outcome{Store: name, Kind: kind})
@@ -247,14 +247,14 @@
 	if actualAge := w.Net.Now() - newest; saw > 0 && v.Age*(1+3*w.Rules.Drift)+50+transit < actualAge {
 		w.fault("the verdict of %s says that %s failed %.0f ms ago, but it was %.0f ms", Name(k.i), v.Store, v.Age, actualAge)
 	}
-	resting, all := map[int]int{}, map[int]int{}
+	excluded, all := map[int]int{}, map[int]int{}
 	for s := range w.Rules.Stores {
 		all[s%w.Rules.Sets]++
 		if g := k.applied[storeName(s)]; g.Kind >= verdicts.Fails && !w.ordered(storeName(s)) {
-			resting[s%w.Rules.Sets]++
+			excluded[s%w.Rules.Sets]++
 		}
 	}
-	for set, n := range resting {
+	for set, n := range excluded {
 		if most := min(int(w.Rules.Words.Widest*float64(all[set])+1e-9), all[set]-1); n > most {
 			w.fault("%s excludes %d of the %d stores of set %d by verdicts", Name(k.i), n, all[set], set)
 		}
--- a/internal/simulation/verdicts_test.go
+++ b/internal/simulation/verdicts_test.go
@@ -63,13 +63,13 @@
 func TestWhoseWordCounts(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
-		name  string
-		quiet func(m int) bool
-		ails  func(m, s int) bool
-		liar  int
-		rests func(w *VerdictWorld) int
-		least int
-		most  int
+		name           string
+		noTraffic      func(m int) bool
+		fails          func(m, s int) bool
+		invertedMember int
+		excluding      func(w *VerdictWorld) int
+		least          int
+		most           int
 	}{
 		{"one broker's link to one store", nil, func(m, s int) bool { return m == 2 && s == 1 }, -1, func(w *VerdictWorld) int { return w.Excluding(1) }, 0, 0},
 		{"one broker's link to all stores", nil, func(m, _ int) bool { return m == 2 }, -1, func(w *VerdictWorld) int { return w.Excluding(0) + w.Excluding(1) + w.Excluding(2) }, 0, 0},
@@ -98,16 +98,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := NewVerdictWorld(7, verdictRules(9, 12))
-			if c.liar >= 0 {
-				w.members[c.liar].liar = true
+			if c.invertedMember >= 0 {
+				w.members[c.invertedMember].inverted = true
 			}
 			w.Net.Run(3000)
-			w.Fails, w.NoTraffic = c.ails, c.quiet
+			w.Fails, w.NoTraffic = c.fails, c.noTraffic
 			w.Net.Run(2000) // by then every member that succeeds has reported it
 			most, sum, looks := 0, 0, 0
 			for range 100 {
 				w.Net.Run(100)
-				n := c.rests(w)
+				n := c.excluding(w)
 				most, sum, looks = max(most, n), sum+n, looks+1
 			}
 			assert.LessOrEqual(t, most, c.most)
@@ -129,9 +129,9 @@
 			Words: verdicts.DefaultRules(), Weather: virtual.Conditions{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.SampledFrom([]float64{0, 30, 700}).Draw(t, "jitter"),
 				Loss: rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss"), Duplicate: rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "twice")}}
 		w := NewVerdictWorld(rapid.Uint64().Draw(t, "seed"), r)
-		ill := map[int]bool{}
+		failing := map[int]bool{}
 		oneSided := map[[2]int]bool{}
-		w.Fails = func(m, s int) bool { return ill[s] || oneSided[[2]int{m, s}] }
+		w.Fails = func(m, s int) bool { return failing[s] || oneSided[[2]int{m, s}] }
 		who := func() int { return rapid.IntRange(0, r.Members-1).Draw(t, "whom") }
 		which := func() int { return rapid.IntRange(0, r.Stores-1).Draw(t, "store") }
 		w.Net.Run(1000)
@@ -140,11 +140,11 @@
 			span := rapid.SampledFrom([]float64{3000, 12000, 500}).Draw(t, "for")
 			switch rapid.SampledFrom([]string{"ill", "ill", "one side", "split", "cut", "pause", "crash", "reborn", "order", "order", "flap"}).Draw(t, "what") {
 			case "ill":
-				ill[s] = true
-				w.Net.After(span, func() { delete(ill, s) })
+				failing[s] = true
+				w.Net.After(span, func() { delete(failing, s) })
 			case "flap":
 				for n := range 6 {
-					w.Net.After(float64(n)*500, func() { ill[s] = n%2 == 0 })
+					w.Net.After(float64(n)*500, func() { failing[s] = n%2 == 0 })
 				}
 			case "one side":
 				oneSided[[2]int{i, s}] = true
@@ -160,7 +160,7 @@
 				w.Kill(i)
 				w.Net.After(span, func() { w.Start(i) })
 			case "reborn":
-				delete(ill, s)
+				delete(failing, s)
 				w.ReplaceStore(s)
 			case "order":
 				do := rapid.SampledFrom([]verdicts.Do{verdicts.Drain, verdicts.Rest, verdicts.Clear}).Draw(t, "do")
@@ -169,7 +169,7 @@
 			w.Net.Run(rapid.SampledFrom([]float64{900, 300, 4000, 20}).Draw(t, "wait"))
 		}
 		w.Net.Run(13000) // past the end of the last fault
-		clear(ill)
+		clear(failing)
 		w.Net.Split()
 		w.Net.Conditions.Loss, w.Net.Conditions.Jitter = 0, 5
 		final := verdicts.Set{Store: storeName(0), Do: verdicts.Drain, For: 20000, Reason: "last"}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -1,5 +1,5 @@
-// Package simulation simulates the cores of duties, leases, limits and verdicts in virtual time, on a virtual network with faults, and checks their safety
-// rules from outside the members: at the stores, which count their probes, and at a resource that only the holder of a lease may change. It does no I/O.
+// Package simulation simulates the state machines of duties, leases, limits and verdicts in virtual time, on a virtual network with faults. It checks their
+// safety rules from outside the members: at the stores, which count their probes, and at a resource that only the holder of a lease may change. It does no I/O.
 // Tests and cmd/measure use it.
 package simulation
 
@@ -64,7 +64,7 @@
 	Changes      []Change
 	faults       []string
 
-	workers map[uint64]*worker // by fencing number
+	workers map[uint64]*worker // by fencing token
 
 	stores  []string
 	members map[string]*member
@@ -150,7 +150,7 @@
 	}
 }
 
-// Kill ends the i-th member without a farewell.
+// Kill ends the i-th member without an announcement to the others.
 func (w *World) Kill(i int) {
 	w.Net.Kill(Name(i))
 	delete(w.members, Name(i))
@@ -196,7 +196,7 @@
 	inputs := m.inbox
 	m.inbox = nil
 	for _, p := range in {
-		inputs = append(inputs, memberstate.Received{Addr: p.From, Envelope: copied(p.Data.(memberstate.Envelope))})
+		inputs = append(inputs, memberstate.Received{Addr: p.From, Envelope: copyEnvelope(p.Data.(memberstate.Envelope))})
 	}
 	var out []virtual.Packet
 	for _, o := range m.core.Step(now, now, inputs) {
@@ -206,7 +206,7 @@
 			if m.w.Rules.Sizes {
 				data, err := memberstate.Marshal(&v.Envelope)
 				if err != nil {
-					m.w.fault("a message could not be written: %v", err)
+					m.w.fault("a message could not be encoded: %v", err)
 				}
 				p.Size = len(data)
 			}
@@ -231,8 +231,8 @@
 	return out
 }
 
-// copied returns a copy of a message, so that duplicates share no memory, as if decoded from the wire.
-func copied(e memberstate.Envelope) memberstate.Envelope {
+// copyEnvelope returns a copy of a message, so that duplicates share no memory, as if decoded from the wire.
+func copyEnvelope(e memberstate.Envelope) memberstate.Envelope {
 	if e.Member != nil {
 		m := *e.Member
 		e.Member = &m
@@ -258,7 +258,7 @@
 	until  float64
 }
 
-const effectInterval = 100.0 // ms between two effects of a child
+const effectInterval = 100.0 // ms between two effects of a worker
 
 // startWorker starts a member's worker under its lease.
 func (w *World) startWorker(m *member, b tasks.Begin) {
@@ -308,7 +308,7 @@
 			faults = append(faults, fmt.Sprintf("an effect under %d at %.0f ms by %s, after one under %d", e.Fence, e.At, e.By, newest))
 		}
 		if by := holder[e.Fence]; by != "" && by != e.By {
-			faults = append(faults, fmt.Sprintf("fence %d was held by %s and %s", e.Fence, by, e.By))
+			faults = append(faults, fmt.Sprintf("fencing token %d was held by %s and %s", e.Fence, by, e.By))
 		}
 		newest, holder[e.Fence] = max(newest, e.Fence), e.By
 	}
@@ -316,7 +316,7 @@
 		// A start is recorded before it happens, and happens within a term of that or not at all.
 		slack := w.Rules.Term
 		if w.TaskStarts[i]-w.TaskStarts[i-1] < w.Rules.TaskPeriod*(1-2*w.Rules.ClockSkew)-slack-1 {
-			faults = append(faults, fmt.Sprintf("the fenced duty began at %.0f and again at %.0f ms", w.TaskStarts[i-1], w.TaskStarts[i]))
+			faults = append(faults, fmt.Sprintf("the fenced task began at %.0f and again at %.0f ms", w.TaskStarts[i-1], w.TaskStarts[i]))
 		}
 	}
 	return faults
