--- a/internal/simulation/leases.go
+++ b/internal/simulation/leases.go
@@ -17,7 +17,7 @@
 	Named   []lease.Spec // leases that members request by name
 	Disk    bool         // members store votes before they send them
 	Fsync   float64      // longest duration of a write to disk
-	Weather virtual.Conditions
+	Network virtual.Conditions
 }
 
 // LeaseWorld simulates the state machines of package lease without the rest of a member, with or without disks. Several members request every lease, and work runs under a lease
@@ -62,7 +62,7 @@
 
 // NewLeaseWorld creates a world without running members.
 func NewLeaseWorld(seed uint64, r LeaseRules) *LeaseWorld {
-	w := &LeaseWorld{Rules: r, Net: virtual.New(seed, r.Weather), members: map[string]*leaseNode{}, disks: map[string][]lease.Record{},
+	w := &LeaseWorld{Rules: r, Net: virtual.New(seed, r.Network), members: map[string]*leaseNode{}, disks: map[string][]lease.Record{},
 		Rosters: map[string]int{}, rates: map[string]float64{}, walls: map[string]float64{}, work: map[string]map[string][]*activity{}, fences: map[string]uint64{}, recordedNotes: map[string]uint64{}}
 	for i := range r.Members {
 		w.rates[Name(i)] = 1 + r.Drift*(float64(w.Net.Rand().IntN(3))-1)
--- a/internal/simulation/leases_test.go
+++ b/internal/simulation/leases_test.go
@@ -22,7 +22,7 @@
 			Named: []lease.Spec{{Name: "d", Term: 600}, {Name: "e", Term: 300}},
 			Disk:  rapid.Bool().Draw(t, "disk"),
 			Fsync: rapid.SampledFrom([]float64{1, 100}).Draw(t, "fsync"),
-			Weather: virtual.Conditions{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.SampledFrom([]float64{0, 30, 700}).Draw(t, "jitter"),
+			Network: virtual.Conditions{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.SampledFrom([]float64{0, 30, 700}).Draw(t, "jitter"),
 				Loss: rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss"), Duplicate: rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "twice")}}
 		w := NewLeaseWorld(rapid.Uint64().Draw(t, "seed"), r)
 		all := append(append([]lease.Spec{}, r.Fixed...), r.Named...)
@@ -104,7 +104,7 @@
 	t.Parallel()
 	terms := lease.Spec{Name: "x", Term: 400}
 	for seed := uint64(1); seed <= 4; seed++ {
-		w := NewLeaseWorld(seed, LeaseRules{Members: 3, Drift: 0.05, Fixed: []lease.Spec{terms}, Weather: virtual.Conditions{Delay: 1}})
+		w := NewLeaseWorld(seed, LeaseRules{Members: 3, Drift: 0.05, Fixed: []lease.Spec{terms}, Network: virtual.Conditions{Delay: 1}})
 		for i := range 3 {
 			w.rates[Name(i)] = 1.05 - 0.05*float64(min(i, 1))
 			w.Start(i)
--- a/internal/simulation/limits.go
+++ b/internal/simulation/limits.go
@@ -15,7 +15,7 @@
 	Drift    float64 // bound on clock drift that the members assume; their clocks run at both ends of it
 	Limits   []limitshare.Limit
 	Strategy Strategy
-	Weather  virtual.Conditions
+	Network  virtual.Conditions
 	Most     int
 	Disk     bool    // loans are stored durably
 	Fsync    float64 // duration of a write to disk
@@ -95,7 +95,7 @@
 
 // NewLimitWorld creates a world without running members.
 func NewLimitWorld(seed uint64, r LimitRules) *LimitWorld {
-	w := &LimitWorld{Rules: r, Net: virtual.New(seed, r.Weather), buckets: map[string]*checker{}, members: make([]*limitNode, r.Members), rates: make([]float64, r.Members), Rosters: map[int]int{}, SizeFactors: map[int]float64{}, disks: make([]disk, r.Members),
+	w := &LimitWorld{Rules: r, Net: virtual.New(seed, r.Network), buckets: map[string]*checker{}, members: make([]*limitNode, r.Members), rates: make([]float64, r.Members), Rosters: map[int]int{}, SizeFactors: map[int]float64{}, disks: make([]disk, r.Members),
 		demand: make([]float64, r.Members), AdmittedBy: make([]int, r.Members)}
 	for i := range r.Members {
 		w.rates[i] = 1 + r.Drift*(float64(w.Net.Rand().IntN(3))-1)
--- a/internal/simulation/limits_test.go
+++ b/internal/simulation/limits_test.go
@@ -22,7 +22,7 @@
 				{Name: "rate", Kind: limitshare.Rate, Size: 100, Burst: rapid.SampledFrom([]float64{1, 3, 8}).Draw(t, "burst"), Term: 1000, Owners: rapid.SampledFrom([]int{0, 2}).Draw(t, "owners")},
 				{Name: "open", Kind: limitshare.Stock, Size: rapid.SampledFrom([]float64{1, 7, 20}).Draw(t, "open"), Term: 1000},
 				{Name: "slow", Kind: limitshare.Rate, Size: 2, Burst: 20, Term: 200}},
-			Weather: virtual.Conditions{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.SampledFrom([]float64{0, 30, 700}).Draw(t, "jitter"),
+			Network: virtual.Conditions{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.SampledFrom([]float64{0, 30, 700}).Draw(t, "jitter"),
 				Loss: rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss"), Duplicate: rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "twice")}}
 		w := NewLimitWorld(rapid.Uint64().Draw(t, "seed"), r)
 		for i := range r.Members {
@@ -156,7 +156,7 @@
 func TestAvailableInASplit(t *testing.T) {
 	t.Parallel()
 	const size, burst, linger, alone = 200.0, 100.0, 3000.0, 0.6
-	w := NewLimitWorld(3, LimitRules{Members: 5, Drift: 0.01, Strategy: Escrow, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1},
+	w := NewLimitWorld(3, LimitRules{Members: 5, Drift: 0.01, Strategy: Escrow, Network: virtual.Conditions{Delay: 0.5, Jitter: 1},
 		Limits: []limitshare.Limit{{Name: "x", Size: size, Burst: burst, Term: 1000, Available: true, Linger: linger, Alone: alone}}})
 	uses := []limitshare.Use{{Cost: 1}}
 	for i := range 5 {
--- a/internal/simulation/limitsplay.go
+++ b/internal/simulation/limitsplay.go
@@ -107,7 +107,7 @@
 
 // Play simulates a day under a strategy.
 func Play(seed uint64, d Day, strategy Strategy) DayResult {
-	r := LimitRules{Members: d.Members, Drift: 0.01, Strategy: strategy, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1},
+	r := LimitRules{Members: d.Members, Drift: 0.01, Strategy: strategy, Network: virtual.Conditions{Delay: 0.5, Jitter: 1},
 		Limits: []limitshare.Limit{{Name: "x", Kind: limitshare.Rate, Size: d.Size, Burst: max(d.Size/2, 1), Term: 1000}}}
 	w := NewLimitWorld(seed, r)
 	for i := range d.Members {
@@ -199,7 +199,7 @@
 // minute of real load at six times the speed.
 func Tenants(seed uint64, members, keys int) TenantsResult {
 	const size, burst = 5.0, 5.0
-	w := NewLimitWorld(seed, LimitRules{Members: members, Drift: 0.01, Strategy: Escrow, Most: 4 * keys, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1},
+	w := NewLimitWorld(seed, LimitRules{Members: members, Drift: 0.01, Strategy: Escrow, Most: 4 * keys, Network: virtual.Conditions{Delay: 0.5, Jitter: 1},
 		Limits: []limitshare.Limit{{Name: "tenant", Size: size, Burst: burst, Term: 1000, Owners: 5}}})
 	x := TenantsResult{Members: members, Keys: keys, ReadmittedBound: int(burst)}
 	var before runtime.MemStats
--- a/internal/simulation/measure.go
+++ b/internal/simulation/measure.go
@@ -26,7 +26,7 @@
 // Detect kills members one by one in a network that loses a share of its packets, and measures how fast the others detect it.
 func Detect(seed uint64, members int, loss float64, kills int) DetectionResult {
 	w := New(seed, Rules{Members: members, Timing: membership.Standard(), Period: 10000,
-		Weather: virtual.Conditions{Delay: 0.5, Jitter: 1}})
+		Network: virtual.Conditions{Delay: 0.5, Jitter: 1}})
 	w.Rules.Sizes = true
 	w.StartAll()
 	w.Net.Run(30000)
@@ -108,7 +108,7 @@
 // Share measures how members share the probing of stores, before and after one of them is killed.
 func Share(seed uint64, members, stores int, period float64) SharingResult {
 	w := New(seed, Rules{Members: members, Stores: stores, Timing: membership.Standard(), Period: period,
-		Weather: virtual.Conditions{Delay: 0.5, Jitter: 1}, Sizes: true})
+		Network: virtual.Conditions{Delay: 0.5, Jitter: 1}, Sizes: true})
 	w.StartAll()
 	w.Net.Run(3 * period)
 	p := SharingResult{Members: members, Stores: stores, Alone: float64(members), Ideal: 1 / float64(members)}
--- a/internal/simulation/roster_test.go
+++ b/internal/simulation/roster_test.go
@@ -19,7 +19,7 @@
 func simulateRosterChange(seed uint64, disk bool, sizes []int) (faults []string, held int) {
 	chance := rand.New(rand.NewPCG(seed, 28))
 	r := LeaseRules{Members: 7, Drift: 0.05, Fixed: []lease.Spec{{Name: "x", Term: 1000}}, Disk: disk, Fsync: 5,
-		Weather: virtual.Conditions{Delay: 1, Jitter: 10, Loss: 0.02}}
+		Network: virtual.Conditions{Delay: 1, Jitter: 10, Loss: 0.02}}
 	w := NewLeaseWorld(seed, r)
 	start := func(i, listed int) {
 		w.Rosters[Name(i)] = listed
@@ -82,7 +82,7 @@
 // keeps the sum of the home shares within the limit. It returns the violations and the number of admitted scans.
 func simulateLimitRosters(seed uint64, documentedOrder bool) (faults []string, taken int) {
 	chance := rand.New(rand.NewPCG(seed, 29))
-	w := NewLimitWorld(seed, LimitRules{Members: 7, Drift: 0.05, Strategy: Escrow, Most: 64, Disk: seed%3 == 0, Fsync: 2, Weather: virtual.Conditions{Delay: 1, Jitter: 10, Loss: 0.02},
+	w := NewLimitWorld(seed, LimitRules{Members: 7, Drift: 0.05, Strategy: Escrow, Most: 64, Disk: seed%3 == 0, Fsync: 2, Network: virtual.Conditions{Delay: 1, Jitter: 10, Loss: 0.02},
 		Limits: []limitshare.Limit{{Name: "rate", Size: 100, Burst: 8, Term: 500, Owners: int(seed%2) * 4}, {Name: "open", Kind: limitshare.Stock, Size: 9, Term: 500}}})
 	uses := []limitshare.Use{{Limit: 0, Cost: 1}, {Limit: 1, Cost: 1}}
 	start := func(i, listed int) {
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -24,7 +24,7 @@
 // defaultRules returns rules for four members and forty stores, with a probe of each store every ten seconds and a fenced task every fifteen.
 func defaultRules() Rules {
 	return Rules{Members: 4, Stores: 40, Period: 10000, TaskPeriod: 15000, Term: 3000, TaskDuration: 800, Drift: 0.02,
-		ClockSkew: 0.01, Timing: membership.Standard().Scaled(0.5), Weather: virtual.Conditions{Delay: 1, Jitter: 2}}
+		ClockSkew: 0.01, Timing: membership.Standard().Scaled(0.5), Network: virtual.Conditions{Delay: 1, Jitter: 2}}
 }
 
 func settled(t *testing.T, seed uint64, r Rules) *World {
@@ -240,7 +240,7 @@
 	t.Parallel()
 	for _, c := range []struct {
 		name    string
-		weather virtual.Conditions
+		network virtual.Conditions
 		do      func(w *World)
 	}{
 		{"30% lost", virtual.Conditions{Delay: 1, Jitter: 2, Loss: 0.3}, func(*World) {}},
@@ -254,7 +254,7 @@
 	} {
 		r := defaultRules()
 		w := settled(t, 3, r)
-		w.Net.Conditions = c.weather
+		w.Net.Conditions = c.network
 		from := w.Net.Now()
 		c.do(w)
 		w.Net.Run(150000)
@@ -386,7 +386,7 @@
 		r.Stores, r.MaxProbes = 12, 3
 		r.TaskDuration = rapid.SampledFrom([]float64{800, 20000}).Draw(t, "work") // shorter than a term, longer than a period
 		r.ClockSkew = rapid.SampledFrom([]float64{0, 0.01}).Draw(t, "skew")
-		r.Weather = virtual.Conditions{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.Float64Range(0, 60).Draw(t, "jitter"),
+		r.Network = virtual.Conditions{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.Float64Range(0, 60).Draw(t, "jitter"),
 			Loss: rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss"), Duplicate: rapid.SampledFrom([]float64{0, 0.2}).Draw(t, "twice")}
 		w := New(rapid.Uint64().Draw(t, "seed"), r)
 		w.StartAll()
--- a/internal/simulation/spread.go
+++ b/internal/simulation/spread.go
@@ -23,7 +23,7 @@
 // MeasureSpread runs the measurements over the given number of faults.
 func MeasureSpread(seed uint64, members int, loss float64, faults int) SpreadResult {
 	r := verdictRules(members, 20)
-	r.Rate, r.Weather.Loss = 10, loss
+	r.Rate, r.Network.Loss = 10, loss
 	w := NewVerdictWorld(seed, r)
 	x := SpreadResult{Members: members, Loss: loss}
 	traffic := func(forMs float64) (bytes, messages float64) {
@@ -117,5 +117,5 @@
 }
 
 func verdictRules(members, stores int) VerdictRules {
-	return VerdictRules{Members: members, Stores: stores, Zones: 3, Sets: 2, Rate: 20, Drift: 0.01, Words: verdicts.DefaultRules(), Weather: virtual.Conditions{Delay: 0.5, Jitter: 2}}
+	return VerdictRules{Members: members, Stores: stores, Zones: 3, Sets: 2, Rate: 20, Drift: 0.01, Words: verdicts.DefaultRules(), Network: virtual.Conditions{Delay: 0.5, Jitter: 2}}
 }
--- a/internal/simulation/takeover.go
+++ b/internal/simulation/takeover.go
@@ -20,7 +20,7 @@
 // Takeover repeatedly ends the holder of a lease and measures how long nobody holds it. The holder is killed or, if orderly, releases the lease.
 func Takeover(seed uint64, voters int, term float64, tries int, orderly bool) TakeoverResult {
 	t := TakeoverResult{Voters: voters, Term: term, Tries: tries}
-	r := LeaseRules{Members: voters, Drift: 0.01, Fixed: []lease.Spec{{Name: "x", Term: term}}, Disk: true, Fsync: 2, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1}}
+	r := LeaseRules{Members: voters, Drift: 0.01, Fixed: []lease.Spec{{Name: "x", Term: term}}, Disk: true, Fsync: 2, Network: virtual.Conditions{Delay: 0.5, Jitter: 1}}
 	w := NewLeaseWorld(seed, r)
 	for i := range voters {
 		w.Start(i)
@@ -72,7 +72,7 @@
 
 // RestartGap restarts all voters at once and returns for how many ms nobody holds a lease, with or without stored votes.
 func RestartGap(seed uint64, voters int, term float64, disk bool) float64 {
-	r := LeaseRules{Members: voters, Drift: 0.01, Fixed: []lease.Spec{{Name: "x", Term: term}}, Disk: disk, Fsync: 2, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1}}
+	r := LeaseRules{Members: voters, Drift: 0.01, Fixed: []lease.Spec{{Name: "x", Term: term}}, Disk: disk, Fsync: 2, Network: virtual.Conditions{Delay: 0.5, Jitter: 1}}
 	w := NewLeaseWorld(seed, r)
 	start := func() {
 		for i := range voters {
@@ -98,7 +98,7 @@
 
 // Traffic holds the given number of leases at one of five members and returns the messages and datagrams that it sends per second.
 func Traffic(seed uint64, leases int, term float64) (messages, datagrams float64) {
-	r := LeaseRules{Members: 5, Drift: 0.01, Disk: true, Fsync: 2, Weather: virtual.Conditions{Delay: 0.5, Jitter: 1}}
+	r := LeaseRules{Members: 5, Drift: 0.01, Disk: true, Fsync: 2, Network: virtual.Conditions{Delay: 0.5, Jitter: 1}}
 	for i := range leases {
 		r.Fixed = append(r.Fixed, lease.Spec{Name: fmt.Sprintf("task/x%04d/0", i), Term: term})
 	}
--- a/internal/simulation/verdicts.go
+++ b/internal/simulation/verdicts.go
@@ -17,7 +17,7 @@
 	Rate            float64 // scans per second at each member; each goes to a random store
 	Drift           float64 // members' clocks run at both ends of this drift
 	Words           verdicts.Rules
-	Weather         virtual.Conditions
+	Network         virtual.Conditions
 	Alone           bool // members exchange no messages
 }
 
@@ -63,7 +63,7 @@
 
 // NewVerdictWorld creates a world with all members running.
 func NewVerdictWorld(seed uint64, r VerdictRules) *VerdictWorld {
-	w := &VerdictWorld{Rules: r, Net: virtual.New(seed, r.Weather), members: make([]*verdictNode, r.Members), rates: make([]float64, r.Members), startedAt: make([]float64, r.Stores),
+	w := &VerdictWorld{Rules: r, Net: virtual.New(seed, r.Network), members: make([]*verdictNode, r.Members), rates: make([]float64, r.Members), startedAt: make([]float64, r.Stores),
 		Fails: func(int, int) bool { return false }, orders: map[string][]timedOrder{}}
 	for i := range r.Members {
 		w.rates[i] = 1 + r.Drift*(float64(w.Net.Rand().IntN(3))-1)
@@ -229,7 +229,7 @@
 	if v.Kind < verdicts.Fails || w.ordered(v.Store) {
 		return
 	}
-	transit := 4 * (w.Rules.Weather.Delay + w.Rules.Weather.Jitter) // ages do not include transit time, and reports pass from member to member
+	transit := 4 * (w.Rules.Network.Delay + w.Rules.Network.Jitter) // ages do not include transit time, and reports pass from member to member
 	fresh := w.Rules.Words.Fresh*(1+3*w.Rules.Drift) + 300 + transit
 	saw, newest := 0, math.Inf(-1)
 	for j := range w.Rules.Members {
--- a/internal/simulation/verdicts_test.go
+++ b/internal/simulation/verdicts_test.go
@@ -126,7 +126,7 @@
 		plays++
 		r := VerdictRules{Members: rapid.SampledFrom([]int{5, 2, 9}).Draw(t, "members"), Stores: rapid.SampledFrom([]int{6, 3, 12}).Draw(t, "stores"), Zones: rapid.IntRange(1, 3).Draw(t, "zones"),
 			Sets: rapid.IntRange(1, 3).Draw(t, "sets"), Rate: rapid.SampledFrom([]float64{30, 4}).Draw(t, "rate"), Drift: rapid.SampledFrom([]float64{0.01, 0.05}).Draw(t, "drift"),
-			Words: verdicts.DefaultRules(), Weather: virtual.Conditions{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.SampledFrom([]float64{0, 30, 700}).Draw(t, "jitter"),
+			Words: verdicts.DefaultRules(), Network: virtual.Conditions{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.SampledFrom([]float64{0, 30, 700}).Draw(t, "jitter"),
 				Loss: rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss"), Duplicate: rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "twice")}}
 		w := NewVerdictWorld(rapid.Uint64().Draw(t, "seed"), r)
 		failing := map[int]bool{}
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -33,7 +33,7 @@
 	Drift        float64 // bound on clock drift that the members assume
 	Timing       membership.Timing
 	Open         bool // without a roster: any member may join
-	Weather      virtual.Conditions
+	Network      virtual.Conditions
 	ClockSkew    float64 // clocks run between 1-ClockSkew and 1+ClockSkew
 	MaxProbes    int     // probes that a store may receive in a period; 0 means two
 	Sizes        bool    // measure the encoded size of messages
@@ -91,7 +91,7 @@
 
 // New creates a world without running members.
 func New(seed uint64, r Rules) *World {
-	w := &World{Rules: r, Net: virtual.New(seed, r.Weather), Visits: map[string][]Visit{}, Unresponsive: map[string]bool{},
+	w := &World{Rules: r, Net: virtual.New(seed, r.Network), Visits: map[string][]Visit{}, Unresponsive: map[string]bool{},
 		workers: map[uint64]*worker{}, members: map[string]*member{}, offsets: map[string]float64{}, rates: map[string]float64{}}
 	for i := range r.Stores {
 		w.stores = append(w.stores, fmt.Sprintf("s-%04d", i))
