--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -136,7 +136,7 @@
 	}
 	switch empty := r.Snapshot == nil && len(r.Records) == 0; {
 	case empty:
-		// An empty directory cannot be told from one that was lost.
+		// An empty directory cannot be distinguished from one whose content was lost.
 		incomplete("it is empty")
 	case r.TruncatedBytes > 0:
 		incomplete("%d bytes of a torn tail were cut", r.TruncatedBytes)
--- a/internal/duties/duties.go
+++ b/internal/duties/duties.go
@@ -427,7 +427,7 @@
 
 // side returns the number of live members of the roster that are not suspected. A member that is cut off comes
 // to suspect the others one after the other; without this rule it would take over their items while it still
-// believes to be in a majority.
+// counts itself part of a majority.
 func (c *Scheduler) side() int { return c.sideSize }
 
 func (c *Scheduler) isOnSide(name string) bool { return c.sideMembers[name] }
--- a/internal/explore/explore.go
+++ b/internal/explore/explore.go
@@ -221,18 +221,18 @@
 
 // conflict describes the activities that run at the same time, or returns "" if there is at most one.
 func (e *explorer) conflict(w *world) string {
-	var on []string
+	var running []string
 	for i, all := range w.activities {
 		for _, a := range all { // activities of earlier processes count too
 			if e.clock(w, i) < a.until {
-				on = append(on, fmt.Sprintf("%s under %d", names[i], a.fence))
+				running = append(running, fmt.Sprintf("%s under %d", names[i], a.fence))
 			}
 		}
 	}
-	if len(on) < 2 {
+	if len(running) < 2 {
 		return ""
 	}
-	return fmt.Sprintf("at %.0f ms two members consider themselves entitled: %s", float64(w.tick)*e.bounds.Tick, strings.Join(on, ", "))
+	return fmt.Sprintf("at %.0f ms two members consider themselves entitled: %s", float64(w.tick)*e.bounds.Tick, strings.Join(running, ", "))
 }
 
 func (w *world) clone(touch int) *world {
@@ -288,11 +288,11 @@
 				put(a.fence, uint64(int64(math.Round((a.until-now)*100))))
 			}
 		}
-		asked := uint64(0)
+		requested := uint64(0)
 		if w.wants[i] {
-			asked = 1
+			requested = 1
 		}
-		put(asked, w.boots[i], uint64(len(w.unstored[i])), uint64(len(w.disks[i])))
+		put(requested, w.boots[i], uint64(len(w.unstored[i])), uint64(len(w.disks[i])))
 		if c := w.cores[i]; c != nil {
 			c.Digest(h, now, alias)
 		} else {
@@ -320,10 +320,10 @@
 		if w.cores[f.to] == nil || slices.ContainsFunc(w.inFlight[:k], func(o inFlight) bool { return o.digest == f.digest }) {
 			continue
 		}
-		for again := 0; again <= min(1, w.duplicates); again++ {
+		for duplicated := 0; duplicated <= min(1, w.duplicates); duplicated++ {
 			v := w.clone(int(f.to))
 			how := "arrives"
-			if again == 0 {
+			if duplicated == 0 {
 				v.inFlight = slices.Delete(v.inFlight, k, k+1)
 			} else {
 				v.duplicates--
@@ -365,10 +365,10 @@
 			take(fmt.Sprintf("%s's vote is durable", names[i]), v)
 		}
 		if w.crashes > 0 {
-			for lasts := 0; lasts <= min(1, len(w.unstored[i])); lasts++ {
+			for persisted := 0; persisted <= min(1, len(w.unstored[i])); persisted++ {
 				v := w.clone(-1)
 				v.crashes--
-				if lasts == 1 {
+				if persisted == 1 {
 					v.storePending(i)
 				}
 				v.cores[i], v.unstored[i] = nil, nil
--- a/internal/lease/acquire.go
+++ b/internal/lease/acquire.go
@@ -38,8 +38,8 @@
 }
 
 // adoptNewestNote takes the newest note that a majority knows of. A voter that restarted without its memory may
-// have known a note written before its start, so the bound for lost notes is the one that a majority of the
-// voters is clear of.
+// have known a note written before its start, so the bound for lost notes is the lowest time from which on a
+// majority of the voters has forgotten no note.
 func (c *Machine) adoptNewestNote(l *lease, b *round) {
 	l.newestNote, l.blankUntil = note{at: Never}, Never
 	var bounds []float64
@@ -90,7 +90,7 @@
 }
 
 // retryDelay returns a random delay before a candidate's next attempt; its upper bound doubles with each failed
-// attempt, up to eight times the first. With a fixed bound, five candidates would interrupt each other for ever
+// attempt, up to eight times the first. With a fixed bound, five candidates would interrupt each other forever
 // where a slow disk or network makes an attempt take longer than the delay.
 func (c *Machine) retryDelay(l *lease) float64 {
 	return retryFraction * l.Term * c.random() * float64(uint(1)<<min(max(l.attempts-1, 0), 3))
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -49,7 +49,7 @@
 	term     float64
 	noteNth  uint64 // of the note that the request carried
 	grants   map[string]grant
-	refusals map[string]float64 // the time until which each refusing voter says it is bound
+	refusals map[string]float64 // the time until which each refusing voter may grant nothing, by its reply
 	finished bool
 }
 
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -313,7 +313,7 @@
 }
 
 // Two candidates send requests at the same time while the third voter is dead: neither may keep its own vote
-// for ever.
+// forever.
 func TestTwoCandidatesAndOneDeadVoter(t *testing.T) {
 	v := newTestCluster(t, true)
 	v.partitioned["a"], v.partitioned["b"], v.partitioned["c"] = true, true, true
--- a/internal/limitshare/orders.go
+++ b/internal/limitshare/orders.go
@@ -189,7 +189,7 @@
 	case adopted:
 		c.broadcastSize(l, now)
 	case unsure && (q.number == 0 || now >= q.at+minQuestionIntervalMs):
-		// Not at each report: two members that ask back at once would exchange questions without end.
+		// Not at each report: two members that answered every question with another one would exchange questions forever.
 		c.outbox[from] = append(c.outbox[from], c.sizeReport(l, from, now, 0))
 	}
 }
--- a/internal/limitshare/taking.go
+++ b/internal/limitshare/taking.go
@@ -299,7 +299,7 @@
 		}
 		return Part{rateIndex: toParts(max(a.peak*headroom, min(a.peak+1, a.limit.Size)) / a.limit.Size)}
 	}
-	// The slow average, bounded by the range that the fast one makes likely: one scan in 200 ms says little, a change by a hundred says much.
+	// The slow average, bounded by the range that the fast one makes likely: one scan in 200 ms is weak evidence of a change, a hundred are strong evidence.
 	likely := math.Sqrt(a.fastDemand * 1000 / fastMs)
 	d := max(a.fastDemand-1.5*likely, min(a.slowDemand, a.fastDemand+2*likely+2*1000/fastMs))
 	if a.slowDemand*slowMs/1000 < 0.02 {
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -21,8 +21,8 @@
 	// inFlightWindow is how long after the last Connection: close the broker still accepts requests that were
 	// in flight.
 	inFlightWindow = 200.0
-	// arrivalWindow is how long new connections may arrive after the stop signal, at most; for that long nobody
-	// is sent away if there is any time for it.
+	// arrivalWindow is the longest time after the stop signal in which new connections arrive. The broker sends no
+	// client away before its end, if there is time for that.
 	arrivalWindow = 400.0
 )
 
--- a/internal/simulation/limits.go
+++ b/internal/simulation/limits.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// LoseDisk ends the i-th member and keeps only the first records of its disk. The disk is no longer trusted: a restored directory is detected as such, or is
-// empty.
+// LoseDisk ends the i-th member and keeps only the first records of its disk. The disk is no longer trusted: a restored directory is either detected as
+// such or empty.
 func (w *LimitWorld) LoseDisk(i, left int) {
 	w.Kill(i)
 	d := &w.disks[i]
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -175,7 +175,7 @@
 	}
 }
 
-// The holder pauses for long in the middle of its work and still believes in its lease when it resumes. Its worker ends by the end of the term, another
+// The holder pauses for long in the middle of its work and still considers itself the holder when it resumes. Its worker ends by the end of the term, another
 // member takes over, and nothing happens under the old fencing token after that.
 func TestPausedHolder(t *testing.T) {
 	t.Parallel()
--- a/internal/tasks/tasks.go
+++ b/internal/tasks/tasks.go
@@ -174,7 +174,7 @@
 	releasedUntil float64 // this member does not request the lease before this time
 	wanted        bool
 	dirty         bool     // the log is not yet confirmed by a majority
-	handingOver   bool     // the lease is handed over once nothing runs and that is confirmed
+	handingOver   bool     // the lease is handed over once nothing runs and a majority has confirmed the log
 	pendingOrders []uint64 // IDs of orders that wait for the note to be confirmed
 	recentAnswers [][2]any // IDs and answers of recent orders
 }
--- a/internal/tasks/tasks_test.go
+++ b/internal/tasks/tasks_test.go
@@ -177,8 +177,8 @@
 	assert.Equal(t, [3]any{"a", true, 3}, [3]any{log.By, log.Ended, log.Code})
 }
 
-// A lease is handed over only once its occurrence has ended and that is stored; nothing begins after it was
-// lost.
+// A lease is handed over only once its occurrence has ended and its end is stored; nothing begins after the lease
+// was lost.
 func TestHandOver(t *testing.T) {
 	s := newTestMember(t, Task{Every: minute, Prefer: []string{"b", "a"}})
 	assert.False(t, s.held, "b is preferred")
--- a/internal/verdicts/verdicts_test.go
+++ b/internal/verdicts/verdicts_test.go
@@ -84,20 +84,20 @@
 	records = append(records, c.UnstoredOrders(5e6+1000)...)
 	require.Len(t, records, 3)
 	for wall, left := range map[float64]float64{5e6 + 20000: 40000, 5e6 - 3600000: 60000, 5e6 + 3600000: 0} {
-		again := New(Rules{Self: "a", Zone: "x", Run: 2}, half)
-		again.Restore(append([]Stored{{Order{Store: "u", Do: "explode", Left: 9}, wall}}, records...), 700, wall)
-		out := again.Step(701, []Input{Stores{[]Store{{Name: "s", Ready: true}, {Name: "t", Ready: true}, {Name: "u", Ready: true}}}})
-		o, holds := again.orders.current("s", 701)
+		restarted := New(Rules{Self: "a", Zone: "x", Run: 2}, half)
+		restarted.Restore(append([]Stored{{Order{Store: "u", Do: "explode", Left: 9}, wall}}, records...), 700, wall)
+		out := restarted.Step(701, []Input{Stores{[]Store{{Name: "s", Ready: true}, {Name: "t", Ready: true}, {Name: "u", Ready: true}}}})
+		o, holds := restarted.orders.current("s", 701)
 		assert.Equal(t, left > 0, holds)
 		if holds {
 			assert.InDelta(t, left, o.Left, 1)
 			assert.Contains(t, out, Verdict{Store: "s", Kind: Well, Drain: true, Was: Well})
 		}
-		_, holds = again.orders.current("t", 701)
+		_, holds = restarted.orders.current("t", 701)
 		assert.False(t, holds, "the order was revoked")
-		_, holds = again.orders.current("u", 701)
+		_, holds = restarted.orders.current("u", 701)
 		assert.False(t, holds, "an invalid record is ignored")
-		assert.Empty(t, again.UnstoredOrders(wall), "restored orders are stored already")
+		assert.Empty(t, restarted.UnstoredOrders(wall), "restored orders are stored already")
 	}
 }
 
@@ -145,7 +145,7 @@
 // A single slow outcome is not reported. Two in a row make a report, and reports of two observers make a verdict, which the next well outcome ends.
 func TestSlow(t *testing.T) {
 	c := newCore()
-	saw := func(at float64, kinds ...Kind) (last []Output) {
+	observe := func(at float64, kinds ...Kind) (last []Output) {
 		for i, k := range kinds {
 			last = c.Step(at+float64(i), []Input{Outcome{"s", k}})
 		}
@@ -154,9 +154,9 @@
 	report := func(seq uint64, kind Kind) Received {
 		return Received{"b", Message{Run: 1, Words: []Report{{Store: "s", Observer: "b", Kind: kind, Good: 2, Run: 1, Seq: seq}}}}
 	}
-	saw(1100, Slow, Well, Slow, Well, Slow)
+	observe(1100, Slow, Well, Slow, Well, Slow)
 	assert.Zero(t, c.Counts.Said, "occasional slow outcomes are not reported")
-	saw(1200, Slow)
+	observe(1200, Slow)
 	assert.Equal(t, 1, c.Counts.Said)
 	assert.Empty(t, c.current, "one observer is not enough")
 	assert.Contains(t, c.Step(1300, []Input{report(1, Slow)}), Verdict{Store: "s", Kind: Slow, Was: Well})
@@ -165,10 +165,10 @@
 	assert.Equal(t, "slow", seen[0].Kind)
 	again := c.Step(1300+Repeat, nil)
 	assert.Contains(t, again, Verdict{Store: "s", Kind: Slow, Age: Repeat, Was: Slow}, "the verdict is repeated while it is in force")
-	assert.Contains(t, saw(2300, Well), Verdict{Store: "s", Kind: Well, Was: Slow})
-	saw(2400, Slow, Slow)
+	assert.Contains(t, observe(2300, Well), Verdict{Store: "s", Kind: Well, Was: Slow})
+	observe(2400, Slow, Slow)
 	assert.NotEmpty(t, c.current)
-	saw(2500, Fails)
+	observe(2500, Fails)
 	assert.Empty(t, c.current, "one that sees it fail and one that sees it slow do not agree")
 	// Slow is relative to each broker's own target times: under overload all stores are slow to all brokers, which excludes none.
 	for _, store := range []string{"s", "t", "u"} {
