--- a/internal/simulation/leases_test.go
+++ b/internal/simulation/leases_test.go
@@ -11,7 +11,7 @@
 )
 
 // Under random faults, with all members requesting each lease, clocks at both ends of their drift, and with or without disks: a lease never has two
-// holders, fencing numbers increase, and no note that a majority recorded is lost. Once the faults end, each lease has a holder.
+// holders, fencing tokens increase, and no note that a majority recorded is lost. Once the faults end, each lease has a holder.
 func TestLeaseHistories(t *testing.T) {
 	t.Parallel()
 	held, plays := 0, 0
@@ -22,7 +22,7 @@
 			Named: []lease.Spec{{Name: "d", Term: 600}, {Name: "e", Term: 300}},
 			Disk:  rapid.Bool().Draw(t, "disk"),
 			Fsync: rapid.SampledFrom([]float64{1, 100}).Draw(t, "fsync"),
-			Weather: virtual.Conditions{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.SampledFrom([]float64{0, 30, 700}).Draw(t, "jitter"),
+			Network: virtual.Conditions{Delay: rapid.Float64Range(0.5, 20).Draw(t, "delay"), Jitter: rapid.SampledFrom([]float64{0, 30, 700}).Draw(t, "jitter"),
 				Loss: rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss"), Duplicate: rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "twice")}}
 		w := NewLeaseWorld(rapid.Uint64().Draw(t, "seed"), r)
 		all := append(append([]lease.Spec{}, r.Fixed...), r.Named...)
@@ -98,13 +98,13 @@
 	assert.Greater(t, held, 5*plays, "the histories must acquire leases often enough to prove anything")
 }
 
-// Fencing numbers must derive from wall clocks. A member with a fast monotonic clock acquires a lease again and again for two minutes; then all members lose
-// their memory at once and slower ones acquire it. Numbers derived from the monotonic clock would decrease here.
+// Fencing tokens must derive from wall clocks. A member with a fast monotonic clock acquires a lease again and again for two minutes; then all members lose
+// their memory at once, and one with a slower clock acquires it. Tokens derived from the monotonic clock would decrease here.
 func TestNumbersOutliveAllMemory(t *testing.T) {
 	t.Parallel()
 	terms := lease.Spec{Name: "x", Term: 400}
 	for seed := uint64(1); seed <= 4; seed++ {
-		w := NewLeaseWorld(seed, LeaseRules{Members: 3, Drift: 0.05, Fixed: []lease.Spec{terms}, Weather: virtual.Conditions{Delay: 1}})
+		w := NewLeaseWorld(seed, LeaseRules{Members: 3, Drift: 0.05, Fixed: []lease.Spec{terms}, Network: virtual.Conditions{Delay: 1}})
 		for i := range 3 {
 			w.rates[Name(i)] = 1.05 - 0.05*float64(min(i, 1))
 			w.Start(i)
--- a/internal/simulation/limits.go
+++ b/internal/simulation/limits.go
@@ -15,7 +15,7 @@
 	Drift    float64 // bound on clock drift that the members assume; their clocks run at both ends of it
 	Limits   []limitshare.Limit
 	Strategy Strategy
-	Weather  virtual.Conditions
+	Network  virtual.Conditions
 	Most     int
 	Disk     bool    // loans are stored durably
 	Fsync    float64 // duration of a write to disk
@@ -42,8 +42,8 @@
 	Due() float64
 }
 
-// LimitWorld simulates members that share limits. Scans arrive at a rate that the caller sets with Demand. The world checks in true time what all members
-// together admit.
+// LimitWorld simulates members that share limits. Scans arrive at a rate that the caller sets with Demand. The world checks in true time that the members
+// together admit no more than the limits allow.
 type LimitWorld struct {
 	Rules       LimitRules
 	Net         *virtual.Net
@@ -95,7 +95,7 @@
 
 // NewLimitWorld creates a world without running members.
 func NewLimitWorld(seed uint64, r LimitRules) *LimitWorld {
-	w := &LimitWorld{Rules: r, Net: virtual.New(seed, r.Weather), buckets: map[string]*checker{}, members: make([]*limitNode, r.Members), rates: make([]float64, r.Members), Rosters: map[int]int{}, SizeFactors: map[int]float64{}, disks: make([]disk, r.Members),
+	w := &LimitWorld{Rules: r, Net: virtual.New(seed, r.Network), buckets: map[string]*checker{}, members: make([]*limitNode, r.Members), rates: make([]float64, r.Members), Rosters: map[int]int{}, SizeFactors: map[int]float64{}, disks: make([]disk, r.Members),
 		demand: make([]float64, r.Members), AdmittedBy: make([]int, r.Members)}
 	for i := range r.Members {
 		w.rates[i] = 1 + r.Drift*(float64(w.Net.Rand().IntN(3))-1)
@@ -110,8 +110,8 @@
 	w.Kill(i)
 	w.boots++
 	var roster []string
-	listed, some := w.Rosters[i]
-	if !some {
+	listed, limited := w.Rosters[i]
+	if !limited {
 		listed = w.Rules.Members
 	}
 	for j := range listed {
@@ -144,7 +144,7 @@
 	w.Net.Start(Name(i), n, w.clock(i), w.rates[i])
 }
 
-// Kill ends the i-th member without a farewell and drops its open scans. Of the writes in progress a random number, from the first, still completes.
+// Kill ends the i-th member without an announcement and drops its open scans. Of the writes in progress a random number, from the first, still completes.
 func (w *LimitWorld) Kill(i int) {
 	w.Net.Kill(Name(i))
 	if n := w.members[i]; n != nil {
@@ -160,8 +160,8 @@
 	}
 }
 
-// LoseDisk ends the i-th member and keeps only the first records of its disk. The disk is no longer trusted: a restored directory is detected as such, or is
-// empty.
+// LoseDisk ends the i-th member and keeps only the first records of its disk. The disk is no longer trusted: a restored directory is either detected as
+// such or empty.
 func (w *LimitWorld) LoseDisk(i, left int) {
 	w.Kill(i)
 	d := &w.disks[i]
@@ -477,8 +477,8 @@
 
 const reportInterval = 200.0
 
-// leader divides the limit at one member that holds a lease, as Doorman does. The world is a perfect lease service: the first member of living that runs
-// leads, and living lists the larger side of a partition first. A new leader waits for a term before it grants.
+// leader divides the limit at one member that holds a lease, as Doorman does. The world acts as a perfect lease service: the first running member of living is
+// the leader, and living lists the larger side of a partition first. A new leader waits for a term before it grants.
 type leader struct {
 	bucket
 	w            *LimitWorld
--- a/internal/simulation/measure.go
+++ b/internal/simulation/measure.go
@@ -26,7 +26,7 @@
 // Detect kills members one by one in a network that loses a share of its packets, and measures how fast the others detect it.
 func Detect(seed uint64, members int, loss float64, kills int) DetectionResult {
 	w := New(seed, Rules{Members: members, Timing: membership.Standard(), Period: 10000,
-		Weather: virtual.Conditions{Delay: 0.5, Jitter: 1}})
+		Network: virtual.Conditions{Delay: 0.5, Jitter: 1}})
 	w.Rules.Sizes = true
 	w.StartAll()
 	w.Net.Run(30000)
@@ -36,15 +36,15 @@
 	// Traffic and false suspicions without failures.
 	w.Changes = nil
 	sent, bytes, turns := w.total()
-	rest := 300000.0
+	duration := 300000.0
 	if members > 100 {
-		rest = 60000
+		duration = 60000
 	}
-	w.Net.Run(rest)
+	w.Net.Run(duration)
 	s, b, t := w.total()
-	m.Messages = float64(s-sent) / float64(members) / rest * 1000
-	m.Bytes = float64(b-bytes) / float64(members) / rest * 1000
-	m.TurnsPerSecond = float64(t-turns) / float64(members) / rest * 1000
+	m.Messages = float64(s-sent) / float64(members) / duration * 1000
+	m.Bytes = float64(b-bytes) / float64(members) / duration * 1000
+	m.TurnsPerSecond = float64(t-turns) / float64(members) / duration * 1000
 	suspected, dead := map[[2]string]bool{}, map[[2]string]bool{}
 	for _, c := range w.Changes {
 		switch c.Member.State {
@@ -54,7 +54,7 @@
 			dead[[2]string{c.Member.Name, strconv.FormatUint(c.Member.Incarnation, 10)}] = true
 		}
 	}
-	hours := float64(members) * rest / 3600000
+	hours := float64(members) * duration / 3600000
 	m.FalseSuspicions, m.FalseDeaths = float64(len(suspected))/hours, float64(len(dead))/hours
 	var firsts, lasts []float64
 	for k := range kills {
@@ -108,7 +108,7 @@
 // Share measures how members share the probing of stores, before and after one of them is killed.
 func Share(seed uint64, members, stores int, period float64) SharingResult {
 	w := New(seed, Rules{Members: members, Stores: stores, Timing: membership.Standard(), Period: period,
-		Weather: virtual.Conditions{Delay: 0.5, Jitter: 1}, Sizes: true})
+		Network: virtual.Conditions{Delay: 0.5, Jitter: 1}, Sizes: true})
 	w.StartAll()
 	w.Net.Run(3 * period)
 	p := SharingResult{Members: members, Stores: stores, Alone: float64(members), Ideal: 1 / float64(members)}
--- a/internal/simulation/verdicts.go
+++ b/internal/simulation/verdicts.go
@@ -17,7 +17,7 @@
 	Rate            float64 // scans per second at each member; each goes to a random store
 	Drift           float64 // members' clocks run at both ends of this drift
 	Words           verdicts.Rules
-	Weather         virtual.Conditions
+	Network         virtual.Conditions
 	Alone           bool // members exchange no messages
 }
 
@@ -57,13 +57,13 @@
 	inbox      []verdicts.Input
 	applied    map[string]verdicts.Verdict // applied verdicts by store
 	avoidUntil []float64                   // by store: until when the member avoids it after a failure of its own
-	// liar makes the member report the opposite of each outcome.
-	liar bool
+	// inverted makes the member report the opposite of each outcome.
+	inverted bool
 }
 
 // NewVerdictWorld creates a world with all members running.
 func NewVerdictWorld(seed uint64, r VerdictRules) *VerdictWorld {
-	w := &VerdictWorld{Rules: r, Net: virtual.New(seed, r.Weather), members: make([]*verdictNode, r.Members), rates: make([]float64, r.Members), startedAt: make([]float64, r.Stores),
+	w := &VerdictWorld{Rules: r, Net: virtual.New(seed, r.Network), members: make([]*verdictNode, r.Members), rates: make([]float64, r.Members), startedAt: make([]float64, r.Stores),
 		Fails: func(int, int) bool { return false }, orders: map[string][]timedOrder{}}
 	for i := range r.Members {
 		w.rates[i] = 1 + r.Drift*(float64(w.Net.Rand().IntN(3))-1)
@@ -92,7 +92,7 @@
 	w.scheduleScans(k)
 }
 
-// Kill ends a member without a farewell.
+// Kill ends a member without an announcement.
 func (w *VerdictWorld) Kill(i int) {
 	w.Net.Kill(Name(i))
 	w.members[i] = nil
@@ -177,7 +177,7 @@
 		k.avoidUntil[store] = now + avoidDuration
 		w.lastFailure[k.i][store] = now
 	}
-	if k.liar {
+	if k.inverted {
 		kind = verdicts.Well + verdicts.Fails - kind
 	}
 	k.input(verdicts.Outcome{Store: name, Kind: kind})
@@ -229,7 +229,7 @@
 	if v.Kind < verdicts.Fails || w.ordered(v.Store) {
 		return
 	}
-	transit := 4 * (w.Rules.Weather.Delay + w.Rules.Weather.Jitter) // ages do not include transit time, and reports pass from member to member
+	transit := 4 * (w.Rules.Network.Delay + w.Rules.Network.Jitter) // ages do not include transit time, and reports pass from member to member
 	fresh := w.Rules.Words.Fresh*(1+3*w.Rules.Drift) + 300 + transit
 	saw, newest := 0, math.Inf(-1)
 	for j := range w.Rules.Members {
@@ -247,14 +247,14 @@
 	if actualAge := w.Net.Now() - newest; saw > 0 && v.Age*(1+3*w.Rules.Drift)+50+transit < actualAge {
 		w.fault("the verdict of %s says that %s failed %.0f ms ago, but it was %.0f ms", Name(k.i), v.Store, v.Age, actualAge)
 	}
-	resting, all := map[int]int{}, map[int]int{}
+	excluded, all := map[int]int{}, map[int]int{}
 	for s := range w.Rules.Stores {
 		all[s%w.Rules.Sets]++
 		if g := k.applied[storeName(s)]; g.Kind >= verdicts.Fails && !w.ordered(storeName(s)) {
-			resting[s%w.Rules.Sets]++
+			excluded[s%w.Rules.Sets]++
 		}
 	}
-	for set, n := range resting {
+	for set, n := range excluded {
 		if most := min(int(w.Rules.Words.Widest*float64(all[set])+1e-9), all[set]-1); n > most {
 			w.fault("%s excludes %d of the %d stores of set %d by verdicts", Name(k.i), n, all[set], set)
 		}
