--- a/cmd/gullstair/lease.go
+++ b/cmd/gullstair/lease.go
@@ -32,7 +32,7 @@
 	Pause   leaseOrderCmd `cmd:"" help:"Start no further occurrences of a task; the current one continues."`
 	Resume  leaseOrderCmd `cmd:"" help:"Resume a paused task."`
 	Trigger leaseOrderCmd `cmd:"" help:"Start an occurrence of a task now."`
-	Fence   leaseFenceCmd `cmd:"" help:"Check a fencing number at the target of writes: exit code 0 if no higher number was seen before, 1 otherwise."`
+	Fence   leaseFenceCmd `cmd:"" help:"Check a fencing token at the target of writes: exit code 0 if no higher token was seen before, 1 otherwise."`
 }
 
 // exitCode is an error that makes the program exit with this code instead of 1, without printing a message.
@@ -307,8 +307,8 @@
 }
 
 type leaseFenceCmd struct {
-	File   string `arg:"" help:"File that stores the highest number seen so far, next to the data that it protects." type:"path"`
-	Number uint64 `arg:"" help:"The fencing number to check, such as $GULLSTAIR_FENCE."`
+	File   string `arg:"" help:"File that stores the highest token seen so far, next to the data that it protects." type:"path"`
+	Number uint64 `arg:"" help:"The fencing token to check, such as $GULLSTAIR_FENCE."`
 }
 
 func (c *leaseFenceCmd) Run() error { return fence.New(c.File).Accept(c.Number, nil) }
--- a/cmd/gullstair/leases_test.go
+++ b/cmd/gullstair/leases_test.go
@@ -58,7 +58,7 @@
 	takeoverTimeout = 30 * time.Second // a generous timeout for busy machines; cmd/measure measures the real takeover time
 )
 
-// taskDocument returns a member's features document: a task that works for the given span, and leases by hand.
+// taskDocument returns a member's features document: a task that works for the given span, and manual leases.
 func taskDocument(witness, span, how, dir string) func(m *fleettest.Member) (string, string) {
 	return func(m *fleettest.Member) (string, string) {
 		votes := ""
@@ -98,7 +98,7 @@
 			return idle
 		}), "work outlives its lease")
 		for _, k := range w.Observed() {
-			assert.Empty(t, k.Remaining(), "processes left of the work under fencing number %d", k.Fence)
+			assert.Empty(t, k.Remaining(), "processes left of the work under fencing token %d", k.Fence)
 		}
 		assert.Empty(t, w.Violations())
 		w.Close()
@@ -123,7 +123,7 @@
 	return !slices.ContainsFunc(w.Observed(), func(k fleettest.Work) bool { return len(k.Remaining()) > 0 })
 }
 
-// newerWork waits for work under a higher fencing number than the given work.
+// newerWork waits for work under a higher fencing token than the given work.
 func (f *leaseFleet) newerWork(than fleettest.Work) (fleettest.Work, *fleettest.Member) {
 	f.t.Helper()
 	var last fleettest.Work
@@ -132,7 +132,7 @@
 			last = all[len(all)-1]
 		}
 		return last.Fence > than.Fence
-	}), "the task runs again under a higher fencing number")
+	}), "the task runs again under a higher fencing token")
 	return last, f.holder(last.Fence)
 }
 
@@ -154,7 +154,7 @@
 	return k, m
 }
 
-// holder returns the member whose lease has the fencing number, or nil if no member reports it.
+// holder returns the member whose lease has the fencing token, or nil if no member reports it.
 func (f *leaseFleet) holder(fence uint64) *fleettest.Member {
 	for _, m := range f.Members {
 		if !m.Running() {
@@ -183,7 +183,7 @@
 }
 
 // TestLeaseFaults runs five brokers and one task through network and process faults: no two runs may overlap, fencing
-// numbers must grow, and work must resume once a majority is connected.
+// tokens must grow, and work must resume once a majority is connected.
 func TestLeaseFaults(t *testing.T) {
 	runParallel(t)
 	f := startLeases(t, 5, "1500ms", "stubborn", "votes", func(m *fleettest.Member) {
@@ -428,12 +428,12 @@
 	f.currentWork()
 	for _, x := range f.witness.Observed() {
 		if x.Fence == k.Fence {
-			assert.Less(t, x.Last, next.First, "a write under the old number arrived after the first one under the new number")
+			assert.Less(t, x.Last, next.First, "a write under the old token arrived after the first one under the new token")
 		}
 	}
 }
 
-// TestLeaseByHand checks leases by hand: the fleet never has more holders than configured, a waiting command acquires
+// TestLeaseByHand checks manual leases: the fleet never has more holders than configured, a waiting command acquires
 // the lease next, an operator can release it, and a command that loses its lease is ended. A broker that is not
 // scheduled for longer than a term loses its lease; such attempts are repeated.
 func TestLeaseByHand(t *testing.T) {
@@ -461,7 +461,7 @@
 	}
 }
 
-// hold runs a command under a lease by hand.
+// hold runs a command under a manual lease.
 func (f *leaseFleet) hold(m *fleettest.Member, name, span string, holders int, more ...string) *exec.Cmd {
 	args := append([]string{"lease", "run", "--socket", m.Socket(), "--term", leaseTerm.String(), "--holders", fmt.Sprint(holders), "--wait", "60s"}, more...)
 	cmd := exec.Command(os.Args[0], append(args, name, "--", os.Args[0], "witness", f.witness.Addr, span, "plain")...)
@@ -609,7 +609,7 @@
 }
 
 // TestHoldIsLostWithItsBroker pauses a holder's broker for longer than a term. The command is ended before the term is
-// over and reports why, the next holder has a higher fencing number, and the broker holds nothing after it resumes.
+// over and reports why, the next holder has a higher fencing token, and the broker holds nothing after it resumes.
 func TestHoldIsLostWithItsBroker(t *testing.T) {
 	runParallel(t)
 	f := startLeases(t, 3, "20ms", "plain", "votes", nil)
--- a/deploy/features.hcl
+++ b/deploy/features.hcl
@@ -29,7 +29,7 @@
   socket = "/tmp/gullstair-n1.sock"
 }
 
-# Leases that operators acquire by hand (gullstair lease run), and votes that survive a restart.
+# Manual leases (gullstair lease run), and votes that survive a restart.
 lease {
   dir = "votes-n1" # relative to this file; a separate folder for each broker
 }
--- a/internal/fleettest/witness.go
+++ b/internal/fleettest/witness.go
@@ -18,7 +18,7 @@
 	"gullstair/internal/guard"
 )
 
-// Work is what a Witness observed of all processes that worked under one fencing number of a lease.
+// Work is what a Witness observed of all processes that worked under one fencing token of a lease.
 type Work struct {
 	Lease       string
 	Fence       uint64
@@ -100,7 +100,7 @@
 	return all
 }
 
-// Remaining returns the IDs of this work's processes that still run. It recognizes each by a single read of its environment, which holds the fencing number:
+// Remaining returns the IDs of this work's processes that still run. It recognizes each by a single read of its environment, which holds the fencing token:
 // the kernel reuses a process ID within minutes when tests start thousands of processes, and two separate checks (whether the process exists, then whether it
 // is a zombie) took a process that was reaped in between for a running one.
 func (k Work) Remaining() (pids []int) {
@@ -113,7 +113,7 @@
 	return pids
 }
 
-// Violations returns the broken rules: work under two fencing numbers of one lease at the same time, or a fencing number that decreased.
+// Violations returns the broken rules: work under two fencing tokens of one lease at the same time, or a fencing token that decreased.
 func (w *Witness) Violations() (faults []string) {
 	last := map[string]Work{}
 	for _, k := range w.Observed() {
@@ -146,7 +146,7 @@
 
 // RunWorker is the main function of a worker process, which reports its work to a Witness until its time is up. A "stubborn" worker ignores signals and starts
 // a child that leaves the session, closes its standard files and works ten times as long. With RIG_FENCE each report is sent only if that fence accepts the
-// fencing number.
+// fencing token.
 func RunWorker(args []string) int {
 	if len(args) < 3 {
 		return 2
