--- a/scenarios/abusive-tenant.hcl
+++ b/scenarios/abusive-tenant.hcl
@@ -1,4 +1,4 @@
-about  = "One tenant asks for twelve times as much as all others together; tenants are confined to cells."
+about  = "One tenant sends twelve times as much traffic as all others together; tenants are confined to cells."
 length = "30s"
 base   = "calm"
 
--- a/scenarios/big-evening.hcl
+++ b/scenarios/big-evening.hcl
@@ -1,4 +1,4 @@
-about  = "A large fleet on a bad evening: a third of the stores die, one-sided loss, a traffic step."
+about  = "In a large fleet a third of the stores die, then one-sided loss begins, then the traffic rises in a step."
 length = "40s"
 base   = "calm"
 
--- a/scenarios/brokers-fall.hcl
+++ b/scenarios/brokers-fall.hcl
@@ -1,4 +1,4 @@
-about  = "Brokers are killed and come back with their last list; others stand still."
+about  = "Brokers are killed and restart with their last node list; later, some are paused."
 length = "45s"
 base   = "calm"
 
--- a/scenarios/calm.hcl
+++ b/scenarios/calm.hcl
@@ -1,4 +1,4 @@
-about  = "A day without trouble."
+about  = "A fleet without faults."
 length = "30s"
 
 fleet {
--- a/scenarios/fails-fast.hcl
+++ b/scenarios/fails-fast.hcl
@@ -1,4 +1,4 @@
-about  = "Some stores fail most of their parts at once, so they look idle."
+about  = "Some stores fail most of their parts immediately and therefore look idle."
 length = "45s"
 base   = "calm"
 
--- a/scenarios/false-reports.hcl
+++ b/scenarios/false-reports.hcl
@@ -1,4 +1,4 @@
-about  = "Load reports lie, then freeze; nobody should mind."
+about  = "Load reports are wrong and then no longer updated, which must not affect the service."
 length = "45s"
 base   = "calm"
 
--- a/scenarios/first-look.hcl
+++ b/scenarios/first-look.hcl
@@ -1,4 +1,4 @@
-about  = "A first look: two brokers, twelve stores, a third of which die for three seconds."
+about  = "A short example: two brokers and twelve stores, a third of which die for three seconds."
 length = "10s"
 base   = "calm"
 
--- a/scenarios/greedy-tenant.hcl
+++ b/scenarios/greedy-tenant.hcl
@@ -1,4 +1,4 @@
-about = "One tenant asks for three times as much as all together, at all brokers; each tenant has a limit in the whole fleet."
+about = "One tenant sends three times the total traffic through all brokers; each tenant has a fleet-wide limit."
 base  = "calm"
 
 traffic {
--- a/scenarios/hot-key-step.hcl
+++ b/scenarios/hot-key-step.hcl
@@ -1,4 +1,4 @@
-about  = "A step in the traffic, and one shard is asked for by many."
+about  = "The traffic rises in a step, and later many scans ask for the same shard."
 length = "45s"
 base   = "calm"
 
--- a/scenarios/limit-brokers-fall.hcl
+++ b/scenarios/limit-brokers-fall.hcl
@@ -1,4 +1,4 @@
-about = "Brokers that share limits are killed and come back with nothing, others stand still past their loans' ends."
+about = "Brokers that share limits are killed and restart without state, and some are paused past the end of their loans."
 base  = "calm"
 
 limit "all" {
--- a/scenarios/limit-in-a-split.hcl
+++ b/scenarios/limit-in-a-split.hcl
@@ -1,4 +1,4 @@
-about = "Brokers that share a limit are split while more comes than it allows; then a third of their messages is lost."
+about = "Brokers that share a limit are partitioned while the traffic exceeds it; later, a third of their messages is lost."
 base  = "calm"
 
 limit "all" {
--- a/scenarios/never-answers.hcl
+++ b/scenarios/never-answers.hcl
@@ -1,4 +1,4 @@
-about  = "Some stores take connections and parts and never answer."
+about  = "Some stores accept connections and parts but never answer."
 length = "45s"
 base   = "calm"
 
--- a/scenarios/one-sided.hcl
+++ b/scenarios/one-sided.hcl
@@ -1,4 +1,4 @@
-about  = "A third of the brokers get no answer from half of the stores, which serve the others as usual."
+about  = "A third of the brokers lose most answers from half of the stores, which serve the other brokers normally."
 length = "45s"
 base   = "calm"
 
--- a/scenarios/one-way-loss.hcl
+++ b/scenarios/one-way-loss.hcl
@@ -1,4 +1,4 @@
-about  = "Nothing that one zone sends to the others arrives."
+about  = "All messages from one zone to the others are lost."
 length = "45s"
 base   = "calm"
 
--- a/scenarios/release-and-crash.hcl
+++ b/scenarios/release-and-crash.hcl
@@ -1,4 +1,4 @@
-about  = "While a release has some stores out, others die."
+about  = "Stores die while a rolling release has other stores out of service."
 length = "60s"
 base   = "calm"
 
--- a/scenarios/resets-and-spoils.hcl
+++ b/scenarios/resets-and-spoils.hcl
@@ -1,4 +1,4 @@
-about  = "Connections break, and answers can't be read."
+about  = "Some stores reset connections, and some send answers that can't be read."
 length = "45s"
 base   = "calm"
 
--- a/scenarios/shared-fails.hcl
+++ b/scenarios/shared-fails.hcl
@@ -1,4 +1,4 @@
-about = "A quarter of the stores fails half of its parts, while a third of what brokers tell each other is lost."
+about = "A quarter of the stores fail half of their parts while a third of the messages between brokers is lost."
 base  = "sparse"
 
 fault "fails" {
--- a/scenarios/shared-flapping.hcl
+++ b/scenarios/shared-flapping.hcl
@@ -1,4 +1,4 @@
-about = "A sixth of the stores fails and does well by turns of two seconds."
+about = "A sixth of the stores alternate between failing and working every two seconds."
 base  = "sparse"
 
 fault "fails" {
--- a/scenarios/shared-jam.hcl
+++ b/scenarios/shared-jam.hcl
@@ -1,4 +1,4 @@
-about = "More than the stores can bear for eight seconds; it ends, and who turns scans away has to hear of that."
+about = "The stores are overloaded for eight seconds, and brokers that throttle scans must learn that the overload has ended."
 base  = "sparse"
 
 sharing {
--- a/scenarios/shared-mute.hcl
+++ b/scenarios/shared-mute.hcl
@@ -1,4 +1,4 @@
-about = "A tenth of the stores takes parts and answers none; each of forty brokers sees one of them seldom."
+about = "A tenth of the stores accept parts but never answer; each of forty brokers rarely uses any one of them."
 base  = "sparse"
 
 fault "mute" {
--- a/scenarios/shared-one-sided.hcl
+++ b/scenarios/shared-one-sided.hcl
@@ -1,4 +1,4 @@
-about = "Three brokers of forty get no answer from half of the stores; their trouble stays theirs."
+about = "Three of forty brokers lose most answers from half of the stores, which must not affect the other brokers."
 base  = "sparse"
 
 fault "one_sided" {
--- a/scenarios/shared-replaced.hcl
+++ b/scenarios/shared-replaced.hcl
@@ -1,4 +1,4 @@
-about = "A third of the stores is replaced within seven seconds by cold ones under new names, and one in eight that is left fails."
+about = "A third of the stores are replaced within seven seconds by cold successors under new names, and one in eight of the remaining stores fails."
 base  = "sparse"
 
 fault "release" {
--- a/scenarios/shared-slow.hcl
+++ b/scenarios/shared-slow.hcl
@@ -1,4 +1,4 @@
-about = "Two thirds of the stores are slow at once: not all of them may rest."
+about = "Two thirds of the stores are slow at once, and not all of them may be ejected."
 base  = "sparse"
 
 fault "slow" {
--- a/scenarios/shared-split.hcl
+++ b/scenarios/shared-split.hcl
@@ -1,4 +1,4 @@
-about = "Brokers are split while stores fail on both sides of it, and hear each other again while they still do."
+about = "Brokers are partitioned while stores fail on both sides, and the partition heals while the stores still fail."
 base  = "sparse"
 
 fault "fails" {
--- a/scenarios/slow-neighbour.hcl
+++ b/scenarios/slow-neighbour.hcl
@@ -1,4 +1,4 @@
-about  = "A neighbour takes cores of a third of the stores while others are slow."
+about  = "Another process takes CPU cores from a third of the stores while some stores are slow."
 length = "45s"
 base   = "calm"
 
--- a/scenarios/sparse.hcl
+++ b/scenarios/sparse.hcl
@@ -1,4 +1,4 @@
-about  = "Forty brokers that each see little traffic and share verdicts on stores; a day without trouble."
+about  = "Forty brokers that each see little traffic share verdicts on stores; there are no faults."
 length = "40s"
 
 fleet {
--- a/scenarios/stale-list.hcl
+++ b/scenarios/stale-list.hcl
@@ -1,4 +1,4 @@
-about  = "Stores die while the list is late, then discovery falls silent in a release."
+about  = "Stores die while the node list is delayed; later, discovery sends no updates during a release."
 length = "60s"
 base   = "calm"
 
--- a/scenarios/third-dies.hcl
+++ b/scenarios/third-dies.hcl
@@ -1,4 +1,4 @@
-about  = "A third of the stores die at once, with word of it, and come back cold."
+about  = "A third of the stores die at once, leave the node list immediately, and restart cold."
 length = "45s"
 base   = "calm"
 
--- a/scenarios/third-vanishes.hcl
+++ b/scenarios/third-vanishes.hcl
@@ -1,4 +1,4 @@
-about  = "A third of the stores vanish without a sign; the list says so late."
+about  = "A third of the stores become unreachable without closing connections, and the node list shows it late."
 length = "45s"
 base   = "calm"
 
--- a/scenarios/zone-cut.hcl
+++ b/scenarios/zone-cut.hcl
@@ -1,4 +1,4 @@
-about  = "One zone and the others hear nothing of each other."
+about  = "All messages between one zone and the others are lost."
 length = "45s"
 base   = "calm"
 
